--- /dev/null
+++ b/tests/stored_samples.rs
@@ -0,0 +1,279 @@
+//! Pins keys and values of the durable records beside those in `upgrade.rs`: changes here
+//! break compatibility with stored data and with controllers of another version.
+
+#[allow(dead_code)] // Each test file uses its own part.
+mod common;
+
+use std::{collections::BTreeMap, fmt::Debug};
+
+use common::World;
+use serde::{Serialize, de::DeserializeOwned};
+use serde_json::value::RawValue;
+use stonewheel::{
+    node::OwnedReply,
+    protocol::{Condition, JobSpec, JobState, MachineType},
+    store::{self, Change, End, Lead, Picture},
+};
+use stonewheel_activation::record as activation;
+use stonewheel_coordination::{Owner, Session, session_key};
+use stonewheel_rollout::{
+    command::{Command, CommandKind, apply},
+    planner::{Seen, Sighting, Sightings},
+    record as rollout,
+};
+
+const JOB: &str = r#"{"Ref":"j-000007","Grain":"train","Crew":"blue","Shape":"batch","Rank":"high","Spokes":3,"Cores":2.0,"Gpus":1.0,"MemoryGb":8.0,"Mould":"img","ImageGb":1.5,"Together":false,"Scatter":false,"Driftwood":false,"ReckonS":20.0,"NotchS":10.0,"StashS":2.0}"#;
+const TOKEN: &str = "1048577";
+const STRAY: &str = r#""m-1""#;
+const TYPES: &str = r#"[{"Label":"g8","Cores":96.0,"Gpus":8.0,"MemoryGb":768.0,"LocalGb":900.0,"PullGbPerS":0.5,"Hourly":12.5,"LowPrice":4.25,"ReadyS":75.0,"Yards":["a","b"]}]"#;
+/// The types that the simulated cloud offers.
+const STORED_TYPES: &str = r#"[{"Label":"g8","Cores":64.0,"Gpus":8.0,"MemoryGb":256.0,"LocalGb":800.0,"PullGbPerS":2.0,"Hourly":20.0,"LowPrice":6.0,"ReadyS":20.0,"Yards":["a","b"]}]"#;
+const LEAD: &str = r#"{"member":"m-1","incarnation":77,"token":2,"lease":9}"#;
+const PAGE: &str = r#"{"a":4,"b":[[0,4,"n-000231",1,0]],"d":[[1,2]]}"#;
+
+const SERVICE: &str = r#"{"epoch":3,"owner":{"member":"m-1","incarnation":7},"version":"v1","next_replica":5,"replicas":[{"number":1,"job":"j-101","version":"v1","stage":"starting"},{"number":2,"job":"j-102","version":"v1","stage":"serving"},{"number":3,"job":"j-103","version":"v2","stage":"draining"},{"number":4,"job":"j-104","version":"v2","stage":"stopping"}],"rollout":{"id":"r-1","from":"v1","to":"v2","size":4,"level":3,"surge":2,"steps":[25,100],"step":1,"phase":"soaking","paused":true,"history":[{"phase":"stepping","step":0,"why":"an operator started it"}]},"commands":[{"id":"r-1","kind":"start v2 [25, 100] 2"}]}"#;
+const IDLE_SERVICE: &str = r#"{"epoch":0,"owner":null,"version":"v1","next_replica":0,"replicas":[],"rollout":null,"commands":[]}"#;
+
+fn raw(text: &str) -> Box<RawValue> {
+    RawValue::from_string(text.into()).expect("json")
+}
+
+/// The value is stored as this text, and the text is read as the value.
+fn is_stored<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T, text: &str) {
+    assert_eq!(store::value(value).expect("json").get(), text);
+    assert_eq!(serde_json::from_str::<T>(text).expect(text), *value, "{text}");
+}
+
+fn types() -> Vec<MachineType> {
+    vec![MachineType {
+        name: "g8".into(),
+        cpus: 96.0,
+        gpus: 8.0,
+        memory_gb: 768.0,
+        cache_gb: 900.0,
+        fetch_gb_per_s: 0.5,
+        price: 12.5,
+        spot_price: 4.25,
+        boot_s: 75.0,
+        zones: vec!["a".into(), "b".into()],
+    }]
+}
+
+fn owner() -> Owner {
+    Owner { member: "m-1".into(), incarnation: 7 }
+}
+
+#[test]
+fn keys() {
+    for (key, text) in [
+        (store::PREFIX.to_owned(), "sw/"),
+        (store::LEAD.to_owned(), "sw/lead"),
+        (store::TOKEN.to_owned(), "sw/token"),
+        (store::TYPES.to_owned(), "sw/types"),
+        (store::REPORTS_TURNED_AWAY.to_owned(), "sw/stray"),
+        (store::job_key("j-000007"), "sw/j/j-000007"),
+        (store::page_key("j-000007", 12), "sw/p/j-000007/12"),
+        (store::end_key("j-000007"), "sw/e/j-000007"),
+        (stonewheel_coordination::PREFIX.to_owned(), "sp/"),
+        (session_key("m-1"), "sp/c/m-1"),
+        (activation::record_key("router"), "sp/a/m/router"),
+        (activation::use_prefix("router"), "sp/a/u/router/"),
+        (activation::use_key("router", "m-1"), "sp/a/u/router/m-1"),
+        (activation::job_key("j-91"), "sp/a/j/j-91"),
+        (rollout::service_key("matcher"), "sp/r/s/matcher"),
+        (rollout::job_key("j-101"), "sp/r/j/j-101"),
+    ] {
+        assert_eq!(key, text);
+    }
+}
+
+#[test]
+fn scheduler_records() {
+    is_stored(&1_048_577_u64, TOKEN);
+    is_stored(&"m-1".to_owned(), STRAY);
+    is_stored(&types(), TYPES);
+    for (state, text) in [
+        (JobState::Done, r#"{"s":"done","d":3}"#),
+        (JobState::Cancelled, r#"{"s":"aborted","d":3}"#),
+    ] {
+        is_stored(&End { state, done: 3 }, text);
+    }
+}
+
+#[test]
+fn scheduler_records_are_found_under_their_keys() {
+    let mut picture = Picture::default();
+    let mut put = |key: &str, value: &str| picture.put(key, raw(value), 5);
+    assert_eq!(put("sw/lead", LEAD), [Change::Lead]);
+    assert_eq!(put("sw/stray", STRAY), [Change::ReportsTurnedAway]);
+    assert_eq!(put("sw/token", TOKEN), []);
+    assert_eq!(put("sw/types", TYPES), []);
+    assert_eq!(put("sw/j/j-000007", JOB), [Change::Arrived("j-000007".into())]);
+    assert_eq!(put("sw/p/j-000007/12", PAGE), []);
+    assert_eq!(put("sw/e/j-8", r#"{"s":"aborted","d":3}"#), [Change::Ended("j-8".into())]);
+    let lead = Lead { member: "m-1".into(), incarnation: 77, token: 2, lease: 9 };
+    assert_eq!(picture.lead, Some((5, lead)));
+    assert_eq!(picture.token, (5, 1_048_577));
+    assert_eq!(picture.types.as_ref().map(|(_, held)| &**held), Some(&types()));
+    let status = picture.status("j-000007").expect("known");
+    assert_eq!((status.done, status.running), (2, 1));
+    assert_eq!(picture.machines_of("j-000007"), ["n-000231".into()]);
+    assert!(picture.pages["j-000007"].contains_key(&12));
+    assert_eq!(picture.cancelled_since(0, 9), (vec![("j-8".into(), 5, 3)], true));
+}
+
+#[tokio::test(start_paused = true)]
+async fn what_controllers_store_while_they_run() {
+    let world = World::new(1).await;
+    let submitted = serde_json::from_str(JOB).expect("json");
+    world.submit(0, "j-000007", submitted).await.expect("accepted");
+    world.until("the types are stored", || world.state.value("sw/types").is_some()).await;
+    let spec = JobSpec::parse(JOB.replace("j-000007", "j-000008").as_bytes()).expect("valid");
+    let fence = Condition { key: "sp/r/s/matcher".into(), version: 0 };
+    let reply = world.node(0).submit_owned(&spec, &fence, "sp/r/j/j-000008").await;
+    assert_eq!(reply, Ok(OwnedReply::Done));
+    for (key, text) in [
+        ("sw/token", "1048576"),
+        ("sw/types", STORED_TYPES),
+        ("sw/j/j-000007", JOB),
+        ("sp/r/j/j-000008", r#""m-0""#),
+    ] {
+        assert_eq!(world.state.value(key).as_deref(), Some(text), "{key}");
+    }
+}
+
+#[test]
+fn coordination_records() {
+    is_stored(&Session { incarnation: 7 }, r#"{"incarnation":7}"#);
+    is_stored(&owner(), r#"{"member":"m-1","incarnation":7}"#);
+}
+
+#[test]
+fn activation_records() {
+    use stonewheel_activation::record::{
+        Activation, ActivationRecord, AfterStop, ModelState, Stage, UseMarker,
+    };
+    is_stored(&UseMarker { lease: 9 }, r#"{"lease":9}"#);
+    let record = |state| ActivationRecord { generation: 4, epoch: 6, state };
+    let asleep = r#"{"generation":4,"epoch":6,"state":"asleep"}"#;
+    is_stored(&record(ModelState::Asleep), asleep);
+    is_stored(&ActivationRecord::default(), r#"{"generation":0,"epoch":0,"state":"asleep"}"#);
+    let failed = r#"{"generation":4,"epoch":6,"state":{"failed":{"reason":"no room"}}}"#;
+    is_stored(&record(ModelState::Failed { reason: "no room".into() }), failed);
+    let endpoints = || vec!["10.0.0.7:8000".to_owned(), "10.0.0.8:8000".to_owned()];
+    for (stage, text) in [
+        (Stage::Starting, r#""starting""#),
+        (
+            Stage::Ready { endpoints: endpoints() },
+            r#"{"ready":{"endpoints":["10.0.0.7:8000","10.0.0.8:8000"]}}"#,
+        ),
+        (
+            Stage::Draining { endpoints: endpoints() },
+            r#"{"draining":{"endpoints":["10.0.0.7:8000","10.0.0.8:8000"]}}"#,
+        ),
+        (Stage::Stopping { then: AfterStop::Sleep }, r#"{"stopping":{"then":"sleep"}}"#),
+        (Stage::Stopping { then: AfterStop::Retry }, r#"{"stopping":{"then":"retry"}}"#),
+        (Stage::Stopping { then: AfterStop::GiveUp }, r#"{"stopping":{"then":"give_up"}}"#),
+    ] {
+        let active = Activation { owner: owner(), attempt: 2, job: "j-91".into(), stage };
+        let text = r#"{"generation":4,"epoch":6,"state":{"active":{"owner":{"member":"m-1","incarnation":7},"attempt":2,"job":"j-91","stage":STAGE}}}"#
+            .replace("STAGE", text);
+        is_stored(&record(ModelState::Active(active)), &text);
+    }
+}
+
+fn replica(number: u32, version: &str, stage: rollout::ReplicaStage) -> rollout::Replica {
+    let job = format!("j-{}", 100 + number);
+    rollout::Replica { number, job, version: version.into(), stage }
+}
+
+fn service() -> rollout::ServiceRecord {
+    use rollout::{DoneCommand, HistoryEntry, Phase, ReplicaStage, Rollout, ServiceRecord};
+    let why = "an operator started it".into();
+    let rollout = Rollout {
+        id: "r-1".into(),
+        from: "v1".into(),
+        to: "v2".into(),
+        size: 4,
+        level: 3,
+        surge: 2,
+        steps: vec![25, 100],
+        step: 1,
+        phase: Phase::Soaking,
+        paused: true,
+        history: vec![HistoryEntry { phase: Phase::Stepping, step: 0, why }],
+    };
+    ServiceRecord {
+        epoch: 3,
+        owner: Some(owner()),
+        version: "v1".into(),
+        next_replica: 5,
+        replicas: vec![
+            replica(1, "v1", ReplicaStage::Starting),
+            replica(2, "v1", ReplicaStage::Serving),
+            replica(3, "v2", ReplicaStage::Draining),
+            replica(4, "v2", ReplicaStage::Stopping),
+        ],
+        rollout: Some(rollout),
+        commands: vec![DoneCommand { id: "r-1".into(), kind: "start v2 [25, 100] 2".into() }],
+    }
+}
+
+fn idle_service() -> rollout::ServiceRecord {
+    rollout::ServiceRecord {
+        epoch: 0,
+        owner: None,
+        version: "v1".into(),
+        next_replica: 0,
+        replicas: Vec::new(),
+        rollout: None,
+        commands: Vec::new(),
+    }
+}
+
+#[test]
+fn rollout_records() {
+    use rollout::Phase;
+    is_stored(&service(), SERVICE);
+    is_stored(&idle_service(), IDLE_SERVICE);
+    is_stored(&Phase::Stepping, r#""stepping""#);
+    is_stored(&Phase::Soaking, r#""soaking""#);
+    is_stored(&Phase::Finishing, r#""finishing""#);
+    is_stored(&Phase::RollingBack, r#""rolling_back""#);
+    is_stored(&Phase::Done, r#""done""#);
+    is_stored(&Phase::RolledBack, r#""rolled_back""#);
+    is_stored(&Phase::Aborted, r#""aborted""#);
+}
+
+#[test]
+fn replicas_take_numbers_and_jobs_as_before() {
+    let mut record = idle_service();
+    record.add_replica("v2", 1_000);
+    record.add_replica("v2", 1_000);
+    let text = r#"[{"number":0,"job":"j-1000","version":"v2","stage":"starting"},{"number":1,"job":"j-1001","version":"v2","stage":"starting"}]"#;
+    assert_eq!(store::value(&record.replicas).expect("json").get(), text);
+    assert_eq!(record.next_replica, 2);
+}
+
+#[test]
+fn rollout_commands_are_remembered_as_before() {
+    let seen =
+        Sighting { seen: Seen::Answering, machine: Some("n-000231".into()), ..Sighting::default() };
+    let sightings = Sightings(BTreeMap::from([(2, seen)]));
+    let start = CommandKind::Start { to: "v2".into(), steps: vec![25, 100], surge: 2 };
+    let under_way = service();
+    let mut before = service();
+    before.rollout = None;
+    for (record, kind, text) in [
+        (&before, start, r#"{"id":"c-1","kind":"start v2 [25, 100] 2"}"#),
+        (&under_way, CommandKind::Pause, r#"{"id":"c-1","kind":"pause"}"#),
+        (&under_way, CommandKind::Resume, r#"{"id":"c-1","kind":"resume"}"#),
+        (&under_way, CommandKind::RollBack, r#"{"id":"c-1","kind":"roll back"}"#),
+        (&under_way, CommandKind::Abort, r#"{"id":"c-1","kind":"abort"}"#),
+    ] {
+        let command = Command { id: "c-1".into(), kind };
+        let after = apply(record, &command, &sightings).expect("taken").expect("new");
+        let remembered = after.commands.last().expect("it is remembered");
+        is_stored(remembered, text);
+    }
+}
