--- /dev/null
+++ b/tests/link_samples.rs
@@ -0,0 +1,45 @@
+//! Pins one whole frame of the links between controllers, with every section: changes here
+//! break compatibility with controllers of another version in the same set.
+
+use stonewheel::{
+    peers::{LEAST_FRAME_LIMIT, Message, decode, encode},
+    protocol::{CancellationNotice, Features, Heartbeat, WorkerContact},
+};
+
+/// Sections 1 to 5: heartbeat, cancellations, features, frame limit, worker contact.
+const FRAME: [u8; 82] = [
+    5, 4, 121, 34, 0, 27, 37, 1, 5, 1, 0, 3, 109, 45, 49, 6, 7, 6, 8, 1, 6, 5, 6, 6, 1, 2, 1, 0,
+    16, 0, 1, 0, 2, 112, 17, 1, 0, 0, 4, 44, 1, 0, 2, 8, 8, 106, 45, 48, 48, 48, 48, 48, 49, 106,
+    45, 48, 48, 48, 48, 48, 55, 2, 94, 1, 0, 0, 111, 17, 1, 0, 2, 2, 0, 0, 4, 1, 2, 128, 210, 3, 0,
+    1,
+];
+
+fn message() -> Message {
+    Message {
+        heartbeat: Heartbeat {
+            member: "m-1".into(),
+            mark: (7, 8),
+            echo: Some((5, 6)),
+            leads: true,
+            token: 1_048_577,
+            state_ok: true,
+            turned_reports_away: false,
+            revision: 70_000,
+            cancellations: Some(CancellationNotice {
+                since: 300,
+                all: false,
+                jobs: vec![("j-000001".into(), 350, 2), ("j-000007".into(), 69_999, 1_024)],
+            }),
+        },
+        features: Features { small_pages: true },
+        frame_limit: 250_496,
+        worker_contact: WorkerContact { lost: true },
+    }
+}
+
+#[test]
+fn a_frame_with_every_section() {
+    assert_eq!(LEAST_FRAME_LIMIT, 65_536);
+    assert_eq!(encode(message()), FRAME);
+    assert_eq!(decode(&FRAME), Some(message()));
+}
