--- a/crates/stonewheel-activation/tests/common/controllers.rs
+++ b/crates/stonewheel-activation/tests/common/controllers.rs
@@ -10,7 +10,7 @@
 
 use stonewheel_activation::{ActivationSettings, Activator, ReplicaStarter, serve};
 use stonewheel_coordination::Timing;
-use stonewheel_standins::{MemState, coordinated};
+use stonewheel_testing::{MemState, coordinated};
 use tokio::{net::TcpListener, sync::mpsc as commands};
 use tokio_util::sync::CancellationToken;
 
--- a/crates/stonewheel-activation/tests/common/loopback.rs
+++ b/crates/stonewheel-activation/tests/common/loopback.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, StatusCode, header};
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::{client::legacy::Client, rt::TokioExecutor};
-use stonewheel_standins::MemState;
+use stonewheel_testing::MemState;
 use tokio::time::sleep;
 
 use super::{
--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -17,7 +17,7 @@
     ActivationSettings, Activator, Listen, ModelSettings, Refusal, parse_sections,
     record::{ActivationRecord, record_key},
 };
-use stonewheel_standins::{MemState, coordinated, timing};
+use stonewheel_testing::{MemState, coordinated, timing};
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
--- a/crates/stonewheel-activation/tests/stories.rs
+++ b/crates/stonewheel-activation/tests/stories.rs
@@ -158,7 +158,7 @@
 async fn transactions_carried_out_late_never_cause_a_second_start() {
     for seed in 0..20 {
         let fleet = Fleet::with_router(3).await;
-        fleet.state.set_late(Some(stonewheel_standins::LateTransactions::new(seed, 0.4, 0.5)));
+        fleet.state.set_late(Some(stonewheel_testing::LateTransactions::new(seed, 0.4, 0.5)));
         let outcomes = fleet.burst(30, "router").await;
         fleet.state.set_late(None);
         // Some may be refused while a session could not be had; none is lost.
--- a/crates/stonewheel-lending/tests/common/world.rs
+++ b/crates/stonewheel-lending/tests/common/world.rs
@@ -17,7 +17,7 @@
     claim::{Claim, ClaimId, ClaimRecord, MachineName, StandingClaim, Work, claim_key},
     ledger::{Entry, LoanState, Shard},
 };
-use stonewheel_standins::{Callers, MemState, Members, timing};
+use stonewheel_testing::{Callers, MemState, Members, timing};
 use tokio::time::{Instant, sleep};
 
 use super::{checker::Checker, fleet::Fleet};
--- a/crates/stonewheel-lending/tests/guarantees.rs
+++ b/crates/stonewheel-lending/tests/guarantees.rs
@@ -17,7 +17,7 @@
     ledger::{Entry, LoanId, LoanState, Transition, Why},
     planner::{Plan, PlannerInput, WaitReason, plan},
 };
-use stonewheel_standins::LateTransactions;
+use stonewheel_testing::LateTransactions;
 use tokio::time::sleep;
 
 const TEAMS: [(&str, u32, u32); 4] =
--- a/crates/stonewheel-lending/tests/ledger.rs
+++ b/crates/stonewheel-lending/tests/ledger.rs
@@ -19,7 +19,7 @@
     },
 };
 use stonewheel_protocol::Condition;
-use stonewheel_standins::{MemState, coordinated, timing};
+use stonewheel_testing::{MemState, coordinated, timing};
 use tokio::{runtime::Runtime, time::sleep};
 use tokio_util::sync::CancellationToken;
 
--- a/crates/stonewheel-lending/tests/stories.rs
+++ b/crates/stonewheel-lending/tests/stories.rs
@@ -199,7 +199,7 @@
 async fn writes_whose_answers_are_lost_or_that_come_late_change_nothing() {
     for seed in 0..4 {
         let world = borrowed(5).await;
-        let late = stonewheel_standins::LateTransactions::new(seed, 0.4, 0.5);
+        let late = stonewheel_testing::LateTransactions::new(seed, 0.4, 0.5);
         world.state.set_late(Some(late));
         world.submit(2, "s-1", serving("red", 2)).await;
         world.submit(1, "s-2", serving("red", 1)).await;
--- a/crates/stonewheel-protocol/src/cloud.rs
+++ b/crates/stonewheel-protocol/src/cloud.rs
@@ -40,7 +40,7 @@
 
 /// A request for machines of one kind. Its name is used once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct ProvisionRequest {
     #[serde(rename = "Hire")]
     pub request: String,
     #[serde(rename = "Frame")]
@@ -83,7 +83,7 @@
     #[serde(rename = "Driftwood", default)]
     pub spot: bool,
     #[serde(rename = "Endpoint", default)]
-    pub addr: String,
+    pub address: String,
     #[serde(rename = "Stance")]
     pub state: MachineState,
     #[serde(rename = "HeldS", default)]
--- a/crates/stonewheel-protocol/src/controllers.rs
+++ b/crates/stonewheel-protocol/src/controllers.rs
@@ -4,13 +4,13 @@
 /// What a controller tells the others about itself, several times per worker
 /// lease. It carries no authority: only the state service does.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
-pub struct Heartbeat {
+pub struct ControllerHeartbeat {
     pub member: String,
     /// Which process says this, and its how manieth heartbeat it is.
-    pub mark: (u64, u64),
+    pub id: (u64, u64),
     /// The latest heartbeat that this node heard from the receiver as a leader:
     /// it answers no reports of workers for a while after that.
-    pub echo: Option<(u64, u64)>,
+    pub acknowledged: Option<(u64, u64)>,
     pub leads: bool,
     /// The highest fencing token this node has seen anywhere.
     pub token: u64,
@@ -18,10 +18,10 @@
     pub state_ok: bool,
     /// Whether this node turned reports away lately: proof that workers live
     /// although the leader may not hear them.
-    pub turned_reports_away: bool,
-    /// The revision of this node's picture: it knows every cancellation up to it.
+    pub rejected_heartbeats: bool,
+    /// The revision of this node's watch cache: it knows every cancellation up to it.
     pub revision: u64,
-    /// What this node may have told users since the receiver's picture. It
+    /// What this node may have told users since the receiver's watch cache. It
     /// travels in a section of its own (`peers.rs`).
     pub cancellations: Option<CancellationNotice>,
 }
@@ -42,7 +42,7 @@
     pub lost: bool,
 }
 
-/// All cancellations in the sender's picture beyond a revision.
+/// All cancellations in the sender's watch cache beyond a revision.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct CancellationNotice {
     /// The receiver's revision, as its latest heartbeat as a leader had it.
--- a/crates/stonewheel-protocol/src/workers.rs
+++ b/crates/stonewheel-protocol/src/workers.rs
@@ -1,4 +1,4 @@
-//! Between workers and controllers: reports, and the orders that answer them or
+//! Between workers and controllers: reports, and the commands that answer them or
 //! are sent directly.
 
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 /// Why a task exited, or was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     Done,
     Stopped,
     Peers,
@@ -35,9 +35,9 @@
     Unknown,
 }
 
-/// One task in a report.
+/// One task in a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "Spoke")]
     pub task: String,
     #[serde(rename = "Try")]
@@ -45,18 +45,18 @@
     #[serde(rename = "Stance")]
     pub state: TaskState,
     #[serde(rename = "Cause", default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     #[serde(rename = "Saved", default)]
     pub saved: Option<bool>,
 }
 
 /// All that a worker says of itself and of its machine's tasks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     #[serde(rename = "Millstone")]
     pub machine: MachineId,
     #[serde(rename = "Endpoint", default)]
-    pub addr: String,
+    pub address: String,
     #[serde(rename = "Frame")]
     pub machine_type: Arc<str>,
     #[serde(rename = "Yard")]
@@ -64,20 +64,20 @@
     #[serde(rename = "Driftwood", default)]
     pub spot: bool,
     #[serde(rename = "Turning")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "Tick")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "Warrant", default)]
     pub token: u64,
     #[serde(rename = "WarningS", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "Spokes", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// What a worker is ordered to do with a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Op {
+pub enum CommandKind {
     #[serde(rename = "run")]
     Start,
     #[serde(rename = "halt")]
@@ -88,9 +88,9 @@
 
 /// One order to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct TaskCommand {
     #[serde(rename = "Verb")]
-    pub op: Op,
+    pub op: CommandKind,
     #[serde(rename = "Spoke")]
     pub task: String,
     #[serde(rename = "Try")]
@@ -99,29 +99,29 @@
     pub grace_s: Option<f64>,
 }
 
-/// The answer to a report by whoever may give orders.
+/// The answer to a heartbeat by whoever may give commands.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "Warrant")]
     pub token: u64,
     #[serde(rename = "Orders")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<TaskCommand>,
 }
 
 /// Orders sent to a worker's own address.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DirectOrders {
+pub struct DirectCommands {
     #[serde(rename = "Warrant")]
     pub token: u64,
     #[serde(rename = "Turning")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "Orders")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<TaskCommand>,
 }
 
-/// The answer of a controller that may not give orders.
+/// The answer of a controller that may not give commands.
 #[derive(Clone, Debug, Serialize)]
-pub struct Misdirected {
+pub struct Redirect {
     #[serde(rename = "Miller", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
--- a/crates/stonewheel-rollout/tests/common/deployment.rs
+++ b/crates/stonewheel-rollout/tests/common/deployment.rs
@@ -14,7 +14,7 @@
     command::{Command, CommandKind},
     record::{Phase, ReplicaStage, ServiceRecord, service_key},
 };
-use stonewheel_standins::{MemState, Members, timing};
+use stonewheel_testing::{MemState, Members, timing};
 use tokio::time::{Instant, sleep};
 
 use super::servers::Servers;
--- a/crates/stonewheel-rollout/tests/common/servers.rs
+++ b/crates/stonewheel-rollout/tests/common/servers.rs
@@ -9,7 +9,7 @@
 
 use futures_util::future::BoxFuture;
 use stonewheel_rollout::{HostError, Look, ReplicaHost, ReplicaOrder};
-use stonewheel_standins::Callers;
+use stonewheel_testing::Callers;
 use tokio::time::{Instant, sleep};
 
 const LATENCY: Duration = Duration::from_millis(10);
--- a/crates/stonewheel-standins/src/faults.rs
+++ b/crates/stonewheel-testing/src/faults.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Direct orders that are held up on their way, unanswered, and carried out once.
+/// Direct commands that are held up on their way, unanswered, and carried out once.
 #[derive(Debug)]
 pub struct LateCommands(Delays);
 
--- a/src/activation.rs
+++ b/src/activation.rs
@@ -10,7 +10,7 @@
 use stonewheel_coordination::Coordinator;
 
 use crate::{
-    node::{Node, OwnedReply, Trouble},
+    node::{InternalJobReply, Node, Unavailable},
     replica_jobs::{JobLook, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
 };
 
@@ -97,13 +97,13 @@
     }
 }
 
-fn outcome(reply: Result<OwnedReply, Trouble>) -> Result<(), StarterError> {
+fn outcome(reply: Result<InternalJobReply, Unavailable>) -> Result<(), StarterError> {
     match reply {
-        Ok(OwnedReply::Done) => Ok(()),
-        Ok(OwnedReply::NameTaken) => Err(StarterError::NameTaken),
-        Ok(OwnedReply::Stale) => Err(StarterError::Stale),
-        Ok(OwnedReply::Impossible(reason)) => Err(StarterError::Rejected(reason)),
-        Err(trouble) => Err(StarterError::Unavailable(trouble.to_string())),
+        Ok(InternalJobReply::Done) => Ok(()),
+        Ok(InternalJobReply::NameTaken) => Err(StarterError::NameTaken),
+        Ok(InternalJobReply::Stale) => Err(StarterError::Stale),
+        Ok(InternalJobReply::Impossible(reason)) => Err(StarterError::Rejected(reason)),
+        Err(unavailable) => Err(StarterError::Unavailable(unavailable.to_string())),
     }
 }
 
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     http::client::{Answer, CallError, HttpClient},
-    protocol::{MachineId, MachineList, MachineNames, MachineType, MachineTypes, Rental},
+    protocol::{MachineId, MachineList, MachineNames, MachineType, MachineTypes, ProvisionRequest},
     settings::Settings,
     state::Budget,
 };
@@ -29,14 +29,14 @@
 
 pub trait CloudApi: Send + Sync {
     fn machine_types(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>>;
-    fn rent(&self, rental: Rental) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>>;
+    fn rent(&self, rental: ProvisionRequest) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>>;
     fn delete(&self, machines: Vec<MachineId>) -> BoxFuture<'_, Result<(), CloudError>>;
     fn list(&self, since: &str) -> BoxFuture<'_, Result<MachineList, CloudError>>;
 }
 
 pub struct HttpCloud {
     client: HttpClient,
-    addr: SocketAddr,
+    address: SocketAddr,
     timeout: Duration,
     budget: Arc<Budget>,
 }
@@ -46,7 +46,7 @@
         let timeout = settings.leader_lease();
         Self {
             client: HttpClient::new(2, settings.worker_lease(), timeout),
-            addr: settings.services.cloud,
+            address: settings.services.cloud,
             timeout,
             // Only the leader talks to the cloud in earnest; what is held
             // back leaves room for a predecessor's last calls.
@@ -61,7 +61,7 @@
         body: Option<&B>,
     ) -> Result<Answer, CloudError> {
         self.budget.take(1.0).await;
-        let answer = self.client.call(method, self.addr, &path, body, self.timeout).await?;
+        let answer = self.client.call(method, self.address, &path, body, self.timeout).await?;
         match answer.status {
             StatusCode::OK => Ok(answer),
             StatusCode::SERVICE_UNAVAILABLE
@@ -82,7 +82,7 @@
         })
     }
 
-    fn rent(&self, rental: Rental) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
+    fn rent(&self, rental: ProvisionRequest) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
         Box::pin(async move {
             let answer = self.call(Method::POST, "/rentals".into(), Some(&rental)).await?;
             Ok(answer.parse::<MachineNames>()?.machines)
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -7,7 +7,7 @@
 use crate::{
     cloud::{DELETE_LIMIT, RENT_LIMIT},
     fleet::{LeaseProof, Machine},
-    protocol::{ListedMachine, MachineId, MachineType, Rental},
+    protocol::{ListedMachine, MachineId, MachineType, ProvisionRequest},
     scheduler::Resources,
 };
 
@@ -22,7 +22,7 @@
         let (spare, spare_spot) = (self.spare_machines(), self.spare_spot());
         // A machine takes tasks only from its second report on: where boots
         // are short it must not go before it could be of use.
-        let least = self.settings.report() * 3;
+        let least = self.settings.heartbeat_interval() * 3;
         // Idleness counts from the end of an outage: nothing could be placed
         // within it, and the work that waited is placed next.
         let back = self.unpaused.unwrap_or(now);
@@ -161,13 +161,15 @@
             else {
                 continue;
             };
-            // One request per kind at a time: its answer changes the picture.
-            let same = |r: &Rental| r.machine_type == t.name && r.zone == *zone && r.spot == spot;
+            // One request per kind at a time: its answer changes the watch cache.
+            let same = |r: &ProvisionRequest| {
+                r.machine_type == t.name && r.zone == *zone && r.spot == spot
+            };
             if self.rentals.iter().chain(&self.renting).any(same) {
                 continue;
             }
             self.rental_count += 1;
-            let rental = Rental {
+            let rental = ProvisionRequest {
                 // The token is this leadership's alone, so no name is used twice.
                 request: format!("r-{}-{}", self.tokens.first(), self.rental_count),
                 machine_type: t.name.clone(),
@@ -180,14 +182,19 @@
         }
     }
 
-    pub fn take_rentals(&mut self) -> Vec<Rental> {
+    pub fn take_rentals(&mut self) -> Vec<ProvisionRequest> {
         let rentals = std::mem::take(&mut self.rentals);
         self.renting.extend(rentals.iter().cloned());
         rentals
     }
 
     /// The cloud answered: machines, or none for now.
-    pub fn rented(&mut self, rental: &Rental, machines: Option<Vec<MachineId>>, now: Instant) {
+    pub fn rented(
+        &mut self,
+        rental: &ProvisionRequest,
+        machines: Option<Vec<MachineId>>,
+        now: Instant,
+    ) {
         self.renting.retain(|r| r.request != rental.request);
         let machines = machines.unwrap_or_default();
         if machines.len() < rental.count as usize {
@@ -220,7 +227,7 @@
     /// The cloud answered a deletion: proof for everything on the machines.
     pub fn deleted(&mut self, machines: &[MachineId], now: Instant) {
         for id in machines {
-            self.lose_sessions(id, u64::MAX, now);
+            self.lose_incarnations(id, u64::MAX, now);
             self.fleet.machines.remove(id);
             self.fleet.gone.insert(id.clone(), now);
         }
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -34,12 +34,14 @@
     /// Cancelled tasks on machines that don't report are told to stop directly,
     /// again and again: their answers carry no order.
     pub(super) fn stop_cancelled_directly(&mut self, now: Instant) {
-        let silent = self.settings.report() * 2;
+        let silent = self.settings.heartbeat_interval() * 2;
         for job in self.jobs.values().filter(|j| j.ended.is_some()) {
             for binding in job.bound.values() {
                 let machine = self.fleet.machines.get(&binding.machine);
                 let away = |m: &Machine| m.reported.is_none_or(|at| now > at + silent);
-                if machine.is_some_and(|m| away(m) && !m.addr.is_empty() && !m.commands_in_flight) {
+                if machine
+                    .is_some_and(|m| away(m) && !m.address.is_empty() && !m.commands_in_flight)
+                {
                     self.needs_command.push(binding.machine.clone());
                 }
             }
--- a/src/controller/direct_orders.rs
+++ b/src/controller/direct_commands.rs
@@ -1,10 +1,10 @@
 //! Orders sent to workers' own addresses.
 //!
 //! A request without an answer may still be carried out for as long as token and
-//! session match, and a worker that has cleared an attempt starts it again. So
+//! incarnation match, and a worker that has cleared an attempt starts it again. So
 //! this module owns one invariant: **a start that was sent directly stays open
 //! until its own request is answered, the worker shows a higher token than the
-//! request has, or the worker's session ends.** While it is open, the task's absence
+//! request has, or the worker's incarnation ends.** While it is open, the task's absence
 //! proves nothing, its exit is not cleared, and no other attempt of the task is
 //! placed on that machine. An answer to another request, even one that carries the
 //! same start, settles nothing of it.
@@ -16,19 +16,19 @@
 
 use tokio::time::Instant;
 
-use super::{Deposed, Leader};
+use super::{Leader, Superseded};
 use crate::{
     fleet::{TaskKey, task_name},
-    protocol::{BODY_LIMIT, DirectOrders, MachineId, Op, Order, Report},
+    protocol::{BODY_LIMIT, CommandKind, DirectCommands, MachineId, TaskCommand, WorkerHeartbeat},
 };
 
-/// No less than what a worker's report holds for one task.
+/// No less than what a worker's heartbeat holds for one task.
 const REPORTED_TASK_BYTES: usize = 128;
 
 /// A machine with this many open starts gets further ones only with the answers
-/// to its reports: exits stay listed while starts are open, and may take up a small
-/// part of a report only.
-const MOST_OPEN_STARTS: usize = BODY_LIMIT / REPORTED_TASK_BYTES / 16;
+/// to its heartbeats: exits stay listed while starts are open, and may take up a small
+/// part of a heartbeat only.
+const MAX_OPEN_STARTS: usize = BODY_LIMIT / REPORTED_TASK_BYTES / 16;
 
 /// One attempt to run a task.
 pub type Attempt = (TaskKey, u64);
@@ -41,7 +41,7 @@
 }
 
 /// Requests with starts that no answer has come for, of a worker's present
-/// session.
+/// incarnation.
 #[derive(Debug, Default)]
 pub struct OpenStarts {
     requests: BTreeMap<u64, SentStarts>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The worker has seen this token, and takes no orders with a lower one.
+    /// The worker has seen this token, and takes no commands with a lower one.
     pub fn fence(&mut self, token: u64) {
         let lower = self.requests.iter().filter(|(_, sent)| sent.token < token);
         let void: Vec<u64> = lower.map(|(request, _)| *request).collect();
@@ -85,8 +85,8 @@
         self.requests.contains_key(&request)
     }
 
-    /// Orders name a session, and are void in the next one.
-    pub fn end_session(&mut self) {
+    /// Orders name an incarnation, and are void in the next one.
+    pub fn end_incarnation(&mut self) {
         self.requests.clear();
         self.starts.clear();
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// Machines with orders that should not wait for their next report, each once,
+/// Machines with commands that should not wait for their next report, each once,
 /// the longest waiting first: calls may be fewer than machines.
 #[derive(Default)]
 pub struct CommandQueue {
@@ -142,15 +142,15 @@
 pub struct DirectRequest {
     pub id: u64,
     pub machine: MachineId,
-    pub addr: String,
-    pub orders: DirectOrders,
+    pub address: String,
+    pub commands: DirectCommands,
 }
 
 /// What became of a direct request.
 #[derive(Clone, Copy, Debug)]
 pub enum DirectOutcome<'a> {
-    /// Carried out, or refused as a whole: the worker's report after that.
-    Answered(&'a Report),
+    /// Carried out, or refused as a whole: the worker's heartbeat after that.
+    Answered(&'a WorkerHeartbeat),
     /// No connection came about, so it will never be carried out.
     NotDelivered,
     /// It may have been carried out, or may still be.
@@ -158,13 +158,13 @@
 }
 
 impl Leader {
-    /// The token that orders to a worker carry.
+    /// The token that commands to a worker carry.
     pub fn token_for(&self, machine: &str) -> u64 {
         let raised = self.fleet.machines.get(machine).map_or(0, |m| m.token);
         raised.max(self.tokens.first())
     }
 
-    /// Composes orders for as many machines as there are free calls, so that none
+    /// Composes commands for as many machines as there are free calls, so that none
     /// waits for a socket after it was decided.
     pub fn take_direct(&mut self, now: Instant) -> Vec<DirectRequest> {
         let mut requests = Vec::new();
@@ -187,30 +187,30 @@
     fn compose(&mut self, id: &MachineId, now: Instant) -> Option<DirectRequest> {
         let machine = self.fleet.machines.get(id)?;
         // A worker whose reports reach nobody, or not this leader yet, may still
-        // take orders: cancelled tasks are stopped there, and nothing else is
+        // take commands: cancelled tasks are stopped there, and nothing else is
         // asked of it.
-        let report = self.settings.report();
-        let usable = machine.usable(now, report) || machine.notice_until.is_some();
+        let heartbeat_interval = self.settings.heartbeat_interval();
+        let usable = machine.usable(now, heartbeat_interval) || machine.notice_until.is_some();
         let commanded = usable && machine.mine;
-        if (machine.deleting && !commanded) || machine.addr.is_empty() {
+        if (machine.deleting && !commanded) || machine.address.is_empty() {
             return None;
         }
-        let recorded = |key: &TaskKey| Some(self.jobs.get(&key.0)?.bound.get(&key.1)?.session);
-        let session = machine.session(machine.bound.iter().filter_map(recorded));
+        let recorded = |key: &TaskKey| Some(self.jobs.get(&key.0)?.bound.get(&key.1)?.incarnation);
+        let incarnation = machine.incarnation(machine.bound.iter().filter_map(recorded));
         let may_start =
-            commanded && self.starts_allowed && machine.open_starts.count() < MOST_OPEN_STARTS;
-        let orders: Vec<Order> = machine
+            commanded && self.starts_allowed && machine.open_starts.count() < MAX_OPEN_STARTS;
+        let commands: Vec<TaskCommand> = machine
             .bound
             .iter()
-            .filter_map(|key| self.direct_order(key, session, commanded, may_start))
+            .filter_map(|key| self.direct_command(key, incarnation, commanded, may_start))
             .collect();
-        if orders.is_empty() {
+        if commands.is_empty() {
             return None;
         }
         let starts = machine.bound.iter().filter_map(|key| {
             let binding = self.jobs.get(&key.0)?.bound.get(&key.1)?;
             let name = task_name(&key.0, key.1);
-            let starts = orders.iter().any(|o| o.op == Op::Start && o.task == name);
+            let starts = commands.iter().any(|o| o.op == CommandKind::Start && o.task == name);
             starts.then(|| (key.clone(), binding.attempt))
         });
         let starts: Vec<Attempt> = starts.collect();
@@ -221,34 +221,34 @@
         let machine = self.fleet.machines.get_mut(id)?;
         machine.commands_in_flight = true;
         machine.open_starts.sent(request, token, starts);
-        let addr = machine.addr.clone();
-        let orders = DirectOrders { token, session, orders };
-        Some(DirectRequest { id: request, machine: id.clone(), addr, orders })
+        let address = machine.address.clone();
+        let commands = DirectCommands { token, incarnation, commands };
+        Some(DirectRequest { id: request, machine: id.clone(), address, commands })
     }
 
     /// What a worker is told directly of one task that is bound to it.
-    fn direct_order(
+    fn direct_command(
         &self,
         key: &TaskKey,
-        session: u64,
+        incarnation: u64,
         commanded: bool,
         may_start: bool,
-    ) -> Option<Order> {
+    ) -> Option<TaskCommand> {
         let job = self.jobs.get(&key.0)?;
         let binding = job.bound.get(&key.1)?;
-        if binding.session != session || !binding.durable {
+        if binding.incarnation != incarnation || !binding.durable {
             return None;
         }
         let cancelled = job.ended.is_some();
         let stop = if cancelled { Some(0.0) } else { binding.stop.map(|stop| stop.grace_s) };
         let op = match stop {
-            None if may_start && !binding.seen && job.may_start(binding) => Op::Start,
-            Some(_) if commanded && binding.seen => Op::Stop,
-            Some(_) if !commanded && cancelled => Op::Stop,
+            None if may_start && !binding.seen && job.may_start(binding) => CommandKind::Start,
+            Some(_) if commanded && binding.seen => CommandKind::Stop,
+            Some(_) if !commanded && cancelled => CommandKind::Stop,
             _ => return None,
         };
         let task = task_name(&key.0, key.1);
-        Some(Order { op, task, attempt: binding.attempt, grace_s: stop })
+        Some(TaskCommand { op, task, attempt: binding.attempt, grace_s: stop })
     }
 
     /// Takes in what became of a direct request.
@@ -257,15 +257,15 @@
         request: &DirectRequest,
         outcome: DirectOutcome,
         now: Instant,
-    ) -> Result<(), Deposed> {
+    ) -> Result<(), Superseded> {
         self.calls.remove(&request.id);
         let Some(machine) = self.fleet.machines.get_mut(&request.machine) else { return Ok(()) };
         machine.commands_in_flight = false;
         match outcome {
             // Another machine may have its address by now.
-            DirectOutcome::Answered(report) if report.machine == request.machine => {
+            DirectOutcome::Answered(heartbeat) if heartbeat.machine == request.machine => {
                 machine.open_starts.settled(request.id);
-                self.take_report(report, true, now).map(|_| ())
+                self.take_heartbeat(heartbeat, true, now).map(|_| ())
             }
             DirectOutcome::NotDelivered => {
                 machine.open_starts.settled(request.id);
@@ -273,7 +273,7 @@
             }
             DirectOutcome::Answered(_) | DirectOutcome::Unknown => {
                 if machine.open_starts.is_open(request.id) {
-                    machine.token = machine.token.max(self.tokens.above(request.orders.token));
+                    machine.token = machine.token.max(self.tokens.above(request.commands.token));
                 }
                 Ok(())
             }
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -19,13 +19,13 @@
 pub(super) struct Binding {
     pub(super) machine: MachineId,
     pub(super) attempt: u64,
-    pub(super) session: u64,
+    pub(super) incarnation: u64,
     pub(super) zone: u8,
     /// The record that binds it is committed.
     pub(super) durable: bool,
-    /// Answers that carried its start order and were not followed by it.
+    /// Answers that carried its start command and were not followed by it.
     pub(super) sent: u32,
-    /// A report showed it on the machine.
+    /// A heartbeat showed it on the machine.
     pub(super) seen: bool,
     pub(super) running_since: Option<Instant>,
     pub(super) stop: Option<Stop>,
@@ -38,7 +38,7 @@
             task,
             attempt: self.attempt,
             machine: self.machine.clone(),
-            session: self.session,
+            incarnation: self.incarnation,
             zone: self.zone,
         }
     }
@@ -126,7 +126,7 @@
         self.returned.iter().copied().chain(fresh).take(limit).collect()
     }
 
-    /// Whether start orders may leave: a gang's only when all its places are
+    /// Whether start commands may leave: a gang's only when all its places are
     /// durable, or a leader that ends in between would leave part of it waiting.
     pub(super) fn may_start(&self, binding: &Binding) -> bool {
         binding.durable
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -109,7 +109,7 @@
         jobs.dedup();
         let residents = jobs.iter().filter_map(|id| self.jobs.get(id));
         let residents: Vec<&Job> = residents.collect();
-        let ready = machine.ready(now, self.settings.report());
+        let ready = machine.ready(now, self.settings.heartbeat_interval());
         let lendable = |job: &&Job| {
             let outside = inside.get(&job.spec.id) == Some(&false);
             outside && is_revocable(&job.spec, grace_s) && is_on_one_machine(job)
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,12 +1,12 @@
 //! The leader's duty: a state machine that takes reports, changes of the
-//! records and answers of the cloud, and gives orders, writes and rentals.
+//! records and answers of the cloud, and gives commands, writes and rentals.
 //!
 //! It does no I/O. What it decides becomes real in this order: the page
 //! record with a binding is committed first, and only then does the order to
 //! start leave; an exit is committed first, and only then is it cleared from
 //! the worker.
 //!
-//! `reports` reviews what workers say, `direct_orders` sends orders to their own
+//! `reconciliation` reviews what workers say, `direct_commands` sends commands to their own
 //! addresses, `cancellations` sees to it that cancelled tasks go in time, `planner` makes scheduling passes,
 //! `writes` and `pages` make them durable, `autoscaler` rents and returns
 //! machines, `lending` says what may be reclaimed, `job` holds one job, `summary` tells the
@@ -14,12 +14,12 @@
 
 mod autoscaler;
 mod cancellations;
-mod direct_orders;
+mod direct_commands;
 mod job;
 mod lending;
 mod pages;
 mod planner;
-mod reports;
+mod reconciliation;
 mod summary;
 mod writes;
 
@@ -32,29 +32,29 @@
 use tracing::{info, warn};
 
 use cancellations::Ended;
-use direct_orders::CommandQueue;
-pub use direct_orders::{DirectOutcome, DirectRequest, OpenStarts};
+use direct_commands::CommandQueue;
+pub use direct_commands::{DirectOutcome, DirectRequest, OpenStarts};
 use job::{Binding, Job, Stop};
 pub use lending::{LendableMachine, LendingView, LentWork, WaitingJob};
-pub use summary::Effort;
+pub use summary::WorkCounters;
 pub use writes::{Commit, CommitKind};
 
 use crate::{
     fencing::TermTokens,
     fleet::{Fleet, LeaseProof, Machine, TaskKey},
-    protocol::{JobId, JobSpec, MachineId, MachineType, Rental, Shape},
+    protocol::{JobId, JobSpec, MachineId, MachineType, ProvisionRequest, Shape},
     scheduler::{Reservation, TeamUse},
     settings::Settings,
-    store::{BoundTask, Change, Page, Picture},
+    store::{BoundTask, Change, Page, WatchCache},
 };
 
 /// A pass may take up to one in so many parts of the time: the rest is for
 /// reports, answers and the renewal of the lease.
 const PASS_PARTS: u32 = 8;
 
-/// The report shows a higher token: someone else leads.
+/// The heartbeat shows a higher token: someone else leads.
 #[derive(Debug, PartialEq)]
-pub struct Deposed;
+pub struct Superseded;
 
 pub struct Leader {
     settings: Arc<Settings>,
@@ -79,13 +79,13 @@
     cancelling: BTreeSet<JobId>,
     /// Kinds the cloud refused: not asked again before then.
     refused: HashMap<(usize, u8, bool), Instant>,
-    rentals: Vec<Rental>,
-    renting: Vec<Rental>,
+    rentals: Vec<ProvisionRequest>,
+    renting: Vec<ProvisionRequest>,
     /// The load of work that may use spot machines, over the last boot time.
     spot_loads: VecDeque<(Instant, f64)>,
     /// Machines that are kept for one job each, since they are reclaimed for it.
     reservations: BTreeMap<MachineId, Reservation>,
-    /// Machines with orders that should not wait for the next report.
+    /// Machines with commands that should not wait for the next report.
     needs_command: CommandQueue,
     /// Direct requests under way, and how many were sent in this term.
     calls: BTreeSet<u64>,
@@ -97,7 +97,7 @@
     next_round: Instant,
     next_sweep: Instant,
     next_pass: Instant,
-    pub effort: Effort,
+    pub counters: WorkCounters,
     outnumbered: bool,
     round_due: bool,
     /// Something changed that the next pass has to consider.
@@ -110,13 +110,13 @@
 }
 
 impl Leader {
-    /// Rebuilds the duty from the records. The picture must be as new as the
+    /// Rebuilds the duty from the records. The watch cache must be as new as the
     /// leadership itself, so that no former leader's write is missing.
     pub fn new(
         settings: Arc<Settings>,
         lead_version: u64,
         tokens: TermTokens,
-        picture: &Picture,
+        watch_cache: &WatchCache,
         now: Instant,
     ) -> Self {
         let mut leader = Self {
@@ -150,7 +150,7 @@
             next_round: now,
             next_sweep: now,
             next_pass: now,
-            effort: Effort::default(),
+            counters: WorkCounters::default(),
             outnumbered: false,
             round_due: true,
             changed: true,
@@ -158,34 +158,34 @@
             started: now,
             unpaused: None,
         };
-        if let Some((_, types)) = &picture.types {
+        if let Some((_, types)) = &watch_cache.types {
             leader.types = types.clone();
         }
-        for id in picture.jobs.keys() {
-            leader.add_job(id, picture, now);
+        for id in watch_cache.jobs.keys() {
+            leader.add_job(id, watch_cache, now);
         }
         leader
     }
 
-    fn add_job(&mut self, id: &JobId, picture: &Picture, now: Instant) {
-        let Some(entry) = picture.jobs.get(id) else { return };
+    fn add_job(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
+        let Some(entry) = watch_cache.jobs.get(id) else { return };
         if self.jobs.contains_key(id) {
             // All records were read again: what it waits for may be over.
-            self.follow_dependencies(id, picture, now);
+            self.follow_dependencies(id, watch_cache, now);
             return;
         }
         let page_tasks = pages::tasks_per_page(&self.settings, &entry.spec, self.small_pages);
         let mut job = Job::new(entry.spec.clone(), entry.version, page_tasks, now);
-        let known = picture.pages.get(id).is_some_and(|pages| !pages.is_empty());
+        let known = watch_cache.pages.get(id).is_some_and(|pages| !pages.is_empty());
         if known {
             // Pages written before keep their layout.
             job.page_tasks = self.settings.page_tasks();
         }
-        let ended = picture.ends.contains(id) || picture.dependencies.is_cancelled(id);
+        let ended = watch_cache.ends.contains(id) || watch_cache.dependencies.is_cancelled(id);
         job.ended = ended.then(|| Ended::learned(now));
-        job.waits_for_others = picture.dependencies.waits(id);
-        job.priority = picture.dependencies.effective_priority(id).unwrap_or(job.priority);
-        for (number, entry) in picture.pages.get(id).into_iter().flatten() {
+        job.waits_for_others = watch_cache.dependencies.waits(id);
+        job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
+        for (number, entry) in watch_cache.pages.get(id).into_iter().flatten() {
             let page: Page = match serde_json::from_str(entry.raw.get()) {
                 Ok(page) => page,
                 Err(e) => {
@@ -200,7 +200,7 @@
             for (first, n) in page.done {
                 job.done.extend(first..first.saturating_add(n).min(job.spec.tasks));
             }
-            for BoundTask { task, attempt, machine, session, zone } in page.bound {
+            for BoundTask { task, attempt, machine, incarnation, zone } in page.bound {
                 let known = self.fleet.machines.entry(machine.clone()).or_insert_with(|| {
                     let zone = self.settings.cluster.zones.get(usize::from(zone)).cloned();
                     // The type is learned from the list or the first report.
@@ -212,7 +212,7 @@
                 let binding = Binding {
                     machine,
                     attempt,
-                    session,
+                    incarnation,
                     zone,
                     durable: true,
                     sent: 0,
@@ -235,12 +235,12 @@
     }
 
     /// Takes in what the watch brought.
-    pub fn on_changes(&mut self, changes: &[Change], picture: &Picture, now: Instant) {
+    pub fn on_changes(&mut self, changes: &[Change], watch_cache: &WatchCache, now: Instant) {
         for change in changes {
             match change {
-                Change::Arrived(id) => self.add_job(id, picture, now),
-                Change::Ready(id) | Change::Reranked(id) => {
-                    self.follow_dependencies(id, picture, now);
+                Change::Arrived(id) => self.add_job(id, watch_cache, now),
+                Change::Ready(id) | Change::PriorityChanged(id) => {
+                    self.follow_dependencies(id, watch_cache, now);
                 }
                 Change::Ended(id) => {
                     if let Some(job) = self.jobs.get_mut(id) {
@@ -253,16 +253,16 @@
                         self.round_due = true;
                     }
                 }
-                Change::Lead | Change::ReportsTurnedAway => {}
+                Change::Leader | Change::HeartbeatsRejected => {}
             }
         }
     }
 
-    /// Takes over what the picture says of a job's dependencies and dependants.
-    fn follow_dependencies(&mut self, id: &JobId, picture: &Picture, now: Instant) {
+    /// Takes over what the watch cache says of a job's dependencies and dependants.
+    fn follow_dependencies(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.priority = picture.dependencies.effective_priority(id).unwrap_or(job.priority);
-        let waits = picture.dependencies.waits(id);
+        job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
+        let waits = watch_cache.dependencies.waits(id);
         let waited = std::mem::replace(&mut job.waits_for_others, waits);
         if waited && !waits {
             info!(job = %id, "all that it depends on is done");
@@ -294,7 +294,7 @@
 
     /// Whether something happened since the last tick that should not wait for
     /// the next sweep. Most reports only say that all is as it was, and a tick
-    /// for each of those would cost more than the report itself.
+    /// for each of those would cost more than the heartbeat itself.
     pub fn needs_tick(&self) -> bool {
         self.needs_tick
     }
@@ -307,17 +307,17 @@
     }
 
     /// Called when something happened, and when `next_tick` says so. What needs
-    /// a look over all machines or jobs is done a few times per report interval
+    /// a look over all machines or jobs is done a few times per heartbeat interval
     /// only, since events come far more often.
     /// `alone`: since when surely no other controller has answered workers.
     pub fn tick(&mut self, now: Instant, paused: bool, alone: Option<Instant>) {
         self.needs_tick = false;
-        self.effort.ticks += 1;
+        self.counters.ticks += 1;
         let care = now >= self.next_sweep;
         if care {
-            self.effort.sweeps += 1;
-            self.next_sweep = now + self.settings.report() / 8;
-            self.expire_sessions(now, alone);
+            self.counters.sweeps += 1;
+            self.next_sweep = now + self.settings.heartbeat_interval() / 8;
+            self.expire_incarnations(now, alone);
             self.drain(now);
             self.stop_cancelled_directly(now);
             for key in std::mem::take(&mut self.stop_later) {
@@ -326,7 +326,7 @@
             self.delete_machines_with_cancelled_tasks(now, paused);
         }
         // Without the state service nothing new can be made durable, and an
-        // old picture is no ground for returning machines.
+        // old watch cache is no ground for returning machines.
         if paused {
             self.unpaused = None;
             return;
@@ -363,12 +363,12 @@
         self.next_pass = now + took * PASS_PARTS;
     }
 
-    /// Sessions that ended by themselves, with proof of it.
-    fn expire_sessions(&mut self, now: Instant, alone: Option<Instant>) {
+    /// Incarnations that ended by themselves, with proof of it.
+    fn expire_incarnations(&mut self, now: Instant, alone: Option<Instant>) {
         let lease = self.settings.worker_lease();
-        // A machine that this leader never heard has the sessions that the
+        // A machine that this leader never heard has the incarnations that the
         // records name.
-        let recorded = |key: &TaskKey| Some(self.jobs.get(&key.0)?.bound.get(&key.1)?.session);
+        let recorded = |key: &TaskKey| Some(self.jobs.get(&key.0)?.bound.get(&key.1)?.incarnation);
         let over: Vec<(MachineId, u64)> = self
             .fleet
             .machines
@@ -376,28 +376,28 @@
             .filter(|(_, m)| m.lease_over(now, lease, alone))
             .filter_map(|(id, m)| {
                 let recorded = m.bound.iter().filter_map(recorded).max();
-                let session = m.seen.0.max(recorded.unwrap_or(0));
-                (session > m.dead_session).then(|| (id.clone(), session))
+                let incarnation = m.seen.0.max(recorded.unwrap_or(0));
+                (incarnation > m.dead_incarnation).then(|| (id.clone(), incarnation))
             })
             .collect();
-        for (id, session) in over {
-            info!(machine = %id, session, "silent past its lease: its tasks are gone");
+        for (id, incarnation) in over {
+            info!(machine = %id, incarnation, "silent past its lease: its tasks are gone");
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                machine.dead_session = session;
+                machine.dead_incarnation = incarnation;
             }
-            self.lose_sessions(&id, session + 1, now);
+            self.lose_incarnations(&id, incarnation + 1, now);
         }
     }
 
     /// Stops tasks on machines that will be taken back, in time to save.
     fn drain(&mut self, now: Instant) {
-        let report = self.settings.report();
+        let heartbeat_interval = self.settings.heartbeat_interval();
         let mut stops = Vec::new();
         for machine in self.fleet.machines.values() {
             let Some(until) = machine.notice_until else { continue };
             for key in &machine.bound {
                 let Some(job) = self.jobs.get(&key.0) else { continue };
-                let needed = Duration::from_secs_f64(job.grace_s()) + report * 4;
+                let needed = Duration::from_secs_f64(job.grace_s()) + heartbeat_interval * 4;
                 // A notice may run half as long as it says.
                 if job.spec.checkpoint_s <= 0.0
                     || (until.saturating_duration_since(now)) / 2 < needed
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -44,19 +44,25 @@
     number.checked_ilog10().map_or(1, |log| log as usize + 1)
 }
 
-/// The longest machine name and the highest session that a new binding may
+/// The longest machine name and the highest incarnation that a new binding may
 /// have.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LongestNames {
     pub machine_bytes: usize,
-    pub session: u64,
+    pub incarnation: u64,
 }
 
-fn binding_bytes(task: u32, attempt: u64, machine_bytes: usize, session: u64, zone: u8) -> usize {
+fn binding_bytes(
+    task: u32,
+    attempt: u64,
+    machine_bytes: usize,
+    incarnation: u64,
+    zone: u8,
+) -> usize {
     digits(task.into())
         + digits(attempt)
         + machine_bytes
-        + digits(session)
+        + digits(incarnation)
         + digits(zone.into())
         + BINDING_PUNCTUATION
 }
@@ -97,7 +103,13 @@
     fn page_bytes(&self, page: u32) -> usize {
         let content = self.page(page);
         let bound = content.bound.iter().map(|bound| {
-            binding_bytes(bound.task, bound.attempt, bound.machine.len(), bound.session, bound.zone)
+            binding_bytes(
+                bound.task,
+                bound.attempt,
+                bound.machine.len(),
+                bound.incarnation,
+                bound.zone,
+            )
         });
         let done = content.done.iter().map(|(first, count)| {
             digits((*first).into()) + digits((*count).into()) + RUN_PUNCTUATION
@@ -126,7 +138,7 @@
                     .entry(page)
                     .or_insert_with(|| value_bytes.saturating_sub(self.page_bytes(page)));
                 let need =
-                    binding_bytes(task, attempt, names.machine_bytes, names.session, u8::MAX);
+                    binding_bytes(task, attempt, names.machine_bytes, names.incarnation, u8::MAX);
                 let fits = need <= *left;
                 *left -= if fits { need } else { 0 };
                 fits
@@ -162,7 +174,7 @@
         let machines = &self.fleet.machines;
         LongestNames {
             machine_bytes: machines.keys().map(|id| id.len()).max().unwrap_or(0),
-            session: machines.values().map(|machine| machine.seen.0).max().unwrap_or(0),
+            incarnation: machines.values().map(|machine| machine.seen.0).max().unwrap_or(0),
         }
     }
 
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -1,4 +1,4 @@
-//! A pass: from the picture to a snapshot, and from the scheduler's decisions to
+//! A pass: from the watch cache to a snapshot, and from the scheduler's decisions to
 //! bindings, stops, widths and rentals.
 
 use std::{cell::Cell, collections::HashMap, sync::Arc};
@@ -61,8 +61,8 @@
             weighed: Cell::new(0),
         };
         let decisions = scheduler::decide(snapshot);
-        self.effort.passes += 1;
-        self.effort.weighed += decisions.weighed;
+        self.counters.passes += 1;
+        self.counters.weighed += decisions.weighed;
         for (id, width) in decisions.widths {
             if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.width != width) {
                 info!(job = %id, from = job.width, to = width, "width");
@@ -97,14 +97,14 @@
     }
 
     fn machine_views(&self, now: Instant) -> Vec<MachineView> {
-        let report = self.settings.report();
+        let heartbeat_interval = self.settings.heartbeat_interval();
         let mut views = Vec::new();
         for (id, machine) in &self.fleet.machines {
             let Some(kind) = self.types.iter().position(|t| t.name == machine.machine_type) else {
                 continue;
             };
             let Some(zone) = self.settings.zone_index(&machine.zone) else { continue };
-            let ready = machine.ready(now, report);
+            let ready = machine.ready(now, heartbeat_interval);
             // A boot that is overdue may take several times as long, or never
             // end: nothing should count on it any more.
             let due = Duration::from_secs_f64(self.types[kind].boot_s * OVERDUE_BOOTS);
@@ -250,7 +250,7 @@
             let binding = Binding {
                 machine: machine_id.clone(),
                 attempt: job.attempt,
-                session: machine.seen.0,
+                incarnation: machine.seen.0,
                 zone,
                 durable: false,
                 sent: 0,
--- a/src/controller/reports.rs
+++ b/src/controller/reconciliation.rs
@@ -1,117 +1,136 @@
-//! Reports in, orders out: what a worker's report proves of the tasks bound to
-//! its machine, and the orders that go back with the answer or directly.
+//! Reports in, commands out: what a worker's heartbeat proves of the tasks bound to
+//! its machine, and the commands that go back with the answer or directly.
 
 use std::collections::HashMap;
 
 use tokio::time::{Duration, Instant};
 use tracing::{debug, info};
 
-use super::{Deposed, Leader, Stop, use_team};
+use super::{Leader, Stop, Superseded, use_team};
 use crate::{
     fleet::{Freshness, TaskKey, parse_task, task_name},
-    protocol::{Cause, MachineId, Op, Order, Report, Shape, TaskReport, TaskState},
+    protocol::{
+        CommandKind, ExitCause, MachineId, Shape, TaskCommand, TaskState, TaskStatus,
+        WorkerHeartbeat,
+    },
     scheduler::Resources,
 };
 
 impl Leader {
-    /// Takes a report and answers with orders.
-    pub fn on_report(&mut self, report: &Report, now: Instant) -> Result<Vec<Order>, Deposed> {
-        let orders = self.take_report(report, false, now)?;
-        for order in orders.iter().filter(|o| o.op == Op::Start) {
-            if let Some(key) = parse_task(&order.task)
+    /// Takes a heartbeat and answers with commands.
+    pub fn on_heartbeat(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        now: Instant,
+    ) -> Result<Vec<TaskCommand>, Superseded> {
+        let commands = self.take_heartbeat(heartbeat, false, now)?;
+        for command in commands.iter().filter(|o| o.op == CommandKind::Start) {
+            if let Some(key) = parse_task(&command.task)
                 && let Some(binding) =
                     self.jobs.get_mut(&key.0).and_then(|j| j.bound.get_mut(&key.1))
             {
                 binding.sent += 1;
             }
         }
-        Ok(orders)
+        Ok(commands)
     }
 
-    /// Takes a report whose worker is sent to look for another leader.
-    pub fn send_away(&mut self, report: &Report, now: Instant) -> Result<(), Deposed> {
-        self.take_report(report, false, now)?;
-        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+    /// Takes a heartbeat whose worker is sent to look for another leader.
+    pub fn send_away(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        now: Instant,
+    ) -> Result<(), Superseded> {
+        self.take_heartbeat(heartbeat, false, now)?;
+        if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.sent_away = Some(now);
         }
         Ok(())
     }
 
-    /// Takes a report and tells which orders are due. As the answer to direct
-    /// orders it proves no absence: the worker may still be waiting for an
-    /// answer to its last own report, with a start order in it.
-    pub(super) fn take_report(
+    /// Takes a heartbeat and tells which commands are due. As the answer to direct
+    /// commands it proves no absence: the worker may still be waiting for an
+    /// answer to its last own report, with a start command in it.
+    pub(super) fn take_heartbeat(
         &mut self,
-        report: &Report,
+        heartbeat: &WorkerHeartbeat,
         direct: bool,
         now: Instant,
-    ) -> Result<Vec<Order>, Deposed> {
-        if report.token > self.tokens.last() {
-            return Err(Deposed);
+    ) -> Result<Vec<TaskCommand>, Superseded> {
+        if heartbeat.token > self.tokens.last() {
+            return Err(Superseded);
         }
-        let was_ready = self.is_ready(&report.machine, now);
+        let was_ready = self.is_ready(&heartbeat.machine, now);
         let lease = self.settings.worker_lease();
-        match self.fleet.note_report(report, self.tokens, lease, now) {
+        match self.fleet.note_heartbeat(heartbeat, self.tokens, lease, now) {
             Freshness::Stale => return Ok(Vec::new()),
-            Freshness::NewSession => self.lose_sessions(&report.machine, report.session, now),
+            Freshness::NewIncarnation => {
+                self.lose_incarnations(&heartbeat.machine, heartbeat.incarnation, now)
+            }
             Freshness::Newer => {}
         }
-        if !direct && let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+        if !direct && let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.reported = Some(now);
         }
-        let reported: HashMap<TaskKey, &TaskReport> =
-            report.tasks.iter().filter_map(|t| parse_task(&t.task).map(|key| (key, t))).collect();
+        let reported: HashMap<TaskKey, &TaskStatus> = heartbeat
+            .tasks
+            .iter()
+            .filter_map(|t| parse_task(&t.task).map(|key| (key, t)))
+            .collect();
         let bound: Vec<TaskKey> = self
             .fleet
             .machines
-            .get(&report.machine)
+            .get(&heartbeat.machine)
             .map(|m| m.bound.iter().cloned().collect())
             .unwrap_or_default();
-        self.effort.reports += 1;
-        self.effort.reviewed += (bound.len() + reported.len()) as u64;
-        let mut orders = Vec::new();
+        self.counters.heartbeats += 1;
+        self.counters.reviewed += (bound.len() + reported.len()) as u64;
+        let mut commands = Vec::new();
         for key in bound {
-            self.review(&key, reported.get(&key).copied(), report, direct, &mut orders, now);
+            self.review(&key, reported.get(&key).copied(), heartbeat, direct, &mut commands, now);
         }
-        self.review_strangers(&reported, report, &mut orders);
-        if self.is_ready(&report.machine, now) != was_ready {
+        self.review_strangers(&reported, heartbeat, &mut commands);
+        if self.is_ready(&heartbeat.machine, now) != was_ready {
             self.note_change();
         }
-        let mine = self.fleet.machines.get(&report.machine).is_some_and(|m| m.mine);
+        let mine = self.fleet.machines.get(&heartbeat.machine).is_some_and(|m| m.mine);
         // A worker that has not shown this token yet may still carry out
-        // older orders; it is told the token first, and orders next time.
-        Ok(if mine { orders } else { Vec::new() })
+        // older commands; it is told the token first, and commands next time.
+        Ok(if mine { commands } else { Vec::new() })
     }
 
     fn is_ready(&self, machine: &MachineId, now: Instant) -> bool {
-        self.fleet.machines.get(machine).is_some_and(|m| m.ready(now, self.settings.report()))
+        self.fleet
+            .machines
+            .get(machine)
+            .is_some_and(|m| m.ready(now, self.settings.heartbeat_interval()))
     }
 
-    /// One bound task against what the report says of it.
+    /// One bound task against what the heartbeat says of it.
     fn review(
         &mut self,
         key: &TaskKey,
-        reported: Option<&TaskReport>,
-        report: &Report,
+        reported: Option<&TaskStatus>,
+        heartbeat: &WorkerHeartbeat,
         direct: bool,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<TaskCommand>,
         now: Instant,
     ) {
-        let Some(machine) = self.fleet.machines.get_mut(&report.machine) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) else { return };
         let mine = machine.mine;
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         let ended = job.ended.is_some();
         let may_start = self.starts_allowed
             && job.bound.get(&key.1).is_some_and(|binding| job.may_start(binding));
         let Some(binding) = job.bound.get_mut(&key.1) else { return };
-        if binding.session != report.session {
+        if binding.incarnation != heartbeat.incarnation {
             return;
         }
         let may_still_start = direct || machine.open_starts.holds(key, binding.attempt);
         match reported.filter(|t| t.attempt == binding.attempt) {
             Some(task) if task.state == TaskState::Exited => {
                 machine.deaf = 0;
-                let cause = task.cause.unwrap_or(Cause::Error);
+                let cause = task.cause.unwrap_or(ExitCause::Error);
                 self.exited(key, cause, now);
             }
             Some(task) => {
@@ -126,8 +145,8 @@
                 if let Some(stop) = stop {
                     let late = now > stop.since + Duration::from_secs_f64(stop.grace_s * 2.0);
                     if task.state != TaskState::Saving || ended || late {
-                        orders.push(Order {
-                            op: Op::Stop,
+                        commands.push(TaskCommand {
+                            op: CommandKind::Stop,
                             task: task.task.clone(),
                             attempt: task.attempt,
                             grace_s: Some(if late { 0.0 } else { stop.grace_s }),
@@ -145,12 +164,12 @@
                 // Told twice and still not there: the answers don't arrive.
                 machine.deaf += 1;
                 machine.shunned_until = Some(now + self.settings.worker_lease());
-                info!(machine = %report.machine, task = ?key, "the machine does not carry out orders");
+                info!(machine = %heartbeat.machine, task = ?key, "the machine does not carry out orders");
                 self.gone(key, now);
             }
             None if mine && may_start && reported.is_none() && !ended && binding.stop.is_none() => {
-                orders.push(Order {
-                    op: Op::Start,
+                commands.push(TaskCommand {
+                    op: CommandKind::Start,
                     task: task_name(&key.0, key.1),
                     attempt: binding.attempt,
                     grace_s: None,
@@ -164,16 +183,16 @@
     /// once their outcome is durable, others are stopped.
     fn review_strangers(
         &mut self,
-        reported: &HashMap<TaskKey, &TaskReport>,
-        report: &Report,
-        orders: &mut Vec<Order>,
+        reported: &HashMap<TaskKey, &TaskStatus>,
+        heartbeat: &WorkerHeartbeat,
+        commands: &mut Vec<TaskCommand>,
     ) {
         let mut strangers = Resources::default();
         for (key, task) in reported {
             let job = self.jobs.get(&key.0);
             let bound = job.and_then(|j| j.bound.get(&key.1)).is_some_and(|b| {
-                b.machine == report.machine
-                    && b.session == report.session
+                b.machine == heartbeat.machine
+                    && b.incarnation == heartbeat.incarnation
                     && b.attempt == task.attempt
             });
             if bound {
@@ -182,13 +201,13 @@
             if task.state == TaskState::Exited {
                 // A job's last exit is durable only with the job's end.
                 let finishing = job.is_some_and(|j| j.remaining() == 0);
-                // While it is listed, a late start order has no effect.
-                let machine = self.fleet.machines.get(&report.machine);
+                // While it is listed, a late start command has no effect.
+                let machine = self.fleet.machines.get(&heartbeat.machine);
                 let may_still_start =
                     machine.is_some_and(|m| m.open_starts.holds(key, task.attempt));
                 if !finishing && !may_still_start && !self.unwritten(key) {
-                    orders.push(Order {
-                        op: Op::Forget,
+                    commands.push(TaskCommand {
+                        op: CommandKind::Forget,
                         task: task.task.clone(),
                         attempt: task.attempt,
                         grace_s: None,
@@ -198,26 +217,26 @@
                 if let Some(job) = job {
                     strangers.add(&Resources::of_task(&job.spec));
                 }
-                orders.push(Order {
-                    op: Op::Stop,
+                commands.push(TaskCommand {
+                    op: CommandKind::Stop,
                     task: task.task.clone(),
                     attempt: task.attempt,
                     grace_s: Some(0.0),
                 });
             }
         }
-        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+        if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.strangers = strangers;
         }
     }
 
-    fn exited(&mut self, key: &TaskKey, cause: Cause, now: Instant) {
+    fn exited(&mut self, key: &TaskKey, cause: ExitCause, now: Instant) {
         debug!(job = %key.0, task = key.1, ?cause, "task exited");
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         let Some(binding) = job.bound.get(&key.1) else { return };
         let id = binding.machine.clone();
         match cause {
-            Cause::Done => {
+            ExitCause::Done => {
                 job.done.insert(key.1);
                 job.failures = 0;
                 if let Some(machine) = self.fleet.machines.get_mut(&id) {
@@ -225,16 +244,18 @@
                     machine.shunned_until = None;
                 }
             }
-            Cause::Error => self.failed(key, &id, now),
-            Cause::NoRoom | Cause::Busy => {
-                // Our picture of the machine is off; its reports will mend it.
-                let until = now + self.settings.report() * 4;
+            ExitCause::Error => self.failed(key, &id, now),
+            ExitCause::NoRoom | ExitCause::Busy => {
+                // What is known of the machine is wrong; its heartbeats will correct it.
+                let until = now + self.settings.heartbeat_interval() * 4;
                 if let Some(machine) = self.fleet.machines.get_mut(&id) {
                     machine.shunned_until = Some(until);
                 }
             }
-            Cause::Unknown => job.held_until = Some(now + self.settings.report() * 2),
-            Cause::Stopped | Cause::Peers | Cause::Alone => {}
+            ExitCause::Unknown => {
+                job.held_until = Some(now + self.settings.heartbeat_interval() * 2)
+            }
+            ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => {}
         }
         self.gone(key, now);
     }
@@ -242,7 +263,7 @@
     /// A task failed. Mostly the machine is at fault, but a job with a mistake
     /// fails everywhere; each is judged by how many of the other it met.
     fn failed(&mut self, key: &TaskKey, id: &MachineId, now: Instant) {
-        let report = self.settings.report();
+        let heartbeat_interval = self.settings.heartbeat_interval();
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         job.failures += 1;
         if !job.avoid.contains(id) {
@@ -252,7 +273,7 @@
         // and the machines are not held responsible.
         let mistaken = job.avoid.len() >= 3;
         if mistaken {
-            let wait = report * 2_u32.saturating_pow(job.failures.min(6));
+            let wait = heartbeat_interval * 2_u32.saturating_pow(job.failures.min(6));
             job.held_until = Some(now + wait);
             info!(job = %key.0, failures = job.failures, wait_s = wait.as_secs_f64(), "fails on every machine: waits");
             for machine in std::mem::take(&mut job.avoid) {
@@ -263,7 +284,7 @@
             }
         } else if let Some(machine) = self.fleet.machines.get_mut(id) {
             machine.failed_jobs.insert(key.0.clone());
-            let wait = report * 5 * machine.failed_jobs.len() as u32;
+            let wait = heartbeat_interval * 5 * machine.failed_jobs.len() as u32;
             machine.shunned_until = Some(now + wait);
             info!(machine = %id, task = %task_name(&key.0, key.1), "a task failed: the machine rests");
         }
@@ -303,8 +324,8 @@
         self.round_due = true;
     }
 
-    /// All tasks of sessions before `session` are gone from a machine.
-    pub(super) fn lose_sessions(&mut self, id: &MachineId, session: u64, now: Instant) {
+    /// All tasks of incarnations before `incarnation` are gone from a machine.
+    pub(super) fn lose_incarnations(&mut self, id: &MachineId, incarnation: u64, now: Instant) {
         let Some(machine) = self.fleet.machines.get(id) else { return };
         let bound: Vec<TaskKey> = machine.bound.iter().cloned().collect();
         for key in bound {
@@ -312,7 +333,7 @@
                 .jobs
                 .get(&key.0)
                 .and_then(|j| j.bound.get(&key.1))
-                .is_some_and(|b| b.session < session);
+                .is_some_and(|b| b.incarnation < incarnation);
             if lost {
                 info!(job = %key.0, task = key.1, machine = %id, "task lost with its machine's session");
                 self.gone(&key, now);
@@ -326,8 +347,8 @@
     /// Whether this node alone seems cut off from the workers. Found out late,
     /// a successor would have no time left to be found by them within their
     /// lease: they look for it only after an answer has failed to come.
-    pub fn deserted(&self, now: Instant) -> bool {
+    pub fn is_isolated_from_workers(&self, now: Instant) -> bool {
         now > self.started + self.settings.worker_lease()
-            && self.fleet.mostly_silent(now, self.settings.report() * 5 / 2)
+            && self.fleet.mostly_silent(now, self.settings.heartbeat_interval() * 5 / 2)
     }
 }
--- a/src/controller/summary.rs
+++ b/src/controller/summary.rs
@@ -6,8 +6,8 @@
 
 /// What the duty has cost so far, in operations rather than seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Effort {
-    pub reports: u64,
+pub struct WorkCounters {
+    pub heartbeats: u64,
     /// Bound or reported tasks looked at for them.
     pub reviewed: u64,
     /// Turns of the leader's loop.
@@ -22,7 +22,7 @@
 impl Leader {
     /// One line for the operator.
     pub fn summary(&self, now: Instant) -> String {
-        let report = self.settings.report();
+        let heartbeat_interval = self.settings.heartbeat_interval();
         let (mut ready, mut idle, mut booting) = (0, 0, 0);
         // GPUs in use and held, on spot machines [0] and ordinary ones [1];
         // and what work that may use spot machines has of the latter.
@@ -32,7 +32,7 @@
                 booting += 1;
                 continue;
             }
-            ready += u32::from(machine.ready(now, report));
+            ready += u32::from(machine.ready(now, heartbeat_interval));
             idle += u32::from(machine.bound.is_empty());
             let at = usize::from(!machine.spot);
             held[at] +=
@@ -56,7 +56,7 @@
             used[0],
             held[0],
             self.fleet.machines.len(),
-            self.effort
+            self.counters
         )
     }
 }
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -7,7 +7,7 @@
 use crate::{
     protocol::{Condition, JobId, JobState, Write},
     state::IN_FLIGHT,
-    store::{self, End, Page, Picture},
+    store::{self, JobEnd, Page, WatchCache},
 };
 
 /// One write for the committer.
@@ -42,13 +42,13 @@
     /// `spare`: how many writes the budget has beyond what is kept for urgent
     /// ones. Pages without new places wait for those: nobody waits for them, and
     /// the more exits one of them takes in, the fewer are written.
-    pub fn take_commits(&mut self, picture: &Picture, spare: usize) -> Vec<Commit> {
+    pub fn take_commits(&mut self, watch_cache: &WatchCache, spare: usize) -> Vec<Commit> {
         let mut commits = Vec::new();
-        let lead = Condition { key: store::LEAD.into(), version: self.lead_version };
+        let lead = Condition { key: store::LEADER_KEY.into(), version: self.lead_version };
         for id in std::mem::take(&mut self.ending) {
-            if picture.dependencies.is_cancelled(&id) && !self.may_cancel(&id) {
+            if watch_cache.dependencies.is_cancelled(&id) && !self.may_cancel(&id) {
                 self.ending.insert(id);
-            } else if let Some(commit) = self.end_commit(&id, &lead, picture) {
+            } else if let Some(commit) = self.end_commit(&id, &lead, watch_cache) {
                 commits.push(commit);
             } else if self.jobs.get(&id).is_none_or(|job| !job.ending) {
                 self.cancelling.remove(&id);
@@ -56,9 +56,9 @@
         }
         if !self.types_stored && !self.types.is_empty() {
             self.types_stored = true;
-            let version = picture.types.as_ref().map_or(0, |(v, _)| *v);
+            let version = watch_cache.types.as_ref().map_or(0, |(v, _)| *v);
             if let Ok(value) = store::value(&*self.types) {
-                let key = store::TYPES.to_owned();
+                let key = store::MACHINE_TYPES_KEY.to_owned();
                 commits.push(Commit {
                     conditions: vec![lead.clone(), Condition { key: key.clone(), version }],
                     writes: vec![Write::Put { key, value, lease: None }],
@@ -67,7 +67,7 @@
             }
         }
         for key in self.due_pages(spare) {
-            commits.extend(self.page_commit(key, &lead, picture));
+            commits.extend(self.page_commit(key, &lead, watch_cache));
         }
         commits
     }
@@ -115,7 +115,7 @@
         &mut self,
         key: (JobId, u32),
         lead: &Condition,
-        picture: &Picture,
+        watch_cache: &WatchCache,
     ) -> Option<Commit> {
         self.dirty.remove(&key);
         let job = self.jobs.get(&key.0)?;
@@ -130,7 +130,7 @@
         let job_key = store::job_key(&key.0);
         let arrival = job.arrival;
         let version =
-            picture.pages.get(&key.0).and_then(|p| p.get(&key.1)).map_or(0, |p| p.version);
+            watch_cache.pages.get(&key.0).and_then(|p| p.get(&key.1)).map_or(0, |p| p.version);
         self.inflight.insert(key.clone());
         Some(Commit {
             // Conditioned on the job too: a first page that is carried out late,
@@ -147,7 +147,12 @@
 
     /// Creates the end record of a job whose tasks are all done, and drops
     /// the bulky records of one that has ended and left every machine.
-    fn end_commit(&mut self, id: &JobId, lead: &Condition, picture: &Picture) -> Option<Commit> {
+    fn end_commit(
+        &mut self,
+        id: &JobId,
+        lead: &Condition,
+        watch_cache: &WatchCache,
+    ) -> Option<Commit> {
         let job = self.jobs.get(id)?;
         if job.ending || !job.bound.is_empty() {
             return None;
@@ -158,33 +163,33 @@
         }
         let mut conditions = vec![lead.clone()];
         let mut writes = Vec::new();
-        if !picture.ends.contains(id) {
+        if !watch_cache.ends.contains(id) {
             // Nothing is dropped before the end is in the records: without it the
             // job would be forgotten, and what depends on it would wait for ever.
-            let end = self.end_of(id, picture)?;
+            let end = self.end_of(id, watch_cache)?;
             let key = store::end_key(id);
             conditions.push(Condition { key: key.clone(), version: 0 });
             writes.push(Write::Put { key, value: store::value(&end).ok()?, lease: None });
         }
         let room = self.settings.state_limits().transaction_writes - writes.len();
-        writes.extend(dropped_records(id, picture, room));
+        writes.extend(dropped_records(id, watch_cache, room));
         self.jobs.get_mut(id)?.ending = true;
         Some(Commit { conditions, writes, kind: CommitKind::End { job: id.clone() } })
     }
 
     /// How a job without an end record ended, as far as this leader may say so.
     /// None if it has not, or if another controller's record will tell.
-    fn end_of(&self, id: &JobId, picture: &Picture) -> Option<End> {
+    fn end_of(&self, id: &JobId, watch_cache: &WatchCache) -> Option<JobEnd> {
         let job = self.jobs.get(id)?;
-        if picture.dependencies.is_cancelled(id) {
-            return Some(End { state: JobState::Cancelled, done: 0 });
+        if watch_cache.dependencies.is_cancelled(id) {
+            return Some(JobEnd { state: JobState::Cancelled, done: 0 });
         }
         let done = job.ended.is_none() && job.remaining() == 0;
-        done.then_some(End { state: JobState::Done, done: job.spec.tasks })
+        done.then_some(JobEnd { state: JobState::Done, done: job.spec.tasks })
     }
 
-    /// A write is durable. The picture has it already.
-    pub fn committed(&mut self, kind: &CommitKind, picture: &Picture, now: Instant) {
+    /// A write is durable. The watch cache has it already.
+    pub fn committed(&mut self, kind: &CommitKind, watch_cache: &WatchCache, now: Instant) {
         match kind {
             CommitKind::Page { job: id, page, content } => {
                 self.inflight.remove(&(id.clone(), *page));
@@ -207,10 +212,10 @@
                 self.cancelling.remove(id);
                 let Some(job) = self.jobs.get_mut(id) else { return };
                 job.ending = false;
-                if picture.ends.contains(id) {
+                if watch_cache.ends.contains(id) {
                     job.ended.get_or_insert(Ended::learned(now));
                 }
-                if picture.jobs.contains_key(id) {
+                if watch_cache.jobs.contains_key(id) {
                     // More pages than one transaction drops.
                     self.ending.insert(id.clone());
                 } else {
@@ -225,8 +230,8 @@
         }
     }
 
-    /// A write did not happen, as far as the fresh picture tells: again.
-    pub fn not_committed(&mut self, kind: CommitKind, picture: &Picture, now: Instant) {
+    /// A write did not happen, as far as the fresh watch cache tells: again.
+    pub fn not_committed(&mut self, kind: CommitKind, watch_cache: &WatchCache, now: Instant) {
         match kind {
             CommitKind::Page { job, page, .. } => {
                 self.inflight.remove(&(job.clone(), page));
@@ -239,7 +244,7 @@
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.ending = false;
                     // Cancelled in the meantime: the first end wins.
-                    if picture.ends.contains(&id) {
+                    if watch_cache.ends.contains(&id) {
                         job.ended.get_or_insert(Ended::learned(now));
                     }
                     self.ending.insert(id);
@@ -256,8 +261,8 @@
 
 /// What one transaction drops of an ended job, in `room` writes: its pages, and
 /// with the last of them the job.
-fn dropped_records(id: &JobId, picture: &Picture, room: usize) -> Vec<Write> {
-    let pages = picture.pages.get(id).into_iter().flat_map(|pages| pages.keys());
+fn dropped_records(id: &JobId, watch_cache: &WatchCache, room: usize) -> Vec<Write> {
+    let pages = watch_cache.pages.get(id).into_iter().flat_map(|pages| pages.keys());
     let pages = pages.map(|page| store::page_key(id, *page));
     let all = pages.chain(std::iter::once(store::job_key(id)));
     all.take(room).map(|key| Write::Delete { key }).collect()
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -33,7 +33,7 @@
     /// Jobs that are cancelled because one that they need is.
     pub cancelled: Vec<JobId>,
     /// Jobs whose effective priority changed.
-    pub reranked: Vec<JobId>,
+    pub priority_changed: Vec<JobId>,
 }
 
 #[derive(Clone, Debug)]
@@ -162,7 +162,7 @@
             let Some(node) = self.nodes.get_mut(&job) else { continue };
             let effective = inherited.map_or(node.own_priority, |p| p.max(node.own_priority));
             if std::mem::replace(&mut node.effective_priority, effective) != effective {
-                effects.reranked.push(job);
+                effects.priority_changed.push(job);
                 pending.extend(node.needs.iter().cloned());
             }
         }
--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -81,7 +81,7 @@
         assert_eq!(graph.effective_priority(job), Some(Priority::High), "{job}");
     }
     let effects = add(&mut graph, 5, Priority::Production, &[2]);
-    assert_eq!(sorted(effects.reranked), ids(&[1, 2]));
+    assert_eq!(sorted(effects.priority_changed), ids(&[1, 2]));
     assert_eq!(graph.effective_priority("j-000003"), Some(Priority::High));
     // Who is cancelled needs nothing any more.
     graph.end(&id(5), Outcome::Cancelled);
--- a/src/election.rs
+++ b/src/election.rs
@@ -15,7 +15,7 @@
     node::Node,
     protocol::{Condition, Transaction, Write},
     state::{StateError, lock},
-    store::{self, LEAD, Lead, TOKEN},
+    store::{self, LEADER_KEY, LeaderRecord, TOKEN_KEY},
 };
 
 /// Stands for election whenever nobody leads, and leads when elected.
@@ -31,8 +31,8 @@
     let mut hold_off: Option<Instant> = None;
     loop {
         let seen = {
-            let picture = lock(&node.picture);
-            picture.loaded.then(|| picture.lead.clone())
+            let watch_cache = lock(&node.watch_cache);
+            watch_cache.loaded.then(|| watch_cache.lead.clone())
         };
         match seen {
             Some(Some((version, lead))) if node.is_me(&lead) => {
@@ -47,14 +47,14 @@
             Some(None) if hold_off.is_none_or(|until| until <= Instant::now()) => {
                 // Not all at the same instant: the first to ask wins.
                 tokio::time::sleep(defers_for(node, ttl) + node.jitter(ttl / 32)).await;
-                if lock(&node.picture).lead.is_none() {
+                if lock(&node.watch_cache).lead.is_none() {
                     attempt(node, 0, ttl).await;
                 }
             }
             // A change wakes us; the timer is for a hold-off that ends.
             _ => {
                 let _ = tokio::time::timeout(ttl / 4, node.lead_changed.notified()).await;
-                node.announce_turned_away_reports().await;
+                node.announce_rejected_heartbeats().await;
             }
         }
     }
@@ -72,14 +72,14 @@
 
 /// One try to take the key from `version` (0: free).
 async fn attempt(node: &Arc<Node>, version: u64, ttl: Duration) {
-    let (token_version, token) = lock(&node.picture).token;
+    let (token_version, token) = lock(&node.watch_cache).token;
     node.requests.take(1.0).await;
     let lease = match node.state.lease(ttl).await {
         Ok(lease) => lease,
         Err(_) => return tokio::time::sleep(ttl / 8).await,
     };
     let tokens = TermTokens::starting_at(token.saturating_add(1));
-    let lead = Lead {
+    let lead = LeaderRecord {
         member: node.settings.member.clone(),
         incarnation: node.incarnation,
         token: tokens.first(),
@@ -91,19 +91,19 @@
     };
     let txn = Transaction {
         conditions: vec![
-            Condition { key: LEAD.into(), version },
-            Condition { key: TOKEN.into(), version: token_version },
+            Condition { key: LEADER_KEY.into(), version },
+            Condition { key: TOKEN_KEY.into(), version: token_version },
         ],
         writes: vec![
-            Write::Put { key: LEAD.into(), value: lead_value, lease: Some(lease) },
-            Write::Put { key: TOKEN.into(), value: token_value, lease: None },
+            Write::Put { key: LEADER_KEY.into(), value: lead_value, lease: Some(lease) },
+            Write::Put { key: TOKEN_KEY.into(), value: token_value, lease: None },
         ],
     };
     node.requests.take(1.0).await;
     match node.state.multi(&txn).await {
         Ok(revision) => node.note_writes(&txn.writes, revision),
         Err(error) => {
-            // Lost, or unsure: the picture tells who leads. An unsure try of
+            // Lost, or unsure: the watch cache tells who leads. An unsure try of
             // ours that succeeded shows up there under our incarnation.
             if matches!(error, StateError::Refused(_) | StateError::Rejected(_)) {
                 tokio::time::sleep(ttl / 8).await;
@@ -114,7 +114,12 @@
 }
 
 /// Leads until the key is lost. True if it was given up for want of workers.
-async fn lead_on(node: &Arc<Node>, version: u64, lead: &Lead, process: &CancellationToken) -> bool {
+async fn lead_on(
+    node: &Arc<Node>,
+    version: u64,
+    lead: &LeaderRecord,
+    process: &CancellationToken,
+) -> bool {
     let ttl = node.settings.leader_lease();
     info!(token = lead.token, "elected");
     // The renewal that brought the key counts from before it was asked for,
@@ -122,8 +127,8 @@
     node.begin_term(version, TermTokens::starting_at(lead.token));
     // The duty ends with the term, and with the process if that ends first.
     let stop = process.child_token();
-    let duty = tokio::spawn(crate::node::lead_duty(node.clone(), version, stop.clone()));
-    let mut deserted = false;
+    let duty = tokio::spawn(crate::node::run_term(node.clone(), version, stop.clone()));
+    let mut is_isolated_from_workers = false;
     loop {
         let asked = Instant::now();
         node.requests.take(1.0).await;
@@ -140,8 +145,8 @@
             if !node.leads(version) {
                 break true;
             }
-            if node.deserted(version) {
-                deserted = true;
+            if node.is_isolated_from_workers(version) {
+                is_isolated_from_workers = true;
                 break true;
             }
             let wake = tokio::time::timeout_at(next, node.lead_changed.notified()).await;
@@ -153,7 +158,7 @@
             break;
         }
     }
-    info!(token = lead.token, deserted, "leads no more");
+    info!(token = lead.token, is_isolated_from_workers, "leads no more");
     node.end_term(version);
     stop.cancel();
     let _ = duty.await;
@@ -161,7 +166,7 @@
     // frees nothing that is still ours.
     let _ = node.state.drop_lease(lead.lease).await;
     // The key must not look held by us when standing again.
-    while lock(&node.picture).lead.as_ref().is_some_and(|(v, _)| *v == version) {
+    while lock(&node.watch_cache).lead.as_ref().is_some_and(|(v, _)| *v == version) {
         if node.fresh().await.is_err() {
             tokio::time::sleep(ttl / 8).await;
             if node.state.touch(lead.lease).await.is_ok() {
@@ -169,5 +174,5 @@
             }
         }
     }
-    deserted
+    is_isolated_from_workers
 }
--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -1,6 +1,6 @@
-//! Fencing tokens: whose orders a worker takes.
+//! Fencing tokens: whose commands a worker takes.
 //!
-//! A worker refuses orders with a lower token than the highest that it has seen.
+//! A worker refuses commands with a lower token than the highest that it has seen.
 //! The transaction that takes the leadership also takes a range of tokens, so that
 //! a leader can raise the token of one worker by itself: whatever it sent that
 //! worker before and got no answer to is void as soon as the worker shows the
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Machines as the leader knows them: sessions, reports, silence, faults.
+//! Machines as the leader knows them: incarnations, reports, silence, faults.
 //!
 //! The hard question here is when a task is certainly gone from a machine.
-//! Only these count as proof: a report of a newer (session, sequence) at the
-//! leader's own token that lacks the task; a later session; a deletion that
+//! Only these count as proof: a heartbeat of a newer (incarnation, sequence) at the
+//! leader's own token that lacks the task; a later incarnation; a deletion that
 //! the cloud answered; or the worker's lease, counted from the leader's last
 //! answer and from when surely no other controller answers (`lease_renewal.rs`).
 
@@ -18,7 +18,7 @@
 use crate::{
     controller::OpenStarts,
     fencing::TermTokens,
-    protocol::{JobId, ListedMachine, MachineId, MachineState, Report},
+    protocol::{JobId, ListedMachine, MachineId, MachineState, WorkerHeartbeat},
     scheduler::Resources,
     settings::Settings,
 };
@@ -44,29 +44,29 @@
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
-    pub addr: String,
+    pub address: String,
     /// Known since (rented, listed or heard for the first time).
     pub since: Instant,
-    /// Latest message seen: (session, sequence).
+    /// Latest message seen: (incarnation, sequence).
     pub seen: (u64, u64),
     /// The worker has been seen at a token of this term.
     pub mine: bool,
     /// The highest token that the leader gave this worker, or saw there.
     pub token: u64,
-    /// When the leader last answered a report of this worker, or it a direct
+    /// When the leader last answered a heartbeat of this worker, or it a direct
     /// order.
     pub answered: Option<Instant>,
     /// When it last reported by itself: a worker that only answers direct
-    /// orders gets no lease.
+    /// commands gets no lease.
     pub reported: Option<Instant>,
     /// When it was sent to look for another leader.
     pub sent_away: Option<Instant>,
-    /// No task of this session or an earlier one can be on the machine.
-    pub dead_session: u64,
+    /// No task of this incarnation or an earlier one can be on the machine.
+    pub dead_incarnation: u64,
     pub bound: BTreeSet<TaskKey>,
-    /// Direct start orders of this session that may still be carried out.
+    /// Direct start commands of this incarnation that may still be carried out.
     pub open_starts: OpenStarts,
-    /// Direct orders are under way.
+    /// Direct commands are under way.
     pub commands_in_flight: bool,
     /// What tasks on the machine use that the leader has not bound there.
     pub strangers: Resources,
@@ -74,7 +74,7 @@
     pub images: ImageCache,
     pub notice_until: Option<Instant>,
     pub deleting: bool,
-    /// Not used before then: it failed tasks, or doesn't hear its orders.
+    /// Not used before then: it failed tasks, or doesn't hear its commands.
     pub shunned_until: Option<Instant>,
     /// Jobs whose tasks failed here since a task last did well.
     pub failed_jobs: BTreeSet<JobId>,
@@ -91,7 +91,7 @@
             machine_type,
             zone,
             spot,
-            addr: String::new(),
+            address: String::new(),
             since: now,
             seen: (0, 0),
             mine: false,
@@ -99,7 +99,7 @@
             answered: None,
             reported: None,
             sent_away: None,
-            dead_session: 0,
+            dead_incarnation: 0,
             bound: BTreeSet::new(),
             open_starts: OpenStarts::default(),
             commands_in_flight: false,
@@ -121,7 +121,7 @@
 
     /// Never heard, by this leader or, as far as it knows, a former one.
     pub fn unborn(&self) -> bool {
-        !self.heard() && self.dead_session == 0
+        !self.heard() && self.dead_incarnation == 0
     }
 
     /// How long the machine has not been heard (since it was known, if never).
@@ -130,26 +130,26 @@
     }
 
     /// Whether new tasks may be bound to it.
-    pub fn ready(&self, now: Instant, report: Duration) -> bool {
-        self.usable(now, report) && self.shunned_until.is_none_or(|until| until <= now)
+    pub fn ready(&self, now: Instant, heartbeat_interval: Duration) -> bool {
+        self.usable(now, heartbeat_interval) && self.shunned_until.is_none_or(|until| until <= now)
     }
 
     /// Alive and under the leader's command.
-    pub fn usable(&self, now: Instant, report: Duration) -> bool {
+    pub fn usable(&self, now: Instant, heartbeat_interval: Duration) -> bool {
         self.mine
             && !self.deleting
             && self.notice_until.is_none()
-            && self.seen.0 > self.dead_session
-            && self.reported.is_some_and(|at| now < at + report * 3)
+            && self.seen.0 > self.dead_incarnation
+            && self.reported.is_some_and(|at| now < at + heartbeat_interval * 3)
     }
 
-    /// The session that tasks on it belong to, as its reports or else the
+    /// The incarnation that tasks on it belong to, as its heartbeats or else the
     /// records say.
-    pub fn session(&self, recorded: impl Iterator<Item = u64>) -> u64 {
+    pub fn incarnation(&self, recorded: impl Iterator<Item = u64>) -> u64 {
         if self.seen.0 > 0 { self.seen.0 } else { recorded.max().unwrap_or(0) }
     }
 
-    /// Proof by lease: the worker gave up its session by itself, since nobody
+    /// Proof by lease: the worker gave up its incarnation by itself, since nobody
     /// answered it for that long. `alone`: since when only the leader does,
     /// within its term. It need not have heard the worker.
     pub fn lease_over(&self, now: Instant, lease: Duration, alone: Option<Instant>) -> bool {
@@ -173,13 +173,13 @@
     }
 }
 
-/// How new a report is.
+/// How new a heartbeat is.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Freshness {
     Newer,
-    /// A later session than the one known before: everything earlier is gone.
-    NewSession,
-    /// A late copy, or of a session that is over, or of a machine deleted.
+    /// A later incarnation than the one known before: everything earlier is gone.
+    NewIncarnation,
+    /// A late copy, or of an incarnation that is over, or of a machine deleted.
     Stale,
 }
 
@@ -193,54 +193,54 @@
 }
 
 impl Fleet {
-    /// Notes a report and tells how new it is.
-    pub fn note_report(
+    /// Notes a heartbeat and tells how new it is.
+    pub fn note_heartbeat(
         &mut self,
-        report: &Report,
+        heartbeat: &WorkerHeartbeat,
         tokens: TermTokens,
         lease: Duration,
         now: Instant,
     ) -> Freshness {
-        if self.gone.contains_key(&report.machine) {
+        if self.gone.contains_key(&heartbeat.machine) {
             return Freshness::Stale;
         }
-        let machine = self.machines.entry(report.machine.clone()).or_insert_with(|| {
-            let (kind, zone) = (report.machine_type.clone(), report.zone.clone());
-            Machine::new(kind, zone, report.spot, now)
+        let machine = self.machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
+            let (kind, zone) = (heartbeat.machine_type.clone(), heartbeat.zone.clone());
+            Machine::new(kind, zone, heartbeat.spot, now)
         });
-        let seen = (report.session, report.seq);
-        if seen <= machine.seen || report.session <= machine.dead_session {
+        let seen = (heartbeat.incarnation, heartbeat.sequence);
+        if seen <= machine.seen || heartbeat.incarnation <= machine.dead_incarnation {
             return Freshness::Stale;
         }
-        let new_session = report.session > machine.seen.0;
-        if new_session && machine.mine && machine.silence(now) < lease * 3 / 4 {
-            // Its lease ran out although its reports were answered: the
-            // answers do not reach it, and neither would orders.
+        let new_incarnation = heartbeat.incarnation > machine.seen.0;
+        if new_incarnation && machine.mine && machine.silence(now) < lease * 3 / 4 {
+            // Its lease ran out although its heartbeats were answered: the
+            // answers do not reach it, and neither would commands.
             machine.deaf += 1;
             machine.shunned_until = Some(now + lease * machine.deaf);
         }
-        if new_session {
-            machine.open_starts.end_session();
+        if new_incarnation {
+            machine.open_starts.end_incarnation();
         }
         if machine.answered.is_none() {
             // The list may have guessed; the machine itself knows.
-            machine.machine_type = report.machine_type.clone();
-            machine.zone = report.zone.clone();
-            machine.spot = report.spot;
+            machine.machine_type = heartbeat.machine_type.clone();
+            machine.zone = heartbeat.zone.clone();
+            machine.spot = heartbeat.spot;
         }
         machine.seen = seen;
         machine.answered = Some(now);
-        machine.mine = tokens.contains(report.token);
+        machine.mine = tokens.contains(heartbeat.token);
         // Requests with lower tokens are void from here on: either this report
         // shows what they did, or they do nothing any more.
-        machine.open_starts.fence(report.token);
-        machine.token = machine.token.max(report.token);
-        machine.addr.clone_from(&report.addr);
-        machine.notice_until = report
+        machine.open_starts.fence(heartbeat.token);
+        machine.token = machine.token.max(heartbeat.token);
+        machine.address.clone_from(&heartbeat.address);
+        machine.notice_until = heartbeat
             .notice_s
             .filter(|s| s.is_finite())
             .map(|s| now + Duration::from_secs_f64(s.clamp(0.0, 1e6)));
-        if new_session { Freshness::NewSession } else { Freshness::Newer }
+        if new_incarnation { Freshness::NewIncarnation } else { Freshness::Newer }
     }
 
     /// Notes what the cloud lists. A list lags, so it proves nothing about
@@ -260,8 +260,8 @@
                 machine
             });
             machine.listed = Some(listed.state);
-            if machine.addr.is_empty() {
-                machine.addr.clone_from(&listed.addr);
+            if machine.address.is_empty() {
+                machine.address.clone_from(&listed.address);
             }
         }
     }
@@ -371,11 +371,11 @@
         found
     }
 
-    /// Whether a machine that lost its session is kept, since its zone is cut
+    /// Whether a machine that lost its incarnation is kept, since its zone is cut
     /// off: it will be back sooner than another could boot.
     pub fn comes_back(&self, machine: &Machine) -> bool {
-        machine.dead_session > 0
-            && machine.seen.0 <= machine.dead_session
+        machine.dead_incarnation > 0
+            && machine.seen.0 <= machine.dead_incarnation
             && self.cuts.contains_key(&machine.zone)
     }
 
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -19,7 +19,7 @@
 /// bounds what they hold.
 const SMALL_BODY: usize = 4 * 1024;
 
-/// The share of the memory that the bodies of workers' reports may take, and as
+/// The share of the memory that the bodies of workers' heartbeats may take, and as
 /// much again those of all other requests.
 const MEMORY_PARTS: f64 = 8.0;
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -21,8 +21,8 @@
 
 use super::body::{BodyBudget, BodyError, Sender};
 use crate::{
-    node::{Node, ReportReply, Trouble, UserReply},
-    protocol::{BODY_LIMIT, ErrorBody, Misdirected, Report, ReportAnswer},
+    node::{HeartbeatReply, Node, Unavailable, UserReply},
+    protocol::{BODY_LIMIT, ErrorBody, HeartbeatResponse, Redirect, WorkerHeartbeat},
 };
 
 /// While fewer than one in so many of the public sockets is free, users'
@@ -47,19 +47,22 @@
     response
 }
 
-fn user_response(reply: Result<UserReply, Trouble>) -> Response {
+fn user_response(reply: Result<UserReply, Unavailable>) -> Response {
     match reply {
         Ok(UserReply::Created(status)) => json(StatusCode::CREATED, &status),
         Ok(UserReply::Known(status)) => json(StatusCode::OK, &status),
         Ok(UserReply::Unknown) => error(StatusCode::NOT_FOUND, "no such job"),
         Ok(UserReply::Malformed(reason)) => error(StatusCode::BAD_REQUEST, reason),
         Ok(UserReply::Impossible(reason)) => error(StatusCode::UNPROCESSABLE_ENTITY, reason),
-        Err(trouble) => come_back(&trouble.to_string()),
+        Err(unavailable) => come_back(&unavailable.to_string()),
     }
 }
 
 /// Runs a user's request if the admission limit has room for it.
-async fn admitted(node: Arc<Node>, work: BoxFuture<'_, Result<UserReply, Trouble>>) -> Response {
+async fn admitted(
+    node: Arc<Node>,
+    work: BoxFuture<'_, Result<UserReply, Unavailable>>,
+) -> Response {
     let Some(permit) = node.admission.enter() else {
         return come_back("too many requests in progress");
     };
@@ -73,16 +76,16 @@
 }
 
 async fn report_response(node: &Node, body: &Bytes) -> Response {
-    let report: Report = match serde_json::from_slice(body) {
-        Ok(report) => report,
+    let heartbeat: WorkerHeartbeat = match serde_json::from_slice(body) {
+        Ok(heartbeat) => heartbeat,
         Err(e) => return error(StatusCode::BAD_REQUEST, e.to_string()),
     };
-    match node.answer_report(&report).await {
-        ReportReply::Orders { token, orders } => {
-            json(StatusCode::OK, &ReportAnswer { token, orders })
+    match node.answer_heartbeat(&heartbeat).await {
+        HeartbeatReply::Commands { token, commands } => {
+            json(StatusCode::OK, &HeartbeatResponse { token, commands })
         }
-        ReportReply::Elsewhere(report_to) => {
-            json(StatusCode::MISDIRECTED_REQUEST, &Misdirected { report_to })
+        HeartbeatReply::Redirect(report_to) => {
+            json(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
         }
     }
 }
--- a/src/lease_renewal.rs
+++ b/src/lease_renewal.rs
@@ -3,7 +3,7 @@
 //! A leader that ends within an outage of the state service has no successor
 //! until the outage ends, and worker leases are shorter than most outages. So
 //! other controllers answer reports meanwhile, with the token that the worker
-//! knows and without orders: that renews its lease and starts nothing.
+//! knows and without commands: that renews its lease and starts nothing.
 //!
 //! Such answers would void a leader's proof that a silent worker's tasks are
 //! gone (`fleet.rs`). What keeps both apart are promises: a controller that
@@ -34,34 +34,34 @@
 
 /// For so many promises' time an echo is recognised. One that comes late
 /// promises nothing, but still tells up to when the sender's word holds.
-const ECHOES: u32 = 8;
+const REMEMBERED_HEARTBEATS: u32 = 8;
 
 /// A heartbeat by which a process can be told from its former self.
-pub type Mark = (u64, u64);
+pub type HeartbeatId = (u64, u64);
 
-pub struct Promises {
+pub struct RenewalAbstentions {
     members: Vec<String>,
     /// Drawn at each start.
     incarnation: u64,
     /// How long a heard heartbeat of a leader binds this controller.
-    promise: Duration,
+    abstention: Duration,
     /// This process may not know what its former self promised, so its start
     /// counts like a heartbeat.
     bound_since: Instant,
-    /// The latest heartbeat as a leader, by member, and its picture's revision.
-    heard: HashMap<String, (Mark, u64)>,
+    /// The latest heartbeat as a leader, by member, and its watch cache's revision.
+    heard: HashMap<String, (HeartbeatId, u64)>,
     count: u64,
     sent: VecDeque<(u64, Instant)>,
     /// For each member, from when until when it surely answers no reports.
     covered: HashMap<String, (Instant, Instant)>,
 }
 
-impl Promises {
-    pub fn new(members: Vec<String>, incarnation: u64, promise: Duration, now: Instant) -> Self {
+impl RenewalAbstentions {
+    pub fn new(members: Vec<String>, incarnation: u64, abstention: Duration, now: Instant) -> Self {
         Self {
             members,
             incarnation,
-            promise,
+            abstention,
             bound_since: now,
             heard: HashMap::new(),
             count: 0,
@@ -79,33 +79,38 @@
 
     /// The mark of the next heartbeat to a member, and what was last heard
     /// from that member as a leader.
-    pub fn beat(&mut self, to: &str, now: Instant) -> (Mark, Option<(Mark, u64)>) {
+    pub fn beat(&mut self, to: &str, now: Instant) -> (HeartbeatId, Option<(HeartbeatId, u64)>) {
         self.count += 1;
         self.sent.push_back((self.count, now));
-        while self.sent.front().is_some_and(|(_, at)| now > *at + self.promise * ECHOES) {
+        while self
+            .sent
+            .front()
+            .is_some_and(|(_, at)| now > *at + self.abstention * REMEMBERED_HEARTBEATS)
+        {
             self.sent.pop_front();
         }
         ((self.incarnation, self.count), self.heard.get(to).copied())
     }
 
     /// Takes in a member's heartbeat, and tells when the one that it echoes
-    /// left here. `leads`: the revision of its picture, if it leads.
+    /// left here. `leads`: the revision of its watch cache, if it leads.
     pub fn heard_from(
         &mut self,
         from: &str,
-        mark: Mark,
+        id: HeartbeatId,
         leads: Option<u64>,
-        echo: Option<Mark>,
+        acknowledged: Option<HeartbeatId>,
         now: Instant,
     ) -> Option<Instant> {
         if let Some(revision) = leads {
             self.bound_since = now;
-            self.heard.insert(from.to_owned(), (mark, revision));
+            self.heard.insert(from.to_owned(), (id, revision));
         }
-        let (_, count) = echo.filter(|(incarnation, _)| *incarnation == self.incarnation)?;
+        let (_, count) =
+            acknowledged.filter(|(incarnation, _)| *incarnation == self.incarnation)?;
         let at = self.sent.binary_search_by_key(&count, |(c, _)| *c).ok()?;
         let sent = self.sent.get(at)?.1;
-        let until = sent + self.promise.mul_f64(DRIFT);
+        let until = sent + self.abstention.mul_f64(DRIFT);
         let cover = self.covered.entry(from.to_owned()).or_insert((now, until));
         if now > cover.1 {
             // It may have answered reports in between.
@@ -117,7 +122,7 @@
 
     /// Whether no promise binds this controller.
     pub fn free(&self, now: Instant) -> bool {
-        now > self.bound_since + self.promise
+        now > self.bound_since + self.abstention
     }
 
     /// Since when surely no other controller has answered reports, or none if
@@ -142,8 +147,8 @@
 /// A reading of the state service counts for all controllers, from when it was
 /// asked for: only durable ends are told. A heartbeat with all that its sender
 /// may have told counts for that one, from when the heartbeat that it echoes
-/// left here. It is enough that each sender looks at its own picture: what a
-/// former process of the same member told is in the picture of the next one as
+/// left here. It is enough that each sender looks at its own watch cache: what a
+/// former process of the same member told is in the watch cache of the next one as
 /// soon as that has read the records, and before that it says nothing.
 #[derive(Default)]
 pub struct KnownCancellations {
--- a/src/lease_renewal/tests.rs
+++ b/src/lease_renewal/tests.rs
@@ -2,19 +2,24 @@
 
 const PROMISE: Duration = Duration::from_secs(4);
 
-fn pair() -> (Promises, Promises, Instant) {
+fn pair() -> (RenewalAbstentions, RenewalAbstentions, Instant) {
     let now = Instant::now();
-    let leader = Promises::new(vec!["b".into()], 1, PROMISE, now);
-    let other = Promises::new(vec!["a".into()], 2, PROMISE, now);
+    let leader = RenewalAbstentions::new(vec!["b".into()], 1, PROMISE, now);
+    let other = RenewalAbstentions::new(vec!["a".into()], 2, PROMISE, now);
     (leader, other, now)
 }
 
 /// A heartbeat of the leader, heard at `at`, and the answer to it.
-fn exchange(leader: &mut Promises, other: &mut Promises, sent: Instant, at: Instant) {
-    let (mark, echo) = leader.beat("b", sent);
-    other.heard_from("a", mark, Some(0), echo.map(|(mark, _)| mark), at);
-    let (mark, echo) = other.beat("a", at);
-    leader.heard_from("b", mark, None, echo.map(|(mark, _)| mark), at);
+fn exchange(
+    leader: &mut RenewalAbstentions,
+    other: &mut RenewalAbstentions,
+    sent: Instant,
+    at: Instant,
+) {
+    let (id, acknowledged) = leader.beat("b", sent);
+    other.heard_from("a", id, Some(0), acknowledged.map(|(id, _)| id), at);
+    let (id, acknowledged) = other.beat("a", at);
+    leader.heard_from("b", id, None, acknowledged.map(|(id, _)| id), at);
 }
 
 #[test]
@@ -44,8 +49,8 @@
     assert!(leader.alone_since(at(2)).is_some());
     leader.begin_term();
     assert_eq!(leader.alone_since(at(2)), None);
-    let (mark, echo) = other.beat("a", at(2));
-    leader.heard_from("b", mark, None, echo.map(|(mark, _)| mark), at(2));
+    let (id, acknowledged) = other.beat("a", at(2));
+    leader.heard_from("b", id, None, acknowledged.map(|(id, _)| id), at(2));
     assert_eq!(leader.alone_since(at(2)), None, "an echo of the earlier term");
     exchange(&mut leader, &mut other, at(3), at(3));
     assert_eq!(leader.alone_since(at(4)), Some(at(3)));
@@ -58,10 +63,10 @@
     exchange(&mut leader, &mut other, at(1), at(6));
     assert_eq!(leader.alone_since(at(6)), None);
     // Nor does an echo of what a former self of the leader sent.
-    let (mark, echo) = other.beat("a", at(6));
-    let mut successor = Promises::new(vec!["b".into()], 3, PROMISE, at(6));
+    let (id, acknowledged) = other.beat("a", at(6));
+    let mut successor = RenewalAbstentions::new(vec!["b".into()], 3, PROMISE, at(6));
     successor.beat("b", at(6));
-    successor.heard_from("b", mark, None, echo.map(|(mark, _)| mark), at(6));
+    successor.heard_from("b", id, None, acknowledged.map(|(id, _)| id), at(6));
     assert_eq!(successor.alone_since(at(6)), None);
 }
 
@@ -88,13 +93,13 @@
 fn a_late_echo_promises_nothing_but_still_dates_what_was_told() {
     let (mut leader, mut other, now) = pair();
     let at = |s: u64| now + Duration::from_secs(s);
-    let (mark, echo) = leader.beat("b", at(1));
-    other.heard_from("a", mark, Some(7), echo.map(|(mark, _)| mark), at(2));
-    let (mark, echo) = other.beat("a", at(2));
-    let (echo, since) = echo.expect("heard a leader");
+    let (id, acknowledged) = leader.beat("b", at(1));
+    other.heard_from("a", id, Some(7), acknowledged.map(|(id, _)| id), at(2));
+    let (id, acknowledged) = other.beat("a", at(2));
+    let (acknowledged, since) = acknowledged.expect("heard a leader");
     assert_eq!(since, 7, "as the leader's heartbeat had it");
-    assert_eq!(leader.heard_from("b", mark, None, Some(echo), at(9)), Some(at(1)));
+    assert_eq!(leader.heard_from("b", id, None, Some(acknowledged), at(9)), Some(at(1)));
     assert_eq!(leader.alone_since(at(9)), None);
     // One of a former process is not recognised.
-    assert_eq!(leader.heard_from("b", mark, None, Some((9, echo.1)), at(9)), None);
+    assert_eq!(leader.heard_from("b", id, None, Some((9, acknowledged.1)), at(9)), None);
 }
--- a/src/lending.rs
+++ b/src/lending.rs
@@ -146,7 +146,7 @@
 
 impl MachineHost for SchedulerMachines {
     fn eligible(&self) -> bool {
-        self.node.leader_effort().is_some()
+        self.node.leader_counters().is_some()
     }
 
     fn observe(&self, token: u64) -> BoxFuture<'_, Result<Observation, HostError>> {
--- a/src/node/cloud_duty.rs
+++ b/src/node/cloud_loop.rs
@@ -9,11 +9,11 @@
 use super::Node;
 use crate::{
     cloud::CloudError,
-    protocol::{MachineId, Rental},
+    protocol::{MachineId, ProvisionRequest},
 };
 
 /// Sees one rental through, under its one name.
-pub(super) async fn rent(node: Arc<Node>, version: u64, rental: Rental) {
+pub(super) async fn rent(node: Arc<Node>, version: u64, rental: ProvisionRequest) {
     loop {
         let answer = match node.cloud.rent(rental.clone()).await {
             Ok(machines) => Some(machines),
@@ -22,7 +22,7 @@
                 // The same name again: if it was carried out, nothing is
                 // rented twice.
                 debug!(%error, request = %rental.request, "rental");
-                tokio::time::sleep(node.settings.report()).await;
+                tokio::time::sleep(node.settings.heartbeat_interval()).await;
                 continue;
             }
         };
@@ -39,7 +39,7 @@
         }
         Err(error) => {
             debug!(%error, "deletion");
-            tokio::time::sleep(node.settings.report()).await;
+            tokio::time::sleep(node.settings.heartbeat_interval()).await;
             node.with_leader(version, |leader| leader.not_deleted(machines));
         }
     }
@@ -47,11 +47,11 @@
 }
 
 /// Reads the machine types and the machine list again and again.
-pub(super) async fn cloud_duty(node: Arc<Node>, version: u64) {
+pub(super) async fn cloud_loop(node: Arc<Node>, version: u64) {
     // The list is as old as its lag; reading it more often than that tells
-    // little, and never more than a few times per report interval.
+    // little, and never more than a few times per heartbeat interval.
     let every = Duration::from_secs_f64(node.settings.cluster.cloud.list_lag_s / 2.0)
-        .max(node.settings.report() * 3);
+        .max(node.settings.heartbeat_interval() * 3);
     let mut types_due = Instant::now();
     // A reading that fails goes on where it stood: the more pages a fleet's list
     // has, the less likely is a reading without any failure.
@@ -90,6 +90,6 @@
             }
         }
         let pause = every.min(types_due.saturating_duration_since(Instant::now()));
-        tokio::time::sleep(pause.max(node.settings.report() / 2)).await;
+        tokio::time::sleep(pause.max(node.settings.heartbeat_interval() / 2)).await;
     }
 }
--- a/src/node/owned_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -7,16 +7,16 @@
 
 use tracing::info;
 
-use super::{Node, Trouble};
+use super::{Node, Unavailable};
 use crate::{
     protocol::{Condition, JobSpec, JobState, Write},
     state::{Reserve, StateError, lock},
-    store::{self, End},
+    store::{self, JobEnd},
 };
 
 /// What became of a submission or a withdrawal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OwnedReply {
+pub enum InternalJobReply {
     /// It stands, by this call or by one before it.
     Done,
     /// Another job has this id.
@@ -35,12 +35,12 @@
         spec: &JobSpec,
         fence: &Condition,
         marker: &str,
-    ) -> Result<OwnedReply, Trouble> {
+    ) -> Result<InternalJobReply, Unavailable> {
         if let Some(reason) = self.impossible(spec)? {
-            return Ok(OwnedReply::Impossible(reason));
+            return Ok(InternalJobReply::Impossible(reason));
         }
         let (Ok(job), Ok(mark)) = (store::value(spec), store::value(&self.settings.member)) else {
-            return Ok(OwnedReply::Impossible("can't be stored".into()));
+            return Ok(InternalJobReply::Impossible("can't be stored".into()));
         };
         let (mut conditions, _) = self.acceptance_conditions(spec);
         conditions.push(fence.clone());
@@ -50,11 +50,11 @@
             Ok(revision) => {
                 self.note_writes(&[accept], revision);
                 info!(job = %spec.id, class = %spec.class, "accepted, of our own");
-                Ok(OwnedReply::Done)
+                Ok(InternalJobReply::Done)
             }
             Err(StateError::Conflict(keys)) => self.why_refused(&keys, fence, marker).await,
-            Err(StateError::Rejected(reason)) => Ok(OwnedReply::Impossible(reason)),
-            Err(_) => Err(Trouble::State),
+            Err(StateError::Rejected(reason)) => Ok(InternalJobReply::Impossible(reason)),
+            Err(_) => Err(Unavailable::State),
         }
     }
 
@@ -63,12 +63,16 @@
         keys: &[String],
         fence: &Condition,
         marker: &str,
-    ) -> Result<OwnedReply, Trouble> {
+    ) -> Result<InternalJobReply, Unavailable> {
         // An earlier try of ours may have been carried out without an answer.
         if self.marker_version(marker).await?.is_some() {
-            return Ok(OwnedReply::Done);
+            return Ok(InternalJobReply::Done);
         }
-        Ok(if keys.contains(&fence.key) { OwnedReply::Stale } else { OwnedReply::NameTaken })
+        Ok(if keys.contains(&fence.key) {
+            InternalJobReply::Stale
+        } else {
+            InternalJobReply::NameTaken
+        })
     }
 
     /// Withdraws a job of our own, if there is one: a job without a marker is a
@@ -78,23 +82,23 @@
         id: &str,
         fence: &Condition,
         marker: &str,
-    ) -> Result<OwnedReply, Trouble> {
+    ) -> Result<InternalJobReply, Unavailable> {
         let Some(marker_version) = self.marker_version(marker).await? else {
-            return Ok(OwnedReply::Done);
+            return Ok(InternalJobReply::Done);
         };
         self.fresh().await?;
         let mut conditions =
             vec![fence.clone(), Condition { key: marker.to_owned(), version: marker_version }];
         let unmark = Write::Delete { key: marker.to_owned() };
         let running = {
-            let picture = lock(&self.picture);
-            let status = picture.status(id).filter(|status| !super::users::is_final(status));
-            status.zip(picture.jobs.get(id).map(|job| job.version))
+            let watch_cache = lock(&self.watch_cache);
+            let status = watch_cache.status(id).filter(|status| !super::users::is_final(status));
+            status.zip(watch_cache.jobs.get(id).map(|job| job.version))
         };
         let mut writes = Vec::new();
         if let Some((status, version)) = running {
-            let end = End { state: JobState::Cancelled, done: status.done };
-            let Ok(value) = store::value(&end) else { return Err(Trouble::State) };
+            let end = JobEnd { state: JobState::Cancelled, done: status.done };
+            let Ok(value) = store::value(&end) else { return Err(Unavailable::State) };
             let key = store::end_key(id);
             conditions.push(Condition { key: key.clone(), version: 0 });
             conditions.push(Condition { key: store::job_key(id), version });
@@ -106,18 +110,20 @@
             Ok(revision) => {
                 self.note_writes(&ends, revision);
                 info!(job = id, "withdrawn, of our own");
-                Ok(OwnedReply::Done)
+                Ok(InternalJobReply::Done)
+            }
+            Err(StateError::Conflict(keys)) if keys.contains(&fence.key) => {
+                Ok(InternalJobReply::Stale)
             }
-            Err(StateError::Conflict(keys)) if keys.contains(&fence.key) => Ok(OwnedReply::Stale),
             // It ended by itself, or our own earlier try was carried out: asked again.
-            Err(_) => Err(Trouble::State),
+            Err(_) => Err(Unavailable::State),
         }
     }
 
     /// The version of a marker, as the state service has it now.
-    async fn marker_version(&self, marker: &str) -> Result<Option<u64>, Trouble> {
+    async fn marker_version(&self, marker: &str) -> Result<Option<u64>, Unavailable> {
         self.requests.take_leaving(1.0, Reserve::Quarter).await;
-        let page = self.state.list(marker, "").await.map_err(|_| Trouble::State)?;
+        let page = self.state.list(marker, "").await.map_err(|_| Unavailable::State)?;
         Ok(page.items.iter().find(|item| item.key == marker).map(|item| item.version))
     }
 }
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -9,22 +9,22 @@
 
 use super::{
     Node,
-    cloud_duty::{cloud_duty, give_back, rent},
+    cloud_loop::{cloud_loop, give_back, rent},
     until,
 };
 use crate::{
     controller::{Commit, CommitKind, DirectOutcome, DirectRequest, Leader},
     http::client::CallError,
-    protocol::{MachineId, Rental},
+    protocol::{MachineId, ProvisionRequest},
     state::{StateError, lock},
     store::Page,
 };
 
-/// The leader's summary is logged once in so many report intervals.
+/// The leader's summary is logged once in so many heartbeat intervals.
 const SUMMARY_REPORTS: u32 = 10;
 
 /// What a leader does for as long as its term stands.
-pub async fn lead_duty(node: Arc<Node>, version: u64, stop: CancellationToken) {
+pub async fn run_term(node: Arc<Node>, version: u64, stop: CancellationToken) {
     let work = TaskTracker::new();
     tokio::select! {
         () = lead(&node, version, &work, &stop) => {}
@@ -35,15 +35,15 @@
 }
 
 async fn lead(node: &Arc<Node>, version: u64, work: &TaskTracker, stop: &CancellationToken) {
-    let report = node.settings.report();
-    // The picture must hold every write of the former leaders.
+    let heartbeat_interval = node.settings.heartbeat_interval();
+    // The watch cache must hold every write of the former leaders.
     while node.fresh().await.is_err() {
-        tokio::time::sleep(report / 8).await;
+        tokio::time::sleep(heartbeat_interval / 8).await;
     }
     if !take_over(node, version) {
         return;
     }
-    work.spawn(until(stop.clone(), cloud_duty(node.clone(), version)));
+    work.spawn(until(stop.clone(), cloud_loop(node.clone(), version)));
     let mut summarised = Instant::now();
     let mut next_tick = Instant::now();
     loop {
@@ -51,22 +51,22 @@
         let Some(due) = tick(node, version) else { return };
         next_tick = due.next_tick;
         carry_out(node, version, due, work, stop);
-        if summarised + report * SUMMARY_REPORTS < Instant::now() {
+        if summarised + heartbeat_interval * SUMMARY_REPORTS < Instant::now() {
             summarised = Instant::now();
             summarise(node, version);
         }
         // Whatever comes within this time is handled together.
-        tokio::time::sleep(report / 100).await;
+        tokio::time::sleep(heartbeat_interval / 100).await;
     }
 }
 
-/// Builds the leader from the picture. False if its term is over.
+/// Builds the leader from the watch cache. False if its term is over.
 fn take_over(node: &Node, version: u64) -> bool {
-    let picture = lock(&node.picture);
+    let watch_cache = lock(&node.watch_cache);
     let mut term = lock(&node.term);
     let Some(held) = term.as_mut().filter(|t| t.version == version) else { return false };
     let now = Instant::now();
-    let mut leader = Leader::new(node.settings.clone(), version, held.tokens, &picture, now);
+    let mut leader = Leader::new(node.settings.clone(), version, held.tokens, &watch_cache, now);
     for (id, at) in lock(&node.confirmed_since).iter() {
         leader.confirmed_since(id, *at);
     }
@@ -79,7 +79,7 @@
 struct Due {
     commits: Vec<Commit>,
     direct: Vec<DirectRequest>,
-    rentals: Vec<Rental>,
+    rentals: Vec<ProvisionRequest>,
     deletions: Vec<MachineId>,
     next_tick: Instant,
 }
@@ -88,11 +88,11 @@
 fn tick(node: &Node, version: u64) -> Option<Due> {
     let now = Instant::now();
     let paused = node.in_doubt();
-    let alone = lock(&node.peers.promises).alone_since(now);
+    let alone = lock(&node.peers.abstentions).alone_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
     let spare = node.writer.spare();
     let small_pages = node.peers.all_know_small_pages(&node.settings.members);
-    let picture = lock(&node.picture);
+    let watch_cache = lock(&node.watch_cache);
     node.with_leader(version, |leader| {
         if small_pages {
             leader.allow_small_pages();
@@ -101,7 +101,7 @@
         leader.tick(now, paused, alone);
         leader.took(now, now.elapsed());
         let commits =
-            if leader.has_writes() { leader.take_commits(&picture, spare) } else { Vec::new() };
+            if leader.has_writes() { leader.take_commits(&watch_cache, spare) } else { Vec::new() };
         Due {
             commits,
             direct: leader.take_direct(now),
@@ -174,39 +174,39 @@
     }
 }
 
-/// Whether the fresh picture shows what the write was to bring about.
+/// Whether the fresh watch cache shows what the write was to bring about.
 fn stands(node: &Node, kind: &CommitKind) -> bool {
-    let picture = lock(&node.picture);
+    let watch_cache = lock(&node.watch_cache);
     match kind {
-        CommitKind::Page { job, page, content } => picture
+        CommitKind::Page { job, page, content } => watch_cache
             .pages
             .get(job)
             .and_then(|pages| pages.get(page))
             .and_then(|entry| serde_json::from_str::<Page>(entry.raw.get()).ok())
             .is_some_and(|held| held == *content),
-        CommitKind::End { job } => !picture.jobs.contains_key(job),
+        CommitKind::End { job } => !watch_cache.jobs.contains_key(job),
         CommitKind::Types => false,
     }
 }
 
 fn settle(node: &Node, version: u64, kind: CommitKind, committed: bool) {
-    let picture = lock(&node.picture);
+    let watch_cache = lock(&node.watch_cache);
     let now = Instant::now();
     node.with_leader(version, |leader| {
         if committed {
-            leader.committed(&kind, &picture, now);
+            leader.committed(&kind, &watch_cache, now);
         } else {
-            leader.not_committed(kind, &picture, now);
+            leader.not_committed(kind, &watch_cache, now);
         }
     });
     node.work.notify_one();
 }
 
-/// Sends orders to a worker's own address.
+/// Sends commands to a worker's own address.
 async fn send_direct(node: Arc<Node>, version: u64, request: DirectRequest) {
-    let answer = node.workers.command(&request.addr, request.orders.clone()).await;
+    let answer = node.workers.command(&request.address, request.commands.clone()).await;
     let outcome = match &answer {
-        Ok(report) => DirectOutcome::Answered(report),
+        Ok(heartbeat) => DirectOutcome::Answered(heartbeat),
         Err(CallError::NotConnected(_)) => DirectOutcome::NotDelivered,
         Err(_) => DirectOutcome::Unknown,
     };
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -6,16 +6,16 @@
 use super::Node;
 use crate::{
     peers::{Message, noticed_cancellations_of},
-    protocol::{CancellationNotice, Heartbeat, JobState, WorkerContact, Write},
+    protocol::{CancellationNotice, ControllerHeartbeat, JobState, WorkerContact, Write},
     state::lock,
-    store::{self, End},
+    store::{self, JobEnd},
 };
 
 impl Node {
     /// All that this node tells another controller now.
     pub fn message(&self, to: &str) -> Message {
         let lost = self.hears_hardly_any_worker();
-        let message = Message::new(self.heartbeat(to), self.settings.frame_limit());
+        let message = Message::new(self.controller_heartbeat(to), self.settings.frame_limit());
         Message { worker_contact: WorkerContact { lost }, ..message }
     }
 
@@ -23,57 +23,60 @@
     fn hears_hardly_any_worker(&self) -> bool {
         let term = lock(&self.term);
         let leader = term.as_ref().and_then(|term| term.leader.as_ref());
-        leader.is_some_and(|leader| leader.deserted(Instant::now()))
+        leader.is_some_and(|leader| leader.is_isolated_from_workers(Instant::now()))
     }
 
-    /// Notes that a report was turned away or answered in a leader's stead. A
+    /// Notes that a heartbeat was turned away or answered in a leader's stead. A
     /// leader that lost its workers waits for just this to give way, and their
     /// leases run meanwhile: the first one is told at once.
-    pub(super) fn note_turned_away_report(&self) {
-        let told_already = self.turned_reports_away();
-        *lock(&self.reports_turned_away) = Some(Instant::now());
+    pub(super) fn note_rejected_heartbeat(&self) {
+        let told_already = self.rejected_heartbeats();
+        *lock(&self.heartbeat_rejected_at) = Some(Instant::now());
         if !told_already {
             self.peers.hasten_heartbeats();
         }
     }
 
-    pub fn heartbeat(&self, to: &str) -> Heartbeat {
-        let (mark, echo) = lock(&self.peers.promises).beat(to, Instant::now());
+    pub fn controller_heartbeat(&self, to: &str) -> ControllerHeartbeat {
+        let (id, acknowledged) = lock(&self.peers.abstentions).beat(to, Instant::now());
         let (leads, state_ok) = (lock(&self.term).is_some(), self.state_ok());
-        let picture = lock(&self.picture);
-        // A picture that was never read knows nothing of what a former process
+        let watch_cache = lock(&self.watch_cache);
+        // A watch cache that was never read knows nothing of what a former process
         // of this member told.
-        let told = echo.filter(|_| picture.loaded).map(|(_, since)| {
+        let told = acknowledged.filter(|_| watch_cache.loaded).map(|(_, since)| {
             // More than the receiver can hear would cost the whole frame.
             let most = self.settings.noticed_cancellations();
             let most = most.min(noticed_cancellations_of(self.peers.frame_limit(to)));
-            let (jobs, all) = picture.cancelled_since(since, most);
+            let (jobs, all) = watch_cache.cancelled_since(since, most);
             CancellationNotice { since, all, jobs }
         });
-        Heartbeat {
+        ControllerHeartbeat {
             member: self.settings.member.clone(),
-            mark,
-            echo: echo.map(|(mark, _)| mark),
+            id,
+            acknowledged: acknowledged.map(|(id, _)| id),
             leads,
-            token: picture.token.1,
+            token: watch_cache.token.1,
             state_ok,
             // Said to every member alike: counted once for whoever was told
             // first, it never reached the leader that needed it.
-            turned_reports_away: self.turned_reports_away(),
-            revision: picture.revision,
+            rejected_heartbeats: self.rejected_heartbeats(),
+            revision: watch_cache.revision,
             cancellations: told,
         }
     }
 
-    /// Whether this node turned a report away lately.
-    fn turned_reports_away(&self) -> bool {
-        lock(&self.reports_turned_away).is_some_and(|at| at.elapsed() < self.settings.report() * 2)
+    /// Whether this node turned a heartbeat away lately.
+    fn rejected_heartbeats(&self) -> bool {
+        lock(&self.heartbeat_rejected_at)
+            .is_some_and(|at| at.elapsed() < self.settings.heartbeat_interval() * 2)
     }
 
     /// Whether workers report to another controller, but not to this one.
     pub fn hears_less(&self) -> bool {
-        !self.turned_reports_away()
-            && self.peers.any(self.settings.report() * 2, |heartbeat| heartbeat.turned_reports_away)
+        !self.rejected_heartbeats()
+            && self.peers.any(self.settings.heartbeat_interval() * 2, |heartbeat| {
+                heartbeat.rejected_heartbeats
+            })
     }
 
     /// Whether the controller that workers try after this one is silent. If such a
@@ -93,13 +96,13 @@
     /// Tells a leader through the state service that workers live, if no
     /// heartbeat can: connections between the controllers may be refused while
     /// the leader loses its workers.
-    pub async fn announce_turned_away_reports(&self) {
+    pub async fn announce_rejected_heartbeats(&self) {
         let heard = self.peers.any(self.settings.leader_lease(), |heartbeat| heartbeat.leads);
-        if heard || !self.turned_reports_away() || !self.state_ok() {
+        if heard || !self.rejected_heartbeats() || !self.state_ok() {
             return;
         }
         if let Ok(value) = store::value(&self.settings.member) {
-            let put = Write::Put { key: store::REPORTS_TURNED_AWAY.into(), value, lease: None };
+            let put = Write::Put { key: store::REJECTED_HEARTBEATS_KEY.into(), value, lease: None };
             let _ = self.writer.commit(Vec::new(), vec![put]).await;
         }
     }
@@ -113,7 +116,7 @@
         self.on_heartbeat(message.heartbeat);
     }
 
-    pub fn on_heartbeat(&self, heartbeat: Heartbeat) {
+    pub fn on_heartbeat(&self, heartbeat: ControllerHeartbeat) {
         let mut term = lock(&self.term);
         if term.as_ref().is_some_and(|t| t.tokens.last() < heartbeat.token) {
             warn!(member = %heartbeat.member, token = heartbeat.token, "another controller leads");
@@ -122,9 +125,9 @@
         }
         let leads = term.is_some();
         drop(term);
-        let workers_live = heartbeat.turned_reports_away;
+        let workers_live = heartbeat.rejected_heartbeats;
         self.take_cancellation_notice(heartbeat.cancellations.as_ref());
-        let revision = lock(&self.picture).revision;
+        let revision = lock(&self.watch_cache).revision;
         self.peers.note(heartbeat, revision);
         // Whether to give way is asked now, not with the next renewal.
         if leads && workers_live {
@@ -137,9 +140,9 @@
     fn take_cancellation_notice(&self, told: Option<&CancellationNotice>) {
         let mut changes = Vec::new();
         for (id, version, done) in told.into_iter().flat_map(|told| &told.jobs) {
-            let end = End { state: JobState::Cancelled, done: *done };
+            let end = JobEnd { state: JobState::Cancelled, done: *done };
             if let Ok(value) = store::value(&end) {
-                changes.extend(lock(&self.picture).put(&store::end_key(id), value, *version));
+                changes.extend(lock(&self.watch_cache).put(&store::end_key(id), value, *version));
             }
         }
         self.dispatch(&changes);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,14 +1,14 @@
-//! One controller: its picture of the records, what it answers users and
+//! One controller: its watch cache, what it answers users and
 //! workers, and the duties that keep it going.
 //!
 //! `users`, `workers` and `links` answer each of these; `records` keeps the
-//! picture; `leading` carries out what a leader's duty decides, with `cloud_duty`
+//! watch cache; `leading` carries out what a leader's duty decides, with `cloud_loop`
 //! for the cloud.
 
-mod cloud_duty;
+mod cloud_loop;
+mod internal_jobs;
 mod leading;
 mod links;
-mod owned_jobs;
 mod records;
 mod users;
 mod workers;
@@ -31,25 +31,25 @@
 use crate::{
     admission_limit::AdmissionLimit,
     cloud::CloudApi,
-    controller::{Effort, Leader, LendingView},
+    controller::{Leader, LendingView, WorkCounters},
     election,
     fencing::TermTokens,
     http, peers,
     peers::Peers,
-    protocol::{JobId, JobStatus, MachineId, Order},
+    protocol::{JobId, JobStatus, MachineId, TaskCommand},
     scheduler::Reservation,
     settings::Settings,
     state::{self, Budget, StateApi, Writer, lock},
-    store::{Lead, Picture},
+    store::{LeaderRecord, WatchCache},
     worker_client::WorkerApi,
 };
 
-pub use leading::lead_duty;
-pub use owned_jobs::OwnedReply;
+pub use internal_jobs::InternalJobReply;
+pub use leading::run_term;
 
 /// Why a request can't be answered now. All of these are worth a retry.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
-pub enum Trouble {
+pub enum Unavailable {
     #[error("the state service can't be reached")]
     State,
     #[error("the machine types are not known yet")]
@@ -68,9 +68,9 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum ReportReply {
-    Orders { token: u64, orders: Vec<Order> },
-    Elsewhere(Option<String>),
+pub enum HeartbeatReply {
+    Commands { token: u64, commands: Vec<TaskCommand> },
+    Redirect(Option<String>),
 }
 
 /// The leader's part of a node, while it leads.
@@ -79,7 +79,7 @@
     tokens: TermTokens,
     /// When the last successful renewal was asked for.
     renewed: Instant,
-    /// Built once the picture is as new as the leadership.
+    /// Built once the watch cache is as new as the leadership.
     leader: Option<Leader>,
     /// Workers sent to look for another leader, while ours is in doubt.
     probed: HashMap<MachineId, Instant>,
@@ -94,7 +94,7 @@
     pub workers: Arc<dyn WorkerApi>,
     pub requests: Arc<Budget>,
     pub admission: Arc<AdmissionLimit>,
-    pub picture: Mutex<Picture>,
+    pub watch_cache: Mutex<WatchCache>,
     pub peers: Peers,
     /// Notified whenever the leadership key or this node's term may have changed.
     pub lead_changed: Notify,
@@ -104,20 +104,20 @@
     writer: Arc<Writer>,
     term: Mutex<Option<Term>>,
     work: Notify,
-    readers: Mutex<Vec<oneshot::Sender<Result<(), Trouble>>>>,
+    readers: Mutex<Vec<oneshot::Sender<Result<(), Unavailable>>>>,
     read_wanted: Notify,
     /// When the state service last answered, and whether it did last time.
     state_seen: Mutex<(Instant, bool)>,
     started: Instant,
     /// Workers answered while nobody can lead, and since when.
     renewed_workers: Mutex<HashMap<MachineId, Instant>>,
-    /// When a report was last turned away or answered in a leader's stead.
-    reports_turned_away: Mutex<Option<Instant>>,
+    /// When a heartbeat was last turned away or answered in a leader's stead.
+    heartbeat_rejected_at: Mutex<Option<Instant>>,
     /// For ended jobs that still have records: the earliest time at which their
     /// users may have been told.
     confirmed_since: Mutex<HashMap<JobId, Instant>>,
     /// When the watch last brought that another node turned reports away.
-    turned_away_elsewhere: Mutex<Option<Instant>>,
+    heartbeat_rejected_elsewhere_at: Mutex<Option<Instant>>,
 }
 
 impl Node {
@@ -133,9 +133,9 @@
         let requests =
             Arc::new(Budget::new(settings.share(settings.state_limits().requests_per_s, false)));
         let writer = Arc::new(state::writer(state.clone(), &settings, requests.clone()));
-        // Users wait a second at ease; half of a report interval is a ratio
+        // Users wait a second at ease; half of a heartbeat interval is a ratio
         // to how time runs here.
-        let target = settings.report() / 2;
+        let target = settings.heartbeat_interval() / 2;
         let ceiling = settings.cluster.quota.fd_limit as usize / 4;
         let incarnation = rng.random();
         let members = settings.members.iter().map(|m| m.member.clone()).collect();
@@ -145,8 +145,10 @@
             workers,
             requests,
             admission: AdmissionLimit::new(target, ceiling),
-            picture: Mutex::new(Picture::noticing(settings.noticed_cancellations())),
-            peers: Peers::new(members, settings.renewal_promise(), incarnation),
+            watch_cache: Mutex::new(WatchCache::with_notice_limit(
+                settings.noticed_cancellations(),
+            )),
+            peers: Peers::new(members, settings.renewal_abstention(), incarnation),
             settings,
             lead_changed: Notify::new(),
             incarnation,
@@ -159,9 +161,9 @@
             state_seen: Mutex::new((Instant::now(), false)),
             started: Instant::now(),
             renewed_workers: Mutex::default(),
-            reports_turned_away: Mutex::new(None),
+            heartbeat_rejected_at: Mutex::new(None),
             confirmed_since: Mutex::default(),
-            turned_away_elsewhere: Mutex::new(None),
+            heartbeat_rejected_elsewhere_at: Mutex::new(None),
         })
     }
 
@@ -172,7 +174,7 @@
         internal: TcpListener,
         stop: CancellationToken,
     ) {
-        let duties = self.spawn_duties(&stop);
+        let duties = self.spawn_background_tasks(&stop);
         duties.spawn(http::server::serve(self.clone(), public, stop.clone()));
         duties.spawn(peers::listen(self.clone(), internal, stop.clone()));
         for member in &self.settings.members {
@@ -184,11 +186,11 @@
     }
 
     /// The duties that need no listener.
-    pub fn spawn_duties(self: &Arc<Self>, stop: &CancellationToken) -> TaskTracker {
+    pub fn spawn_background_tasks(self: &Arc<Self>, stop: &CancellationToken) -> TaskTracker {
         let duties = TaskTracker::new();
         duties.spawn(self.writer.clone().run(stop.clone()));
-        duties.spawn(until(stop.clone(), records::watch_duty(self.clone())));
-        duties.spawn(until(stop.clone(), records::read_duty(self.clone())));
+        duties.spawn(until(stop.clone(), records::run_watch(self.clone())));
+        duties.spawn(until(stop.clone(), records::run_reads(self.clone())));
         duties.spawn(election::run(self.clone(), stop.clone()));
         duties
     }
@@ -201,7 +203,7 @@
     /// Healthy unless it never saw the records, or alone lost the state
     /// service: in an outage that all share, other nodes are no better.
     pub fn healthy(&self) -> bool {
-        if !lock(&self.picture).loaded {
+        if !lock(&self.watch_cache).loaded {
             return false;
         }
         self.state_ok()
@@ -220,12 +222,12 @@
         most.mul_f64(lock(&self.rng).random_range(0.0..1.0))
     }
 
-    pub fn is_me(&self, lead: &Lead) -> bool {
+    pub fn is_me(&self, lead: &LeaderRecord) -> bool {
         lead.member == self.settings.member && lead.incarnation == self.incarnation
     }
 
     pub fn begin_term(&self, version: u64, tokens: TermTokens) {
-        lock(&self.peers.promises).begin_term();
+        lock(&self.peers.abstentions).begin_term();
         *lock(&self.term) = Some(Term {
             version,
             tokens,
@@ -258,17 +260,19 @@
 
     /// Whether this term still stands, as far as this node knows.
     pub fn leads(&self, version: u64) -> bool {
-        let held = lock(&self.picture).lead.as_ref().is_some_and(|(v, _)| *v == version);
+        let held = lock(&self.watch_cache).lead.as_ref().is_some_and(|(v, _)| *v == version);
         held && lock(&self.term).as_ref().is_some_and(|t| t.version == version)
     }
 
     /// Whether the workers seem alive, but not to this node.
-    pub fn deserted(&self, version: u64) -> bool {
-        let silent =
-            self.with_leader(version, |leader| leader.deserted(Instant::now())).unwrap_or(false);
-        let lately = self.settings.report() * 2;
-        let told = lock(&self.turned_away_elsewhere).is_some_and(|at| at.elapsed() < lately);
-        silent && (told || self.peers.any(lately, |heartbeat| heartbeat.turned_reports_away))
+    pub fn is_isolated_from_workers(&self, version: u64) -> bool {
+        let silent = self
+            .with_leader(version, |leader| leader.is_isolated_from_workers(Instant::now()))
+            .unwrap_or(false);
+        let lately = self.settings.heartbeat_interval() * 2;
+        let told =
+            lock(&self.heartbeat_rejected_elsewhere_at).is_some_and(|at| at.elapsed() < lately);
+        silent && (told || self.peers.any(lately, |heartbeat| heartbeat.rejected_heartbeats))
     }
 
     fn with_leader<T>(&self, version: u64, work: impl FnOnce(&mut Leader) -> T) -> Option<T> {
@@ -278,8 +282,8 @@
     }
 
     /// What this node's duty as the leader has cost so far, if it leads.
-    pub fn leader_effort(&self) -> Option<Effort> {
-        lock(&self.term).as_ref()?.leader.as_ref().map(|leader| leader.effort)
+    pub fn leader_counters(&self) -> Option<WorkCounters> {
+        lock(&self.term).as_ref()?.leader.as_ref().map(|leader| leader.counters)
     }
 
     /// What lending may act on, if this node leads.
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -1,4 +1,4 @@
-//! The picture of the records: read whole, watched, and read afresh for those
+//! The watch cache: read whole, watched, and read afresh for those
 //! who ask.
 
 use std::{sync::Arc, time::Duration};
@@ -6,21 +6,21 @@
 use tokio::{sync::oneshot, time::Instant};
 use tracing::{debug, info};
 
-use super::{Node, Trouble};
+use super::{Node, Unavailable};
 use crate::{
     protocol::{Events, JobId, Write},
     state::{Reserve, StateError, lock},
-    store::{Change, PREFIX},
+    store::{Change, KEY_PREFIX},
 };
 
 impl Node {
     /// Notes committed writes at once, before the watch brings them.
     pub fn note_writes(&self, writes: &[Write], revision: u64) {
         let changes: Vec<Change> = {
-            let mut picture = lock(&self.picture);
+            let mut watch_cache = lock(&self.watch_cache);
             let note = |write: &Write| match write {
-                Write::Put { key, value, .. } => picture.put(key, value.clone(), revision),
-                Write::Delete { key } => picture.delete(key, revision).into_iter().collect(),
+                Write::Put { key, value, .. } => watch_cache.put(key, value.clone(), revision),
+                Write::Delete { key } => watch_cache.delete(key, revision).into_iter().collect(),
             };
             writes.iter().flat_map(note).collect()
         };
@@ -31,16 +31,16 @@
         if changes.is_empty() {
             return;
         }
-        if changes.contains(&Change::Lead) {
+        if changes.contains(&Change::Leader) {
             self.lead_changed.notify_one();
         }
-        if changes.contains(&Change::ReportsTurnedAway) {
-            *lock(&self.turned_away_elsewhere) = Some(Instant::now());
+        if changes.contains(&Change::HeartbeatsRejected) {
+            *lock(&self.heartbeat_rejected_elsewhere_at) = Some(Instant::now());
         }
         self.note_confirmations(changes);
-        let picture = lock(&self.picture);
+        let watch_cache = lock(&self.watch_cache);
         if let Some(leader) = lock(&self.term).as_mut().and_then(|t| t.leader.as_mut()) {
-            leader.on_changes(changes, &picture, Instant::now());
+            leader.on_changes(changes, &watch_cache, Instant::now());
             let confirmed_since = lock(&self.confirmed_since);
             for (id, at) in ended(changes).filter_map(|id| confirmed_since.get_key_value(id)) {
                 leader.confirmed_since(id, *at);
@@ -54,29 +54,29 @@
     /// it starts may be older than it is; it counts as told a quarter of the
     /// limit before.
     fn note_confirmations(&self, changes: &[Change]) {
-        let picture = lock(&self.picture);
+        let watch_cache = lock(&self.watch_cache);
         let mut confirmed_since = lock(&self.confirmed_since);
-        confirmed_since.retain(|id, _| picture.jobs.contains_key(id));
+        confirmed_since.retain(|id, _| watch_cache.jobs.contains_key(id));
         let unknown = Duration::from_secs_f64(self.settings.cluster.workers.cancel_s / 4.0);
         let before = self.started.checked_sub(unknown).unwrap_or(self.started);
         let known = self.cancellations_known_until().unwrap_or(before);
-        for id in ended(changes).filter(|id| picture.jobs.contains_key(*id)) {
+        for id in ended(changes).filter(|id| watch_cache.jobs.contains_key(*id)) {
             confirmed_since.entry(id.clone()).or_insert(known);
         }
     }
 
     fn take_events(&self, events: Events) {
-        let changes = lock(&self.picture).apply(events.events, events.revision);
+        let changes = lock(&self.watch_cache).apply(events.events, events.revision);
         self.dispatch(&changes);
     }
 
-    /// Waits until the picture has reached a revision read after this call.
+    /// Waits until the watch cache has reached a revision read after this call.
     /// All who wait share one read.
-    pub async fn fresh(&self) -> Result<(), Trouble> {
+    pub async fn fresh(&self) -> Result<(), Unavailable> {
         let (done, answer) = oneshot::channel();
         lock(&self.readers).push(done);
         self.read_wanted.notify_one();
-        answer.await.unwrap_or(Err(Trouble::State))
+        answer.await.unwrap_or(Err(Unavailable::State))
     }
 
     /// Notes how a reading went that was asked for at `asked`.
@@ -96,7 +96,7 @@
         let mut began = None;
         loop {
             self.requests.take(1.0).await;
-            let page = match self.state.list(PREFIX, &since).await {
+            let page = match self.state.list(KEY_PREFIX, &since).await {
                 Ok(page) => page,
                 Err(error) if began.is_none() => return Err(error),
                 Err(error) => {
@@ -111,7 +111,7 @@
                 since.clone_from(&last.key);
             }
             let more = page.more && !page.items.is_empty();
-            let (changes, others) = lock(&self.picture).note_ends(page.items);
+            let (changes, others) = lock(&self.watch_cache).note_ends(page.items);
             self.dispatch(&changes);
             items.extend(others);
             if !more {
@@ -120,8 +120,8 @@
         }
         let began = began.unwrap_or(0);
         self.requests.take(1.0).await;
-        let changed = self.state.follow(PREFIX, began, Duration::ZERO).await?;
-        let changes = lock(&self.picture).replace(items, began, changed);
+        let changed = self.state.follow(KEY_PREFIX, began, Duration::ZERO).await?;
+        let changes = lock(&self.watch_cache).replace(items, began, changed);
         self.dispatch(&changes);
         Ok(())
     }
@@ -134,8 +134,8 @@
     })
 }
 
-/// Keeps the picture warm.
-pub(super) async fn watch_duty(node: Arc<Node>) {
+/// Keeps the watch cache warm.
+pub(super) async fn run_watch(node: Arc<Node>) {
     let pause = node.settings.state_timeout() / 4;
     let wait = node.settings.worker_lease();
     // Changes that come close together are fetched together.
@@ -143,12 +143,12 @@
         2.0 / node.settings.share(node.settings.state_limits().requests_per_s, false),
     );
     loop {
-        while !lock(&node.picture).loaded {
+        while !lock(&node.watch_cache).loaded {
             let asked = Instant::now();
             match node.load().await {
                 Ok(()) => {
                     node.note_state(asked, true);
-                    info!(revision = lock(&node.picture).revision, "records loaded");
+                    info!(revision = lock(&node.watch_cache).revision, "records loaded");
                 }
                 Err(error) => {
                     node.note_state(asked, false);
@@ -158,15 +158,15 @@
             }
         }
         node.requests.take_leaving(1.0, Reserve::Half).await;
-        let revision = lock(&node.picture).revision;
+        let revision = lock(&node.watch_cache).revision;
         let asked = Instant::now();
-        match node.state.follow(PREFIX, revision, wait).await {
+        match node.state.follow(KEY_PREFIX, revision, wait).await {
             Ok(events) => {
                 node.take_events(events);
                 lock(&node.peers.known_cancellations).read(asked);
                 tokio::time::sleep(spacing.saturating_sub(asked.elapsed())).await;
             }
-            Err(StateError::TooOld) => lock(&node.picture).loaded = false,
+            Err(StateError::TooOld) => lock(&node.watch_cache).loaded = false,
             Err(error) => {
                 debug!(%error, "watch");
                 tokio::time::sleep(pause).await;
@@ -175,25 +175,25 @@
     }
 }
 
-/// Answers those who need a fresh picture, all who wait by one read. It also
+/// Answers those who need a fresh watch cache, all who wait by one read. It also
 /// reads by itself now and then, to know whether the service answers.
-pub(super) async fn read_duty(node: Arc<Node>) {
+pub(super) async fn run_reads(node: Arc<Node>) {
     let idle = node.settings.leader_lease() / 4;
     let spacing = Duration::from_secs_f64(
         1.0 / node.settings.share(node.settings.state_limits().requests_per_s, false),
     );
     loop {
         let _ = tokio::time::timeout(idle, node.read_wanted.notified()).await;
-        let loaded = lock(&node.picture).loaded;
+        let loaded = lock(&node.watch_cache).loaded;
         if loaded {
             node.requests.take_leaving(1.0, Reserve::Quarter).await;
         }
         // Whoever came while the budget was awaited shares the read.
         let waiting = std::mem::take(&mut *lock(&node.readers));
-        let revision = lock(&node.picture).revision;
+        let revision = lock(&node.watch_cache).revision;
         let result = if loaded {
             let asked = Instant::now();
-            let answer = node.state.follow(PREFIX, revision, Duration::ZERO).await;
+            let answer = node.state.follow(KEY_PREFIX, revision, Duration::ZERO).await;
             let ok = answer.is_ok();
             let result = match answer {
                 Ok(events) => {
@@ -201,16 +201,16 @@
                     Ok(())
                 }
                 Err(StateError::TooOld) => {
-                    lock(&node.picture).loaded = false;
-                    Err(Trouble::State)
+                    lock(&node.watch_cache).loaded = false;
+                    Err(Unavailable::State)
                 }
-                Err(_) => Err(Trouble::State),
+                Err(_) => Err(Unavailable::State),
             };
-            // Only once the picture holds what was read.
+            // Only once the watch cache holds what was read.
             node.note_state(asked, ok);
             result
         } else {
-            Err(Trouble::State)
+            Err(Unavailable::State)
         };
         for reader in waiting {
             let _ = reader.send(result);
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -3,14 +3,14 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use super::{Node, Trouble, UserReply};
+use super::{Node, Unavailable, UserReply};
 use crate::{
     protocol::{
         Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Shape, Write, is_job_id,
     },
     scheduler::{TeamUse, placement, team_room},
     state::{StateError, lock},
-    store::{self, End},
+    store::{self, JobEnd},
 };
 
 /// How often an acceptance is tried whose dependencies end meanwhile.
@@ -19,7 +19,7 @@
 const TOO_LONG: &str = "its description is too long to be stored";
 
 impl Node {
-    pub async fn submit(&self, body: &[u8]) -> Result<UserReply, Trouble> {
+    pub async fn submit(&self, body: &[u8]) -> Result<UserReply, Unavailable> {
         let asked = Instant::now();
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
@@ -37,7 +37,7 @@
                 None => return Ok(UserReply::Malformed(reason.to_string())),
             },
         };
-        let known = lock(&self.picture).status(&spec.id);
+        let known = lock(&self.watch_cache).status(&spec.id);
         match known {
             Some(status) if is_final(&status) => return Ok(UserReply::Known(status)),
             Some(_) => return self.status(&spec.id).await,
@@ -70,7 +70,7 @@
                     );
                     return self.accepted(&spec, all).await;
                 }
-                Err(StateError::Refused(_)) => return Err(Trouble::State),
+                Err(StateError::Refused(_)) => return Err(Unavailable::State),
                 Err(StateError::Rejected(_)) => {
                     let refusal = UserReply::Malformed(TOO_LONG.into());
                     return self.refuse(&spec.id, refusal).await;
@@ -84,38 +84,39 @@
                     // A conflict and not there: a dependency has ended meanwhile.
                     // Unsure, and not there: it may still appear; the retry tells.
                     if !matches!(error, StateError::Conflict(_)) {
-                        return Err(Trouble::State);
+                        return Err(Unavailable::State);
                     }
                 }
             }
         }
-        Err(Trouble::State)
+        Err(Unavailable::State)
     }
 
     /// Refuses a submission, unless the job was accepted elsewhere: then it
     /// must never be called impossible or malformed.
-    async fn refuse(&self, id: &str, refusal: UserReply) -> Result<UserReply, Trouble> {
+    async fn refuse(&self, id: &str, refusal: UserReply) -> Result<UserReply, Unavailable> {
         self.fresh().await?;
-        let known = lock(&self.picture).status(id);
+        let known = lock(&self.watch_cache).status(id);
         Ok(known.map_or(refusal, UserReply::Known))
     }
 
     /// Why a job can't depend on those that it names, if so. That one was never
     /// accepted is decided on a reading no older than the question.
-    async fn unusable_dependency(&self, spec: &JobSpec) -> Result<Option<UserReply>, Trouble> {
-        if lock(&self.picture).first_unknown(&spec.dependencies).is_some() {
+    async fn unusable_dependency(&self, spec: &JobSpec) -> Result<Option<UserReply>, Unavailable> {
+        if lock(&self.watch_cache).first_unknown(&spec.dependencies).is_some() {
             self.fresh().await?;
         }
-        let picture = lock(&self.picture);
-        if spec.dependencies.iter().any(|id| picture.unreadable.contains(id)) {
-            return Err(Trouble::Record);
+        let watch_cache = lock(&self.watch_cache);
+        if spec.dependencies.iter().any(|id| watch_cache.unreadable.contains(id)) {
+            return Err(Unavailable::Record);
         }
-        if let Some(id) = picture.first_unknown(&spec.dependencies) {
+        if let Some(id) = watch_cache.first_unknown(&spec.dependencies) {
             let reason = format!("Awaits names {id}, which was never accepted");
             return Ok(Some(UserReply::Impossible(reason)));
         }
-        let is_service =
-            |id: &&JobId| picture.jobs.get(*id).is_some_and(|job| job.spec.shape == Shape::Service);
+        let is_service = |id: &&JobId| {
+            watch_cache.jobs.get(*id).is_some_and(|job| job.spec.shape == Shape::Service)
+        };
         Ok(spec.dependencies.iter().find(is_service).map(|id| {
             UserReply::Malformed(format!("Awaits names {id}, a service, which is never done"))
         }))
@@ -128,8 +129,8 @@
             Condition { key: store::job_key(&spec.id), version: 0 },
             Condition { key: store::end_key(&spec.id), version: 0 },
         ];
-        let picture = lock(&self.picture);
-        let mut unfinished = spec.dependencies.iter().filter(|id| !picture.ends.contains(id));
+        let watch_cache = lock(&self.watch_cache);
+        let mut unfinished = spec.dependencies.iter().filter(|id| !watch_cache.ends.contains(id));
         let room = self.settings.state_limits().transaction_conditions() - conditions.len();
         let covered = unfinished.by_ref().take(room);
         conditions.extend(covered.map(|id| Condition { key: store::end_key(id), version: 0 }));
@@ -138,22 +139,22 @@
 
     /// Answers for a job that was accepted just now. It may be cancelled
     /// already, with one that it depends on.
-    async fn accepted(&self, spec: &JobSpec, covered: bool) -> Result<UserReply, Trouble> {
+    async fn accepted(&self, spec: &JobSpec, covered: bool) -> Result<UserReply, Unavailable> {
         if !covered {
             self.fresh().await?;
         }
-        let cancelled = lock(&self.picture).status(&spec.id).filter(is_final);
+        let cancelled = lock(&self.watch_cache).status(&spec.id).filter(is_final);
         let state = cancelled.map_or(JobState::Pending, |status| status.state);
         let id = spec.id.clone();
         Ok(UserReply::Created(JobStatus { id, state, done: 0, running: 0 }))
     }
 
     /// Why a job can never run, if so.
-    pub(super) fn impossible(&self, spec: &JobSpec) -> Result<Option<String>, Trouble> {
+    pub(super) fn impossible(&self, spec: &JobSpec) -> Result<Option<String>, Unavailable> {
         let Some(team) = self.settings.team(&spec.team) else {
             return Ok(Some("no such team".into()));
         };
-        let types = lock(&self.picture).types.clone().ok_or(Trouble::Types)?.1;
+        let types = lock(&self.watch_cache).types.clone().ok_or(Unavailable::Types)?.1;
         let zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
         if !types.iter().any(|t| placement::allows(spec, t, false) && zone(t)) {
             return Ok(Some("a task fits no allowed machine type".into()));
@@ -165,36 +166,36 @@
         Ok(None)
     }
 
-    /// A final state may come from the picture; anything else only from one
+    /// A final state may come from the watch cache; anything else only from one
     /// that reached a revision read after the question.
-    pub async fn status(&self, id: &str) -> Result<UserReply, Trouble> {
+    pub async fn status(&self, id: &str) -> Result<UserReply, Unavailable> {
         if !is_job_id(id) {
             return Ok(UserReply::Unknown);
         }
-        let known = lock(&self.picture).status(id);
+        let known = lock(&self.watch_cache).status(id);
         if let Some(status) = known.filter(is_final) {
             return Ok(UserReply::Known(status));
         }
         self.fresh().await?;
-        let picture = lock(&self.picture);
-        match picture.status(id) {
+        let watch_cache = lock(&self.watch_cache);
+        match watch_cache.status(id) {
             Some(status) => Ok(UserReply::Known(status)),
-            None if picture.unreadable.contains(id) => Err(Trouble::Record),
+            None if watch_cache.unreadable.contains(id) => Err(Unavailable::Record),
             None => Ok(UserReply::Unknown),
         }
     }
 
-    pub async fn cancel(&self, id: &str) -> Result<UserReply, Trouble> {
+    pub async fn cancel(&self, id: &str) -> Result<UserReply, Unavailable> {
         let status = match self.status(id).await? {
             UserReply::Known(status) if !is_final(&status) => status,
             reply => return Ok(reply),
         };
-        let Some(version) = lock(&self.picture).jobs.get(id).map(|j| j.version) else {
-            return Err(Trouble::State);
+        let Some(version) = lock(&self.watch_cache).jobs.get(id).map(|j| j.version) else {
+            return Err(Unavailable::State);
         };
         let key = store::end_key(id);
-        let end = End { state: JobState::Cancelled, done: status.done };
-        let Ok(value) = store::value(&end) else { return Err(Trouble::State) };
+        let end = JobEnd { state: JobState::Cancelled, done: status.done };
+        let Ok(value) = store::value(&end) else { return Err(Unavailable::State) };
         let conditions = vec![
             Condition { key: key.clone(), version: 0 },
             Condition { key: store::job_key(id), version },
@@ -204,14 +205,14 @@
             Ok(revision) => {
                 info!(job = id, "cancelled");
                 self.note_writes(&writes, revision);
-                let known = lock(&self.picture).status(id);
-                known.map(UserReply::Known).ok_or(Trouble::State)
+                let known = lock(&self.watch_cache).status(id);
+                known.map(UserReply::Known).ok_or(Unavailable::State)
             }
-            Err(StateError::Refused(_)) => Err(Trouble::State),
+            Err(StateError::Refused(_)) => Err(Unavailable::State),
             // It may have ended otherwise, or our write may still come.
             Err(_) => match self.status(id).await? {
                 UserReply::Known(status) if is_final(&status) => Ok(UserReply::Known(status)),
-                _ => Err(Trouble::State),
+                _ => Err(Unavailable::State),
             },
         }
     }
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -1,39 +1,39 @@
 //! Workers' reports: answered as the leader, or in its stead while nobody can
-//! lead, and the answers to direct orders.
+//! lead, and the answers to direct commands.
 
 use tokio::time::{Duration, Instant};
 use tracing::warn;
 
-use super::{Node, ReportReply, Term};
+use super::{HeartbeatReply, Node, Term};
 use crate::{
     controller::{DirectOutcome, DirectRequest},
     fleet::parse_task,
-    protocol::{JobState, Op, Order, Report, TaskReport, TaskState},
+    protocol::{CommandKind, JobState, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat},
     state::lock,
 };
 
-/// For so many report intervals a worker waits here for a leader. Its own
+/// For so many heartbeat intervals a worker waits here for a leader. Its own
 /// patience is longer.
 const SUCCESSOR_REPORTS: u32 = 2;
 
-/// It is looked for so many times in a report interval.
+/// It is looked for so many times in a heartbeat interval.
 const LOOKS_PER_REPORT: u32 = 16;
 
 impl Node {
-    /// Answers a report. A worker that lost its leader and comes while there is
+    /// Answers a heartbeat. A worker that lost its leader and comes while there is
     /// no other yet waits a while for one: sent on, it may come to a controller
     /// that is silent and wait there for a whole time-out, which with the first
     /// one is about all of its lease.
-    pub async fn answer_report(&self, report: &Report) -> ReportReply {
-        let until = Instant::now() + self.settings.report() * SUCCESSOR_REPORTS;
+    pub async fn answer_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
+        let until = Instant::now() + self.settings.heartbeat_interval() * SUCCESSOR_REPORTS;
         loop {
-            let reply = self.report(report);
-            let sent_on = reply == ReportReply::Elsewhere(None);
-            if !sent_on || !self.expects_successor(report) || Instant::now() >= until {
+            let reply = self.heartbeat(heartbeat);
+            let sent_on = reply == HeartbeatReply::Redirect(None);
+            if !sent_on || !self.expects_successor(heartbeat) || Instant::now() >= until {
                 return reply;
             }
-            while self.expects_successor(report) && Instant::now() < until {
-                tokio::time::sleep(self.settings.report() / LOOKS_PER_REPORT).await;
+            while self.expects_successor(heartbeat) && Instant::now() < until {
+                tokio::time::sleep(self.settings.heartbeat_interval() / LOOKS_PER_REPORT).await;
             }
         }
     }
@@ -41,44 +41,44 @@
     /// Whether there is no leader for this worker, but soon may be: nobody leads,
     /// or the leader says that it lost its workers. Not while the state service is
     /// away, for then nobody can be elected.
-    fn expects_successor(&self, report: &Report) -> bool {
+    fn expects_successor(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let leads = lock(&self.term).is_some();
-        let elected = lock(&self.picture).lead.is_some();
-        report.token > 0
+        let elected = lock(&self.watch_cache).lead.is_some();
+        heartbeat.token > 0
             && !leads
             && self.state_ok()
-            && (!elected || self.leader_for(report).is_none())
+            && (!elected || self.leader_for(heartbeat).is_none())
     }
 
-    pub fn report(&self, report: &Report) -> ReportReply {
-        let reply = self.report_as_leader(report);
+    pub fn heartbeat(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
+        let reply = self.heartbeat_as_leader(heartbeat);
         match reply {
             Some(reply) => reply,
             None => {
-                self.note_turned_away_report();
-                if let Some(reply) = self.renew_as_follower(report, Instant::now()) {
+                self.note_rejected_heartbeat();
+                if let Some(reply) = self.renew_as_follower(heartbeat, Instant::now()) {
                     return reply;
                 }
-                ReportReply::Elsewhere(self.leader_for(report))
+                HeartbeatReply::Redirect(self.leader_for(heartbeat))
             }
         }
     }
 
     /// The leader to which a worker is sent, if that is of use to it.
-    fn leader_for(&self, report: &Report) -> Option<String> {
-        let picture = lock(&self.picture);
-        let (_, lead) = picture.lead.as_ref()?;
+    fn leader_for(&self, heartbeat: &WorkerHeartbeat) -> Option<String> {
+        let watch_cache = lock(&self.watch_cache);
+        let (_, lead) = watch_cache.lead.as_ref()?;
         // A worker that has heard this leader and comes here could not reach it.
         // Sent back to one that says itself that it hears hardly any worker, it
         // would wait for a whole time-out there while its lease runs out. It
         // goes on to the next controller, and finds the successor.
-        let knows_leader = report.token >= lead.token;
+        let knows_leader = heartbeat.token >= lead.token;
         let lately = self.settings.leader_lease();
         let unreachable = knows_leader && self.peers.lost_workers(&lead.member, lately);
         (!unreachable && lead.member != self.settings.member).then(|| lead.member.clone())
     }
 
-    fn report_as_leader(&self, report: &Report) -> Option<ReportReply> {
+    fn heartbeat_as_leader(&self, heartbeat: &WorkerHeartbeat) -> Option<HeartbeatReply> {
         let now = Instant::now();
         let mut term = lock(&self.term);
         let held = term.as_mut()?;
@@ -94,7 +94,7 @@
             // with us would never learn of it. It is sent to look once in a
             // while; if nobody else leads, it is back well within its lease.
             let every = self.settings.worker_lease() / 2;
-            let probed = held.probed.entry(report.machine.clone()).or_insert(held.renewed);
+            let probed = held.probed.entry(heartbeat.machine.clone()).or_insert(held.renewed);
             if now.saturating_duration_since(*probed) > every {
                 *probed = now;
                 away = true;
@@ -109,23 +109,27 @@
         // All are sent away in one second, and a leader that seemed to have
         // lost them would give way, in an outage to nobody.
         let heard = if away {
-            leader.send_away(report, now).map(|()| ReportReply::Elsewhere(None))
+            leader.send_away(heartbeat, now).map(|()| HeartbeatReply::Redirect(None))
         } else {
-            let answered = leader.on_report(report, now);
-            let token = leader.token_for(&report.machine);
-            answered.map(|orders| ReportReply::Orders { token, orders })
+            let answered = leader.on_heartbeat(heartbeat, now);
+            let token = leader.token_for(&heartbeat.machine);
+            answered.map(|commands| HeartbeatReply::Commands { token, commands })
         };
         if leader.needs_tick() {
             self.work.notify_one();
         }
         Some(heard.unwrap_or_else(|_| {
-            self.depose(&mut term);
-            ReportReply::Elsewhere(None)
+            self.step_down(&mut term);
+            HeartbeatReply::Redirect(None)
         }))
     }
 
     /// Answers a worker while nobody can lead, see `lease_renewal.rs`.
-    fn renew_as_follower(&self, report: &Report, now: Instant) -> Option<ReportReply> {
+    fn renew_as_follower(
+        &self,
+        heartbeat: &WorkerHeartbeat,
+        now: Instant,
+    ) -> Option<HeartbeatReply> {
         let limit = self.settings.renewal_limit();
         let until = match lock(&self.peers.known_cancellations).last_read() {
             Some(at) => at + limit,
@@ -136,34 +140,34 @@
         let mut renewed_workers = lock(&self.renewed_workers);
         let may = !self.state_ok()
             && now < until
-            && report.token > 0
+            && heartbeat.token > 0
             && lock(&self.term).is_none()
-            && lock(&self.peers.promises).free(now);
+            && lock(&self.peers.abstentions).free(now);
         if !may {
             renewed_workers.clear();
             return None;
         }
         // A leader may be there that only this node can't hear, so workers
         // are sent to look for it once in a while.
-        let since = *renewed_workers.entry(report.machine.clone()).or_insert(now);
+        let since = *renewed_workers.entry(heartbeat.machine.clone()).or_insert(now);
         if now > since + self.settings.worker_lease() / 2 {
-            renewed_workers.remove(&report.machine);
+            renewed_workers.remove(&heartbeat.machine);
             return None;
         }
         // A job whose end is known is stopped: that is right under any token.
-        let picture = lock(&self.picture);
-        let ended = |t: &&TaskReport| {
-            let job = parse_task(&t.task).and_then(|(job, _)| picture.ends.get(&job));
+        let watch_cache = lock(&self.watch_cache);
+        let ended = |t: &&TaskStatus| {
+            let job = parse_task(&t.task).and_then(|(job, _)| watch_cache.ends.get(&job));
             t.state != TaskState::Exited && job.is_some_and(|e| e.state == JobState::Cancelled)
         };
-        let stop = |t: &TaskReport| Order {
-            op: Op::Stop,
+        let stop = |t: &TaskStatus| TaskCommand {
+            op: CommandKind::Stop,
             task: t.task.clone(),
             attempt: t.attempt,
             grace_s: Some(0.0),
         };
-        let orders = report.tasks.iter().filter(ended).map(stop).collect();
-        Some(ReportReply::Orders { token: report.token, orders })
+        let commands = heartbeat.tasks.iter().filter(ended).map(stop).collect();
+        Some(HeartbeatReply::Commands { token: heartbeat.token, commands })
     }
 
     /// Whether a leader may renew workers' leases: not if another controller
@@ -188,14 +192,14 @@
         lock(&self.peers.known_cancellations).of(members)
     }
 
-    fn depose(&self, term: &mut Option<Term>) {
+    fn step_down(&self, term: &mut Option<Term>) {
         if let Some(held) = term.take() {
             warn!(token = held.tokens.first(), "a worker has seen a higher token");
             self.lead_changed.notify_one();
         }
     }
 
-    /// Takes what became of direct orders.
+    /// Takes what became of direct commands.
     pub(super) fn take_direct(
         &self,
         version: u64,
@@ -206,7 +210,7 @@
         let leader = term.as_mut().filter(|t| t.version == version).and_then(|t| t.leader.as_mut());
         let result = leader.map(|l| l.on_direct(request, outcome, Instant::now()));
         if result.is_some_and(|r| r.is_err()) {
-            self.depose(&mut term);
+            self.step_down(&mut term);
         }
         self.work.notify_one();
     }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -29,9 +29,9 @@
 use tracing::warn;
 
 use crate::{
-    lease_renewal::{KnownCancellations, Promises},
+    lease_renewal::{KnownCancellations, RenewalAbstentions},
     node::Node,
-    protocol::{Features, Heartbeat, WorkerContact},
+    protocol::{ControllerHeartbeat, Features, WorkerContact},
     settings::Member,
     state::lock,
 };
@@ -39,7 +39,7 @@
 /// A heartbeat is a few dozen bytes, and some dozens more for each cancellation
 /// that it tells; a longer frame is not one of ours. Every version hears this
 /// much; what a controller hears beyond it, it says in its heartbeats.
-pub const LEAST_FRAME_LIMIT: usize = 64 * 1024;
+pub const MIN_FRAME_LIMIT: usize = 64 * 1024;
 
 /// No less than what a frame holds for one cancellation.
 const NOTICE_BYTES: usize = 56;
@@ -54,7 +54,7 @@
 
 /// The length of a frame that surely holds so many cancellations.
 pub fn frame_limit_for(cancellations: usize) -> usize {
-    (cancellations * NOTICE_BYTES + FRAME_BYTES).max(LEAST_FRAME_LIMIT)
+    (cancellations * NOTICE_BYTES + FRAME_BYTES).max(MIN_FRAME_LIMIT)
 }
 
 /// Links heard at once for each other controller. One is in use; after cuts and
@@ -82,7 +82,7 @@
 /// What one frame says.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    pub heartbeat: Heartbeat,
+    pub heartbeat: ControllerHeartbeat,
     /// What the sender's version can do; an older one says nothing of it.
     pub features: Features,
     /// The longest frame that the sender hears.
@@ -94,7 +94,7 @@
 impl Message {
     /// What this version says with a heartbeat. `frame_limit`: the longest frame
     /// that the sender hears.
-    pub fn new(heartbeat: Heartbeat, frame_limit: usize) -> Self {
+    pub fn new(heartbeat: ControllerHeartbeat, frame_limit: usize) -> Self {
         let worker_contact = WorkerContact::default();
         Self { heartbeat, features: OWN_FEATURES, frame_limit, worker_contact }
     }
@@ -108,7 +108,7 @@
     let mut sections = vec![(HEARTBEAT, bitcode::encode(&heartbeat))];
     sections.extend(told.map(|told| (CANCELLATIONS, bitcode::encode(&told))));
     sections.push((FEATURES, bitcode::encode(&features)));
-    if frame_limit > LEAST_FRAME_LIMIT {
+    if frame_limit > MIN_FRAME_LIMIT {
         sections.push((FRAME_LIMIT, bitcode::encode(&(frame_limit as u64))));
     }
     if worker_contact.lost {
@@ -122,7 +122,7 @@
 pub fn decode(frame: &[u8]) -> Option<Message> {
     let sections: Vec<(u8, Vec<u8>)> = bitcode::decode(frame).ok()?;
     let section = |kind: u8| sections.iter().find(|(k, _)| *k == kind).map(|(_, body)| body);
-    let mut heartbeat: Heartbeat = bitcode::decode(section(HEARTBEAT)?).ok()?;
+    let mut heartbeat: ControllerHeartbeat = bitcode::decode(section(HEARTBEAT)?).ok()?;
     heartbeat.cancellations = section(CANCELLATIONS).and_then(|body| bitcode::decode(body).ok());
     let features = section(FEATURES).and_then(|body| bitcode::decode(body).ok());
     let limit: Option<u64> = section(FRAME_LIMIT).and_then(|body| bitcode::decode(body).ok());
@@ -131,7 +131,7 @@
     Some(Message {
         heartbeat,
         features: features.unwrap_or_default(),
-        frame_limit: frame_limit.max(LEAST_FRAME_LIMIT),
+        frame_limit: frame_limit.max(MIN_FRAME_LIMIT),
         worker_contact: worker_contact.unwrap_or_default(),
     })
 }
@@ -142,8 +142,8 @@
 
 /// The latest heartbeat of each other controller.
 pub struct Peers {
-    heard: Mutex<HashMap<String, (Heartbeat, Instant)>>,
-    pub promises: Mutex<Promises>,
+    heard: Mutex<HashMap<String, (ControllerHeartbeat, Instant)>>,
+    pub abstentions: Mutex<RenewalAbstentions>,
     pub known_cancellations: Mutex<KnownCancellations>,
     /// Members that have said that they know small pages.
     know_small_pages: Mutex<HashSet<String>>,
@@ -161,11 +161,11 @@
 impl Peers {
     /// `members`: the other controllers. `promise`: for how long each leader's
     /// heartbeat keeps this one from answering workers.
-    pub fn new(members: Vec<String>, promise: Duration, incarnation: u64) -> Self {
-        let promises = Promises::new(members, incarnation, promise, Instant::now());
+    pub fn new(members: Vec<String>, abstention: Duration, incarnation: u64) -> Self {
+        let abstentions = RenewalAbstentions::new(members, incarnation, abstention, Instant::now());
         Self {
             heard: Mutex::default(),
-            promises: Mutex::new(promises),
+            abstentions: Mutex::new(abstentions),
             known_cancellations: Mutex::default(),
             know_small_pages: Mutex::default(),
             frame_limits: Mutex::default(),
@@ -175,16 +175,16 @@
         }
     }
 
-    /// Takes in a heartbeat. `revision`: what this node's picture, with what
+    /// Takes in a heartbeat. `revision`: what this node's watch cache, with what
     /// the heartbeat told, has reached.
-    pub fn note(&self, heartbeat: Heartbeat, revision: u64) {
+    pub fn note(&self, heartbeat: ControllerHeartbeat, revision: u64) {
         let now = Instant::now();
         let leads = heartbeat.leads.then_some(heartbeat.revision);
-        let sent = lock(&self.promises).heard_from(
+        let sent = lock(&self.abstentions).heard_from(
             &heartbeat.member,
-            heartbeat.mark,
+            heartbeat.id,
             leads,
-            heartbeat.echo,
+            heartbeat.acknowledged,
             now,
         );
         let all =
@@ -240,7 +240,7 @@
 
     /// The longest frame that a member surely hears.
     pub fn frame_limit(&self, member: &str) -> usize {
-        lock(&self.frame_limits).get(member).copied().unwrap_or(LEAST_FRAME_LIMIT)
+        lock(&self.frame_limits).get(member).copied().unwrap_or(MIN_FRAME_LIMIT)
     }
 
     /// Whether every one of these members knows small pages.
@@ -255,7 +255,7 @@
     }
 
     /// Whether another controller was heard lately and says so of itself.
-    pub fn any(&self, within: Duration, says: impl Fn(&Heartbeat) -> bool) -> bool {
+    pub fn any(&self, within: Duration, says: impl Fn(&ControllerHeartbeat) -> bool) -> bool {
         lock(&self.heard).values().any(|(heartbeat, at)| at.elapsed() < within && says(heartbeat))
     }
 }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
-use crate::{protocol::CancellationNotice, settings::LEAST_NOTICED_CANCELLATIONS};
+use crate::{protocol::CancellationNotice, settings::MIN_NOTICED_CANCELLATIONS};
 
-fn heartbeat() -> Heartbeat {
-    Heartbeat {
+fn heartbeat() -> ControllerHeartbeat {
+    ControllerHeartbeat {
         member: "m-1".into(),
-        mark: (7, 8),
-        echo: Some((5, 6)),
+        id: (7, 8),
+        acknowledged: Some((5, 6)),
         leads: false,
         token: 3,
         state_ok: true,
-        turned_reports_away: false,
+        rejected_heartbeats: false,
         revision: 40,
         cancellations: Some(CancellationNotice {
             since: 30,
@@ -25,24 +25,24 @@
 
 #[test]
 fn a_frame_is_read_as_it_was_written() {
-    let read = decode(&encode(Message::new(heartbeat(), LEAST_FRAME_LIMIT))).expect("a message");
-    assert_eq!(read, Message::new(heartbeat(), LEAST_FRAME_LIMIT));
+    let read = decode(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT))).expect("a message");
+    assert_eq!(read, Message::new(heartbeat(), MIN_FRAME_LIMIT));
 }
 
 #[test]
 fn sections_of_a_newer_version_are_passed_over() {
-    let mut frame = sections(&encode(Message::new(heartbeat(), LEAST_FRAME_LIMIT)));
+    let mut frame = sections(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT)));
     frame.insert(0, (9, vec![1, 2, 3]));
     let read = decode(&bitcode::encode(&frame)).expect("a message");
-    assert_eq!(read, Message::new(heartbeat(), LEAST_FRAME_LIMIT));
+    assert_eq!(read, Message::new(heartbeat(), MIN_FRAME_LIMIT));
 }
 
 #[test]
 fn what_cannot_be_read_counts_as_unsaid() {
-    let mut frame = sections(&encode(Message::new(heartbeat(), LEAST_FRAME_LIMIT)));
+    let mut frame = sections(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT)));
     frame[1].1 = vec![255; 3];
     let read = decode(&bitcode::encode(&frame)).expect("its heartbeat").heartbeat;
-    assert_eq!(read, Heartbeat { cancellations: None, ..heartbeat() });
+    assert_eq!(read, ControllerHeartbeat { cancellations: None, ..heartbeat() });
     frame.remove(0);
     assert_eq!(decode(&bitcode::encode(&frame)), None, "no heartbeat");
     assert_eq!(decode(b"not a frame"), None);
@@ -52,11 +52,11 @@
 #[test]
 fn the_most_that_is_told_fits_a_frame() {
     let longest = "j-99999999999999999999".to_owned();
-    for noticed in [LEAST_NOTICED_CANCELLATIONS, 4_400, 100_000] {
+    for noticed in [MIN_NOTICED_CANCELLATIONS, 4_400, 100_000] {
         let jobs = vec![(longest.clone(), u64::MAX, u32::MAX); noticed];
         let told = CancellationNotice { since: u64::MAX, all: false, jobs };
         let limit = frame_limit_for(noticed);
-        let heartbeat = Heartbeat { cancellations: Some(told), ..heartbeat() };
+        let heartbeat = ControllerHeartbeat { cancellations: Some(told), ..heartbeat() };
         let frame = encode(Message::new(heartbeat, limit));
         assert!(frame.len() < limit, "{} of {limit}", frame.len());
         assert!(noticed_cancellations_of(limit) >= noticed);
@@ -66,17 +66,17 @@
 #[test]
 fn a_member_is_told_no_more_than_it_said_that_it_hears() {
     let peers = Peers::new(Vec::new(), Duration::from_secs(3), 1);
-    assert_eq!(peers.frame_limit("m-1"), LEAST_FRAME_LIMIT, "it has not said anything");
+    assert_eq!(peers.frame_limit("m-1"), MIN_FRAME_LIMIT, "it has not said anything");
     let limit = frame_limit_for(4_400);
     let read = decode(&encode(Message::new(heartbeat(), limit))).expect("a message");
     assert_eq!(read.frame_limit, limit);
     peers.note_frame_limit("m-1", read.frame_limit);
     assert_eq!(peers.frame_limit("m-1"), limit);
     // It came back with other settings, or as an older version.
-    let read = decode(&encode(Message::new(heartbeat(), LEAST_FRAME_LIMIT))).expect("a message");
+    let read = decode(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT))).expect("a message");
     peers.note_frame_limit("m-1", read.frame_limit);
-    assert_eq!(peers.frame_limit("m-1"), LEAST_FRAME_LIMIT);
-    assert!(noticed_cancellations_of(LEAST_FRAME_LIMIT) >= LEAST_NOTICED_CANCELLATIONS);
+    assert_eq!(peers.frame_limit("m-1"), MIN_FRAME_LIMIT);
+    assert!(noticed_cancellations_of(MIN_FRAME_LIMIT) >= MIN_NOTICED_CANCELLATIONS);
 }
 
 /// Frames as the version before `Features` wrote them, byte for byte.
@@ -90,13 +90,13 @@
     let read = decode(&FRAME_OF_THE_VERSION_BEFORE).expect("a message");
     assert_eq!(
         read,
-        Message { features: Features::default(), ..Message::new(heartbeat(), LEAST_FRAME_LIMIT) }
+        Message { features: Features::default(), ..Message::new(heartbeat(), MIN_FRAME_LIMIT) }
     );
 }
 
 #[test]
 fn the_version_before_finds_its_own_sections_unchanged() {
-    let mut frame = sections(&encode(Message::new(heartbeat(), LEAST_FRAME_LIMIT)));
+    let mut frame = sections(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT)));
     frame.retain(|(kind, _)| *kind != FEATURES);
     assert_eq!(bitcode::encode(&frame), FRAME_OF_THE_VERSION_BEFORE);
 }
@@ -123,7 +123,7 @@
     for lost in [true, false] {
         let said = Message {
             worker_contact: WorkerContact { lost },
-            ..Message::new(heartbeat(), LEAST_FRAME_LIMIT)
+            ..Message::new(heartbeat(), MIN_FRAME_LIMIT)
         };
         let read = decode(&encode(said.clone())).expect("a message");
         assert_eq!(read, said);
@@ -134,7 +134,7 @@
 
 #[test]
 fn what_a_leader_says_of_its_workers_leaves_the_other_sections_as_they_are() {
-    let said = Message::new(heartbeat(), LEAST_FRAME_LIMIT);
+    let said = Message::new(heartbeat(), MIN_FRAME_LIMIT);
     let plain = sections(&encode(said.clone()));
     let lost = Message { worker_contact: WorkerContact { lost: true }, ..said };
     let mut with_it = sections(&encode(lost));
--- a/src/replica_jobs.rs
+++ b/src/replica_jobs.rs
@@ -36,9 +36,9 @@
 }
 
 impl HttpProbe {
-    /// A replica that takes longer than a report interval counts as not answering.
+    /// A replica that takes longer than a heartbeat interval counts as not answering.
     pub fn new(settings: &Settings) -> Self {
-        let within = settings.report();
+        let within = settings.heartbeat_interval();
         Self { client: HttpClient::new(IDLE_CONNECTIONS, within, within / 2), within }
     }
 }
@@ -116,7 +116,7 @@
     /// What the records and the replicas themselves say; the state service is not
     /// asked.
     pub async fn look(&self, job: &str, port: u16, health: &str) -> JobLook {
-        let state = lock(&self.node.picture).status(job).map(|status| status.state);
+        let state = lock(&self.node.watch_cache).status(job).map(|status| status.state);
         match state {
             Some(JobState::Done | JobState::Cancelled) => return JobLook::Gone,
             // The watch may not have brought it yet.
@@ -141,7 +141,7 @@
 
     /// The machines that hold the job's tasks, by the records.
     fn machines_of(&self, job: &str) -> Vec<MachineId> {
-        let mut machines = lock(&self.node.picture).machines_of(job);
+        let mut machines = lock(&self.node.watch_cache).machines_of(job);
         machines.sort_unstable();
         machines.dedup();
         machines
@@ -157,7 +157,7 @@
         let list = self.node.cloud.list(before).await.ok()?;
         let mut addresses = lock(&self.addresses);
         for listed in list.machines {
-            if let Ok(address) = listed.addr.parse() {
+            if let Ok(address) = listed.address.parse() {
                 addresses.insert(listed.id, address);
             }
         }
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::{
-    node::{Node, OwnedReply, Trouble},
+    node::{InternalJobReply, Node, Unavailable},
     replica_jobs::{JobLook, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
 };
 
@@ -87,14 +87,14 @@
     }
 }
 
-fn outcome(reply: Result<OwnedReply, Trouble>) -> Result<(), HostError> {
+fn outcome(reply: Result<InternalJobReply, Unavailable>) -> Result<(), HostError> {
     match reply {
-        Ok(OwnedReply::Done) => Ok(()),
+        Ok(InternalJobReply::Done) => Ok(()),
         // Named at random among as many as 16 digits hold: told, and turned back from.
-        Ok(OwnedReply::NameTaken) => Err(HostError::Rejected("its job's id is taken".into())),
-        Ok(OwnedReply::Stale) => Err(HostError::Stale),
-        Ok(OwnedReply::Impossible(reason)) => Err(HostError::Rejected(reason)),
-        Err(trouble) => Err(HostError::Unavailable(trouble.to_string())),
+        Ok(InternalJobReply::NameTaken) => Err(HostError::Rejected("its job's id is taken".into())),
+        Ok(InternalJobReply::Stale) => Err(HostError::Stale),
+        Ok(InternalJobReply::Impossible(reason)) => Err(HostError::Rejected(reason)),
+        Err(unavailable) => Err(HostError::Unavailable(unavailable.to_string())),
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -31,7 +31,7 @@
 
 /// What a heartbeat can tell at least, however slow the state service is:
 /// versions from before this was a ratio to the settings tell no more.
-pub const LEAST_NOTICED_CANCELLATIONS: usize = 1024;
+pub const MIN_NOTICED_CANCELLATIONS: usize = 1024;
 /// A leader that is refused alone misses what others confirm until its lease
 /// ends, and that as long again while the heartbeats catch up.
 const NOTICED_LEASES: f64 = 2.0;
@@ -299,7 +299,7 @@
         u8::try_from(at).ok()
     }
 
-    pub fn report(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.cluster.workers.report_s)
     }
 
@@ -318,7 +318,7 @@
     /// How long a heartbeat of a leader keeps another controller from answering
     /// workers. Heartbeats leave four times per leader lease, so one may be
     /// lost; and all of it, with a restart, must fit into a worker's lease.
-    pub fn renewal_promise(&self) -> Duration {
+    pub fn renewal_abstention(&self) -> Duration {
         self.leader_lease() * 3 / 4
     }
 
@@ -375,7 +375,7 @@
         // Which of both limits is in force isn't known.
         let rate = state.write_rps.max(state.next.write_rps.unwrap_or(0.0));
         let missed = rate * self.leader_lease().as_secs_f64() * NOTICED_LEASES;
-        (missed.round() as usize).max(LEAST_NOTICED_CANCELLATIONS)
+        (missed.round() as usize).max(MIN_NOTICED_CANCELLATIONS)
     }
 
     /// The longest frame that another controller may send to this one.
@@ -384,7 +384,7 @@
     }
 
     /// Connections that may wait to be accepted. After a change of leader all
-    /// workers may come within one report interval, and a connection that finds
+    /// workers may come within one heartbeat interval, and a connection that finds
     /// no room tries again only a second later.
     pub fn listen_backlog(&self) -> u32 {
         let sockets = u32::try_from(self.public_sockets()).unwrap_or(u32::MAX);
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -185,8 +185,8 @@
     let settings =
         |from: &str, to: &str| Settings::parse("f", &GOOD.replacen(from, to, 1)).expect("valid");
     let usual = settings("", "");
-    assert_eq!(usual.noticed_cancellations(), LEAST_NOTICED_CANCELLATIONS);
-    assert_eq!(usual.frame_limit(), crate::peers::LEAST_FRAME_LIMIT);
+    assert_eq!(usual.noticed_cancellations(), MIN_NOTICED_CANCELLATIONS);
+    assert_eq!(usual.frame_limit(), crate::peers::MIN_FRAME_LIMIT);
     assert_eq!(usual.listen_backlog(), LEAST_BACKLOG);
     let fast = settings("write_rps = 60.0", "write_rps = 600.0");
     // Two leader leases of 11 / 3 s, which others may use for cancellations alone.
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -11,7 +11,7 @@
 /// A connection that idles between reports, and what the leader knows of its
 /// machine and its tasks.
 const MEMORY_MB_PER_MACHINE: f64 = 0.02;
-/// The least share of a core that was seen to serve a report a second from each
+/// The least share of a core that was seen to serve a heartbeat a second from each
 /// machine (docs/operations.md, "The least machine").
 const CORE_SHARE_PER_REPORT: f64 = 0.012 / 155.0;
 /// Machines that one page of the cloud's list holds.
