--- a/src/store.rs
+++ b/src/store.rs
@@ -1,4 +1,4 @@
-//! The durable records and the picture of them that every node keeps warm.
+//! The durable records and the watch cache of them that every node keeps warm.
 //!
 //! All records share one prefix, so one watch gives one total order:
 //!
@@ -33,11 +33,11 @@
 pub use ended_jobs::EndedJobs;
 pub use recent_cancellations::RecentCancellations;
 
-pub const PREFIX: &str = "sw/";
-pub const LEAD: &str = "sw/lead";
-pub const TOKEN: &str = "sw/token";
-pub const TYPES: &str = "sw/types";
-pub const REPORTS_TURNED_AWAY: &str = "sw/stray";
+pub const KEY_PREFIX: &str = "sw/";
+pub const LEADER_KEY: &str = "sw/lead";
+pub const TOKEN_KEY: &str = "sw/token";
+pub const MACHINE_TYPES_KEY: &str = "sw/types";
+pub const REJECTED_HEARTBEATS_KEY: &str = "sw/stray";
 const ENDS: &str = "sw/e/";
 
 pub fn job_key(id: &str) -> String {
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct LeaderRecord {
     pub member: String,
     /// Drawn at each start, so that a node knows its former self from itself.
     pub incarnation: u64,
@@ -74,8 +74,8 @@
     pub task: u32,
     pub attempt: u64,
     pub machine: MachineId,
-    /// The machine's session in which it was bound.
-    pub session: u64,
+    /// The machine's incarnation in which it was bound.
+    pub incarnation: u64,
     /// The zone's place in the settings.
     pub zone: u8,
 }
@@ -83,14 +83,14 @@
 type BoundTaskFields = (u32, u64, MachineId, u64, u8);
 
 impl From<BoundTaskFields> for BoundTask {
-    fn from((task, attempt, machine, session, zone): BoundTaskFields) -> Self {
-        Self { task, attempt, machine, session, zone }
+    fn from((task, attempt, machine, incarnation, zone): BoundTaskFields) -> Self {
+        Self { task, attempt, machine, incarnation, zone }
     }
 }
 
 impl From<BoundTask> for BoundTaskFields {
     fn from(bound: BoundTask) -> Self {
-        (bound.task, bound.attempt, bound.machine, bound.session, bound.zone)
+        (bound.task, bound.attempt, bound.machine, bound.incarnation, bound.zone)
     }
 }
 
@@ -122,14 +122,14 @@
 
 /// How a job ended. The first record wins and is kept for ever.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct End {
+pub struct JobEnd {
     #[serde(rename = "s")]
     pub state: JobState,
     #[serde(rename = "d")]
     pub done: u32,
 }
 
-impl End {
+impl JobEnd {
     /// What the end means to jobs that depend on the one that ended.
     /// None for a state that is not final: its dependants go on waiting.
     pub fn outcome(&self) -> Option<Outcome> {
@@ -144,8 +144,8 @@
 fn changes_of(effects: Effects) -> impl Iterator<Item = Change> {
     let cancelled = effects.cancelled.into_iter().map(Change::Ended);
     let ready = effects.ready.into_iter().map(Change::Ready);
-    let reranked = effects.reranked.into_iter().map(Change::Reranked);
-    cancelled.chain(ready).chain(reranked)
+    let priority_changed = effects.priority_changed.into_iter().map(Change::PriorityChanged);
+    cancelled.chain(ready).chain(priority_changed)
 }
 
 #[derive(Clone, Debug)]
@@ -176,7 +176,7 @@
     pub spec: Arc<JobSpec>,
 }
 
-/// What a change to the picture means to a leader.
+/// What a change to the watch cache means to a leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     Arrived(JobId),
@@ -185,17 +185,17 @@
     /// The job ended, or is cancelled with one that it depends on.
     Ended(JobId),
     /// The job's effective priority changed.
-    Reranked(JobId),
-    Lead,
-    ReportsTurnedAway,
+    PriorityChanged(JobId),
+    Leader,
+    HeartbeatsRejected,
 }
 
-/// The replicated picture, as of `revision`.
+/// The replicated watch cache, as of `revision`.
 #[derive(Default)]
-pub struct Picture {
+pub struct WatchCache {
     pub revision: u64,
     pub loaded: bool,
-    pub lead: Option<(u64, Lead)>,
+    pub lead: Option<(u64, LeaderRecord)>,
     pub token: (u64, u64),
     pub types: Option<(u64, Arc<Vec<MachineType>>)>,
     pub jobs: HashMap<JobId, JobEntry>,
@@ -210,10 +210,10 @@
     pub cancelled: RecentCancellations,
 }
 
-impl Picture {
-    /// An empty picture, for heartbeats that tell up to so many cancellations.
-    pub fn noticing(cancellations: usize) -> Self {
-        Self { cancelled: RecentCancellations::noticing(cancellations), ..Self::default() }
+impl WatchCache {
+    /// An empty watch cache, for heartbeats that tell up to so many cancellations.
+    pub fn with_notice_limit(cancellations: usize) -> Self {
+        Self { cancelled: RecentCancellations::with_notice_limit(cancellations), ..Self::default() }
     }
 
     /// Jobs that were cancelled after `revision`, the first `most` of them, and
@@ -240,13 +240,13 @@
     /// A reading takes several requests, and records change meanwhile, so what
     /// `items` hold is of no single revision: a job's record and its end may both
     /// be missing. `since` is what changed after the reading began, in order; with
-    /// it the picture is that of one revision.
+    /// it the watch cache is that of one revision.
     pub fn replace(&mut self, items: Vec<Item>, began: u64, since: Events) -> Vec<Change> {
         let mut old = std::mem::take(self);
         // An end is final: none is ever read again as something else.
         self.ends = std::mem::take(&mut old.ends);
         self.cancelled = std::mem::take(&mut old.cancelled);
-        let mut changes = vec![Change::Lead];
+        let mut changes = vec![Change::Leader];
         for item in items {
             changes.extend(self.put(&item.key, item.value, item.version));
         }
@@ -269,7 +269,7 @@
     /// may have told users: the reading may be older. An accepted job must not
     /// look ended because of that, nor a cancelled one unknown.
     fn keep_later(&mut self, old: &Self, revision: u64) {
-        // Those who follow the picture heard of all this when it was noted.
+        // Those who follow the watch cache heard of all this when it was noted.
         for job in old.jobs.values().filter(|job| job.version > revision) {
             let _ = self.note_job(job.clone());
         }
@@ -305,7 +305,7 @@
         changes
     }
 
-    fn note_end(&mut self, id: JobId, end: End) -> Vec<Change> {
+    fn note_end(&mut self, id: JobId, end: JobEnd) -> Vec<Change> {
         if self.ends.contains(&id) {
             return Vec::new();
         }
@@ -348,28 +348,28 @@
                 .ok()
         }
         match key {
-            LEAD => {
+            LEADER_KEY => {
                 if self.lead.as_ref().is_some_and(|(v, _)| *v >= version) {
                     return None;
                 }
                 self.lead = read(key, &raw).map(|lead| (version, lead));
-                Some(vec![Change::Lead])
+                Some(vec![Change::Leader])
             }
-            TOKEN => {
+            TOKEN_KEY => {
                 if version > self.token.0 {
                     self.token = (version, read(key, &raw)?);
                 }
                 None
             }
-            REPORTS_TURNED_AWAY => Some(vec![Change::ReportsTurnedAway]),
-            TYPES => {
+            REJECTED_HEARTBEATS_KEY => Some(vec![Change::HeartbeatsRejected]),
+            MACHINE_TYPES_KEY => {
                 if self.types.as_ref().is_none_or(|(v, _)| *v < version) {
                     self.types = Some((version, Arc::new(read(key, &raw)?)));
                 }
                 None
             }
             _ => {
-                let (kind, name) = key.strip_prefix(PREFIX)?.split_once('/')?;
+                let (kind, name) = key.strip_prefix(KEY_PREFIX)?.split_once('/')?;
                 match kind {
                     "j" if is_job_id(name) => {
                         if self.jobs.contains_key(name) {
@@ -386,7 +386,7 @@
                             return None;
                         }
                         let id: JobId = name.into();
-                        let end: End = read(key, &raw)?;
+                        let end: JobEnd = read(key, &raw)?;
                         if end.state == JobState::Cancelled {
                             self.cancelled.insert(version, id.clone());
                         }
@@ -408,15 +408,15 @@
     }
 
     pub fn delete(&mut self, key: &str, version: u64) -> Option<Change> {
-        if key == LEAD {
+        if key == LEADER_KEY {
             // Our own taking of the key may have been noted before the watch
             // brings the end of the former one.
             if self.lead.as_ref().is_some_and(|(v, _)| *v < version) {
                 self.lead = None;
             }
-            return Some(Change::Lead);
+            return Some(Change::Leader);
         }
-        let (kind, name) = key.strip_prefix(PREFIX)?.split_once('/')?;
+        let (kind, name) = key.strip_prefix(KEY_PREFIX)?.split_once('/')?;
         match kind {
             "j" if self.jobs.get(name).is_some_and(|j| j.version < version) => {
                 self.jobs.remove(name);
@@ -447,7 +447,7 @@
         read.flat_map(|page| page.bound).map(|bound| bound.machine).collect()
     }
 
-    /// The first of these jobs that this picture doesn't know as accepted.
+    /// The first of these jobs that this watch cache doesn't know as accepted.
     pub fn first_unknown<'a>(&self, jobs: &'a [JobId]) -> Option<&'a JobId> {
         let known = |id: &JobId| {
             self.jobs.contains_key(id) || self.ends.contains(id) || self.unreadable.contains(id)
@@ -455,7 +455,7 @@
         jobs.iter().find(|id| !known(id))
     }
 
-    /// A job's state as this picture has it, or none for one never accepted.
+    /// A job's state as this watch cache has it, or none for one never accepted.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
         let ended = |state, done| JobStatus { id: id.into(), state, done, running: 0 };
         if let Some(end) = self.ends.get(id) {
--- a/src/store/ended_jobs.rs
+++ b/src/store/ended_jobs.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::End;
+use super::JobEnd;
 use crate::protocol::{JobId, JobState};
 
 /// Ids with more digits are held as they are.
@@ -38,7 +38,7 @@
 const STATE_SHIFT: u32 = 30;
 
 impl PackedEnd {
-    fn of(end: End) -> Option<Self> {
+    fn of(end: JobEnd) -> Option<Self> {
         let state = match end.state {
             JobState::Pending => 0,
             JobState::Running => 1,
@@ -48,14 +48,14 @@
         (end.done >> STATE_SHIFT == 0).then_some(Self(state << STATE_SHIFT | end.done))
     }
 
-    fn end(self) -> End {
+    fn end(self) -> JobEnd {
         let state = match self.0 >> STATE_SHIFT {
             0 => JobState::Pending,
             1 => JobState::Running,
             2 => JobState::Done,
             _ => JobState::Cancelled,
         };
-        End { state, done: self.0 & ((1 << STATE_SHIFT) - 1) }
+        JobEnd { state, done: self.0 & ((1 << STATE_SHIFT) - 1) }
     }
 }
 
@@ -64,11 +64,11 @@
 pub struct EndedJobs {
     packed: BTreeMap<PackedId, PackedEnd>,
     /// What can't be packed.
-    others: HashMap<JobId, End>,
+    others: HashMap<JobId, JobEnd>,
 }
 
 impl EndedJobs {
-    pub fn insert(&mut self, id: &str, end: End) {
+    pub fn insert(&mut self, id: &str, end: JobEnd) {
         if self.contains(id) {
             return;
         }
@@ -82,7 +82,7 @@
         }
     }
 
-    pub fn get(&self, id: &str) -> Option<End> {
+    pub fn get(&self, id: &str) -> Option<JobEnd> {
         let packed = PackedId::of(id).and_then(|id| self.packed.get(&id));
         packed.map(|end| end.end()).or_else(|| self.others.get(id).copied())
     }
--- a/src/store/recent_cancellations.rs
+++ b/src/store/recent_cancellations.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{protocol::JobId, settings::LEAST_NOTICED_CANCELLATIONS};
+use crate::{protocol::JobId, settings::MIN_NOTICED_CANCELLATIONS};
 
 /// Cancellations that are held for each one that a heartbeat carries.
 const HELD_PARTS: usize = 4;
@@ -21,13 +21,13 @@
 
 impl Default for RecentCancellations {
     fn default() -> Self {
-        Self::noticing(LEAST_NOTICED_CANCELLATIONS)
+        Self::with_notice_limit(MIN_NOTICED_CANCELLATIONS)
     }
 }
 
 impl RecentCancellations {
     /// Holds what heartbeats need that carry up to `noticed` cancellations.
-    pub fn noticing(noticed: usize) -> Self {
+    pub fn with_notice_limit(noticed: usize) -> Self {
         Self { held: BTreeSet::new(), most: noticed * HELD_PARTS, dropped: 0 }
     }
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -19,34 +19,34 @@
 #[test]
 fn a_reading_that_began_before_keeps_what_was_noted_since() {
     // What this node committed while the records were read again was told.
-    let mut picture = Picture::default();
-    picture.replace(Vec::new(), 10, nothing_since(10));
-    picture.put("sw/j/j-000001", raw(SPEC), 21);
-    picture.put("sw/e/j-000002", raw(CANCELLED), 22);
-    picture.put("sw/p/j-000001/0", raw(r#"{"a":1}"#), 23);
-    picture.put(TOKEN, raw("4"), 24);
-    let changes = picture.replace(Vec::new(), 20, nothing_since(20));
-    assert_eq!(changes, [Change::Lead], "the accepted job did not end");
-    assert!(picture.jobs.contains_key("j-000001"));
-    assert_eq!(picture.status("j-000002").map(|s| s.state), Some(JobState::Cancelled));
-    assert_eq!(picture.pages["j-000001"][&0].version, 23);
-    assert_eq!(picture.token, (24, 4));
-    assert!(picture.cancelled_since(20, 9).0.iter().any(|(id, ..)| id == "j-000002"));
+    let mut watch_cache = WatchCache::default();
+    watch_cache.replace(Vec::new(), 10, nothing_since(10));
+    watch_cache.put("sw/j/j-000001", raw(SPEC), 21);
+    watch_cache.put("sw/e/j-000002", raw(CANCELLED), 22);
+    watch_cache.put("sw/p/j-000001/0", raw(r#"{"a":1}"#), 23);
+    watch_cache.put(TOKEN_KEY, raw("4"), 24);
+    let changes = watch_cache.replace(Vec::new(), 20, nothing_since(20));
+    assert_eq!(changes, [Change::Leader], "the accepted job did not end");
+    assert!(watch_cache.jobs.contains_key("j-000001"));
+    assert_eq!(watch_cache.status("j-000002").map(|s| s.state), Some(JobState::Cancelled));
+    assert_eq!(watch_cache.pages["j-000001"][&0].version, 23);
+    assert_eq!(watch_cache.token, (24, 4));
+    assert!(watch_cache.cancelled_since(20, 9).0.iter().any(|(id, ..)| id == "j-000002"));
     // A later reading that lacks them shows that they are gone.
-    let changes = picture.replace(Vec::new(), 30, nothing_since(30));
+    let changes = watch_cache.replace(Vec::new(), 30, nothing_since(30));
     assert!(changes.contains(&Change::Ended("j-000001".into())));
-    assert!(picture.pages.is_empty());
+    assert!(watch_cache.pages.is_empty());
 }
 
 #[test]
 fn cancellations_beyond_a_revision_are_told_oldest_first() {
-    let mut picture = Picture::default();
+    let mut watch_cache = WatchCache::default();
     for (id, at) in [("j-000003", 30), ("j-000001", 10), ("j-000002", 20)] {
-        picture.put(&end_key(id), raw(CANCELLED), at);
+        watch_cache.put(&end_key(id), raw(CANCELLED), at);
     }
-    picture.put("sw/e/j-000004", raw(r#"{"s":"done","d":2}"#), 25);
+    watch_cache.put("sw/e/j-000004", raw(r#"{"s":"done","d":2}"#), 25);
     let ids = |since, most| {
-        let (jobs, all) = picture.cancelled_since(since, most);
+        let (jobs, all) = watch_cache.cancelled_since(since, most);
         (jobs.into_iter().map(|(id, ..)| id).collect::<Vec<_>>(), all)
     };
     assert_eq!(ids(10, 9), (vec!["j-000002".into(), "j-000003".into()], true));
@@ -57,11 +57,11 @@
 
 #[test]
 fn the_first_end_that_was_seen_stays() {
-    let mut picture = Picture::default();
-    let changes = picture.put("sw/e/j-000001", raw(r#"{"s":"done","d":2}"#), 5);
+    let mut watch_cache = WatchCache::default();
+    let changes = watch_cache.put("sw/e/j-000001", raw(r#"{"s":"done","d":2}"#), 5);
     assert_eq!(changes, [Change::Ended("j-000001".into())]);
-    assert!(picture.put("sw/e/j-000001", raw(CANCELLED), 6).is_empty());
-    assert_eq!(picture.status("j-000001").map(|s| s.state), Some(JobState::Done));
+    assert!(watch_cache.put("sw/e/j-000001", raw(CANCELLED), 6).is_empty());
+    assert_eq!(watch_cache.status("j-000001").map(|s| s.state), Some(JobState::Done));
 }
 
 /// A history of jobs that depend on each other, their pages and their ends, as
@@ -183,16 +183,16 @@
         Events { revision: to, events: self.changes.iter().filter(within).cloned().collect() }
     }
 
-    /// What a picture concludes of each job.
-    fn conclusions(&self, picture: &Picture) -> Vec<String> {
+    /// What a watch cache concludes of each job.
+    fn conclusions(&self, watch_cache: &WatchCache) -> Vec<String> {
         let of_job = |number: &u32| {
             let id = Self::id(*number);
-            let graph = &picture.dependencies;
-            let unfinished = !picture.ends.contains(id.as_str());
+            let graph = &watch_cache.dependencies;
+            let unfinished = !watch_cache.ends.contains(id.as_str());
             let live = unfinished.then(|| {
                 (graph.waits(&id), graph.is_cancelled(&id), graph.effective_priority(&id))
             });
-            format!("{id}: {:?}, {live:?}", picture.status(&id))
+            format!("{id}: {:?}, {live:?}", watch_cache.status(&id))
         };
         self.jobs.iter().map(of_job).collect()
     }
@@ -206,27 +206,27 @@
 }
 
 impl Follower {
-    fn follow(&mut self, changes: &[Change], picture: &Picture) {
+    fn follow(&mut self, changes: &[Change], watch_cache: &WatchCache) {
         for change in changes {
             match change {
-                Change::Arrived(id) | Change::Ready(id) | Change::Reranked(id) => {
-                    let known = self.waits.insert(id.clone(), picture.dependencies.waits(id));
+                Change::Arrived(id) | Change::Ready(id) | Change::PriorityChanged(id) => {
+                    let known = self.waits.insert(id.clone(), watch_cache.dependencies.waits(id));
                     if known.is_some() {
                         continue;
                     }
-                    if picture.ends.contains(id) || picture.dependencies.is_cancelled(id) {
+                    if watch_cache.ends.contains(id) || watch_cache.dependencies.is_cancelled(id) {
                         self.ended.insert(id.clone());
                     }
                 }
                 Change::Ended(id) => {
                     self.ended.insert(id.clone());
                 }
-                Change::Lead | Change::ReportsTurnedAway => {}
+                Change::Leader | Change::HeartbeatsRejected => {}
             }
         }
-        for id in picture.jobs.keys() {
-            let graph = &picture.dependencies;
-            let ended = picture.ends.contains(id) || graph.is_cancelled(id);
+        for id in watch_cache.jobs.keys() {
+            let graph = &watch_cache.dependencies;
+            let ended = watch_cache.ends.contains(id) || graph.is_cancelled(id);
             assert_eq!(self.ended.contains(id), ended, "{id} ended");
             assert!(ended || self.waits[id] == graph.waits(id), "{id} waits");
         }
@@ -234,10 +234,10 @@
 }
 
 #[test]
-fn a_picture_read_again_concludes_what_a_watched_one_does() {
+fn a_watch_cache_read_again_concludes_what_a_watched_one_does() {
     for seed in 0..200 {
         let mut history = History::new(seed);
-        let (mut watched, mut read) = (Picture::default(), Picture::default());
+        let (mut watched, mut read) = (WatchCache::default(), WatchCache::default());
         let mut follower = Follower::default();
         let mut at = 0;
         for _ in 0..25 {
@@ -286,7 +286,7 @@
 
 #[test]
 fn ended_jobs_are_told_apart_by_their_ids() {
-    let end = |state, done| End { state, done };
+    let end = |state, done| JobEnd { state, done };
     let done = end(JobState::Done, 100_000);
     let cancelled = end(JobState::Cancelled, 0);
     let mut ends = EndedJobs::default();
@@ -306,39 +306,39 @@
 
 #[test]
 fn a_notice_of_cancellations_says_so_when_older_ones_are_no_longer_held() {
-    let mut picture = Picture::default();
+    let mut watch_cache = WatchCache::default();
     let many = 5000;
     for revision in 1..=many {
-        picture.put(&end_key(&format!("j-{revision:06}")), raw(CANCELLED), revision);
+        watch_cache.put(&end_key(&format!("j-{revision:06}")), raw(CANCELLED), revision);
     }
-    let (jobs, all) = picture.cancelled_since(many - 3, 9);
+    let (jobs, all) = watch_cache.cancelled_since(many - 3, 9);
     let latest = [many - 2, many - 1, many].map(|n| (format!("j-{n:06}"), n, 1));
     assert_eq!((jobs.as_slice(), all), (latest.as_slice(), true));
-    let (jobs, all) = picture.cancelled_since(10, usize::MAX);
+    let (jobs, all) = watch_cache.cancelled_since(10, usize::MAX);
     assert!(!all, "what was cancelled right after revision 10 is not among them");
-    assert!(jobs.len() >= crate::settings::LEAST_NOTICED_CANCELLATIONS);
+    assert!(jobs.len() >= crate::settings::MIN_NOTICED_CANCELLATIONS);
     // Read once more, in the order of keys.
-    let mut read = Picture::default();
+    let mut read = WatchCache::default();
     for revision in (1..=many).rev() {
         read.put(&end_key(&format!("j-{revision:06}")), raw(CANCELLED), revision);
     }
-    assert_eq!(read.cancelled_since(10, usize::MAX), picture.cancelled_since(10, usize::MAX));
+    assert_eq!(read.cancelled_since(10, usize::MAX), watch_cache.cancelled_since(10, usize::MAX));
 }
 
 #[test]
 fn an_end_read_before_its_job_is_told_once_the_job_is_known() {
     // A leader or whoever counts the time since a confirmation would else never
     // hear of it.
-    let mut picture = Picture::default();
+    let mut watch_cache = WatchCache::default();
     let item = |key: String, value, version| Item { key, value: raw(value), version };
     let part = vec![
         item(end_key("j-000001"), CANCELLED, 7),
         item(job_key("j-000001"), SPEC, 5),
         item(page_key("j-000001", 0), r#"{"a":1}"#, 6),
     ];
-    let (changes, others) = picture.note_ends(part);
+    let (changes, others) = watch_cache.note_ends(part);
     assert_eq!(changes, [Change::Ended("j-000001".into())]);
     assert_eq!(others.len(), 2);
-    let changes = picture.replace(others, 8, nothing_since(8));
+    let changes = watch_cache.replace(others, 8, nothing_since(8));
     assert!(changes.contains(&Change::Ended("j-000001".into())), "{changes:?}");
 }
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     http::client::{CallError, HttpClient},
-    protocol::{DirectOrders, Report},
+    protocol::{DirectCommands, WorkerHeartbeat},
     settings::Settings,
 };
 
@@ -15,11 +15,14 @@
 /// them, or after refusing them; without an answer they may still be carried
 /// out for as long as token and session match.
 pub trait WorkerApi: Send + Sync {
-    fn command(&self, addr: &str, orders: DirectOrders)
-    -> BoxFuture<'_, Result<Report, CallError>>;
+    fn command(
+        &self,
+        address: &str,
+        commands: DirectCommands,
+    ) -> BoxFuture<'_, Result<WorkerHeartbeat, CallError>>;
 }
 
-/// Each call takes a socket; the leader composes no more orders than there are
+/// Each call takes a socket; the leader composes no more commands than there are
 /// sockets for them (`controller/direct_orders.rs`), so none waits here.
 pub struct HttpWorkers {
     client: HttpClient,
@@ -28,7 +31,7 @@
 
 impl HttpWorkers {
     pub fn new(settings: &Settings) -> Self {
-        let timeout = settings.report();
+        let timeout = settings.heartbeat_interval();
         // Orders to one machine mostly come alone, so nothing is kept open
         // for longer than a call may last.
         // A connection is given up before the call is, so that it is known then
@@ -41,15 +44,15 @@
 impl WorkerApi for HttpWorkers {
     fn command(
         &self,
-        addr: &str,
-        orders: DirectOrders,
-    ) -> BoxFuture<'_, Result<Report, CallError>> {
-        let addr = addr.parse::<SocketAddr>();
+        address: &str,
+        commands: DirectCommands,
+    ) -> BoxFuture<'_, Result<WorkerHeartbeat, CallError>> {
+        let address = address.parse::<SocketAddr>();
         Box::pin(async move {
-            let addr = addr.map_err(|e| CallError::Malformed(e.to_string()))?;
-            let body = Some(&orders);
+            let address = address.map_err(|e| CallError::Malformed(e.to_string()))?;
+            let body = Some(&commands);
             let answer =
-                self.client.call(Method::POST, addr, "/commands", body, self.timeout).await?;
+                self.client.call(Method::POST, address, "/commands", body, self.timeout).await?;
             match answer.status {
                 StatusCode::OK | StatusCode::CONFLICT => answer.parse(),
                 other => Err(CallError::Malformed(format!("status {other}"))),
--- a/tests/common/invariants.rs
+++ b/tests/common/invariants.rs
@@ -15,7 +15,7 @@
 struct Start {
     attempt: u64,
     machine: MachineId,
-    session: u64,
+    incarnation: u64,
 }
 
 /// Holds every start against the records.
@@ -32,8 +32,8 @@
     }
 
     /// Notes that a worker starts a task.
-    pub fn placed(&mut self, task: &str, attempt: u64, machine: &MachineId, session: u64) {
-        let start = Start { attempt, machine: machine.clone(), session };
+    pub fn placed(&mut self, task: &str, attempt: u64, machine: &MachineId, incarnation: u64) {
+        let start = Start { attempt, machine: machine.clone(), incarnation };
         self.latest.insert(task.into(), start);
         self.machines.entry(task.into()).or_default().insert(machine.clone());
     }
@@ -44,7 +44,7 @@
     }
 
     /// What the start that was noted last breaks: the records must bind exactly
-    /// this attempt to this machine and session. A task that starts without
+    /// this attempt to this machine and incarnation. A task that starts without
     /// that is one that no scheduler accounts for: its place may be given to
     /// others, its job be over, and its exit mean nothing.
     pub fn start(&self, spec: &JobSpec, task: &str) -> Option<String> {
@@ -57,7 +57,7 @@
                 b.task == number
                     && b.attempt == start.attempt
                     && b.machine == start.machine
-                    && b.session == start.session
+                    && b.incarnation == start.incarnation
             })
         });
         let ended = self.records.value(&store::end_key(&spec.id));
--- a/tests/common/duty.rs
+++ b/tests/common/leader_harness.rs
@@ -1,4 +1,4 @@
-//! The leader's duty alone, with its records and the workers' reports played by
+//! The leader's duty alone, with its records and the workers' heartbeats played by
 //! hand: no network in between.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -7,58 +7,60 @@
 use stonewheel::{
     controller::{Commit, Leader},
     fencing::TermTokens,
-    protocol::{Cause, JobSpec, Op, Order, Report, TaskReport, TaskState, Write},
+    protocol::{
+        CommandKind, ExitCause, JobSpec, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat, Write,
+    },
     settings::{Objective, Settings},
-    store::{self, Change, Page, Picture},
+    store::{self, Change, Page, WatchCache},
 };
 use tokio::time::Instant;
 
 use super::{job, machine_type, settings};
 
-pub struct Duty {
+pub struct LeaderHarness {
     pub settings: Settings,
-    pub picture: Picture,
+    pub watch_cache: WatchCache,
     pub leader: Leader,
     pub revision: u64,
     pub now: Instant,
     /// Since when surely no other controller answers workers.
     pub alone: Option<Instant>,
-    pub seqs: BTreeMap<String, u64>,
+    pub sequences: BTreeMap<String, u64>,
 }
 
-impl Duty {
+impl LeaderHarness {
     pub fn new(token: u64) -> Self {
         Self::with(settings("m-0"), TermTokens::only(token))
     }
 
     pub fn with(mut settings: Settings, tokens: TermTokens) -> Self {
-        let mut picture = Picture { loaded: true, ..Picture::default() };
-        picture.types = Some((1, Arc::new(vec![machine_type()])));
+        let mut watch_cache = WatchCache { loaded: true, ..WatchCache::default() };
+        watch_cache.types = Some((1, Arc::new(vec![machine_type()])));
         // Returning idle machines is no part of these stories.
         settings.operator.idle_boots = 1e3;
-        Self::over(settings, picture, tokens)
+        Self::over(settings, watch_cache, tokens)
     }
 
-    pub fn over(settings: Settings, picture: Picture, tokens: TermTokens) -> Self {
+    pub fn over(settings: Settings, watch_cache: WatchCache, tokens: TermTokens) -> Self {
         let now = Instant::now();
-        let leader = Leader::new(Arc::new(settings.clone()), 1, tokens, &picture, now);
+        let leader = Leader::new(Arc::new(settings.clone()), 1, tokens, &watch_cache, now);
         Self {
             settings,
-            picture,
+            watch_cache,
             leader,
             revision: 100,
             now,
             alone: Some(now),
-            seqs: BTreeMap::new(),
+            sequences: BTreeMap::new(),
         }
     }
 
     /// The next leader, over the records that this one left.
     pub fn succeed(self, token: u64) -> Self {
         Self {
-            seqs: self.seqs,
+            sequences: self.sequences,
             revision: self.revision,
-            ..Self::over(self.settings, self.picture, TermTokens::only(token))
+            ..Self::over(self.settings, self.watch_cache, TermTokens::only(token))
         }
     }
 
@@ -71,25 +73,25 @@
             within_s: Some(within_s),
         });
         self.leader =
-            Leader::new(Arc::new(settings), 1, TermTokens::only(5), &self.picture, self.now);
+            Leader::new(Arc::new(settings), 1, TermTokens::only(5), &self.watch_cache, self.now);
     }
 
     pub fn submit(&mut self, id: &str, changes: serde_json::Value) {
         let spec = JobSpec::parse(&job(id, changes)).expect("valid");
         self.revision += 1;
         let value = store::value(&spec).expect("json");
-        let changes = self.picture.put(&store::job_key(id), value, self.revision);
+        let changes = self.watch_cache.put(&store::job_key(id), value, self.revision);
         assert_eq!(changes.first(), Some(&Change::Arrived(id.into())));
-        self.leader.on_changes(&changes, &self.picture, self.now);
+        self.leader.on_changes(&changes, &self.watch_cache, self.now);
     }
 
     pub fn cancel(&mut self, id: &str) {
         self.revision += 1;
         let end = json!({"s": "aborted", "d": 0});
         let value = store::value(&end).expect("json");
-        let changes = self.picture.put(&store::end_key(id), value, self.revision);
+        let changes = self.watch_cache.put(&store::end_key(id), value, self.revision);
         assert_eq!(changes.first(), Some(&Change::Ended(id.into())));
-        self.leader.on_changes(&changes, &self.picture, self.now);
+        self.leader.on_changes(&changes, &self.watch_cache, self.now);
     }
 
     pub fn pass(&mut self, seconds: f64) {
@@ -98,7 +100,7 @@
     }
 
     pub fn commits(&mut self) -> Vec<Commit> {
-        self.leader.take_commits(&self.picture, usize::MAX)
+        self.leader.take_commits(&self.watch_cache, usize::MAX)
     }
 
     pub fn commit(&mut self, commits: Vec<Commit>) {
@@ -107,14 +109,14 @@
             for write in &commit.writes {
                 match write {
                     Write::Put { key, value, .. } => {
-                        self.picture.put(key, value.clone(), self.revision);
+                        self.watch_cache.put(key, value.clone(), self.revision);
                     }
                     Write::Delete { key } => {
-                        self.picture.delete(key, self.revision);
+                        self.watch_cache.delete(key, self.revision);
                     }
                 }
             }
-            self.leader.committed(&commit.kind, &self.picture, self.now);
+            self.leader.committed(&commit.kind, &self.watch_cache, self.now);
         }
     }
 
@@ -130,35 +132,40 @@
     pub fn report_at(
         &mut self,
         machine: &str,
-        seq: u64,
-        session: u64,
-        tasks: &[TaskReport],
-    ) -> Vec<Order> {
-        self.report_showing(self.leader.token_for(machine), machine, seq, session, tasks)
+        sequence: u64,
+        incarnation: u64,
+        tasks: &[TaskStatus],
+    ) -> Vec<TaskCommand> {
+        self.report_showing(self.leader.token_for(machine), machine, sequence, incarnation, tasks)
     }
 
-    /// A report of a worker whose highest token is `token`.
+    /// A heartbeat of a worker whose highest token is `token`.
     pub fn report_showing(
         &mut self,
         token: u64,
         machine: &str,
-        seq: u64,
-        session: u64,
-        tasks: &[TaskReport],
-    ) -> Vec<Order> {
-        let report = report_of(machine, session, seq, token, tasks);
-        self.leader.on_report(&report, self.now).expect("no higher token")
+        sequence: u64,
+        incarnation: u64,
+        tasks: &[TaskStatus],
+    ) -> Vec<TaskCommand> {
+        let heartbeat = report_of(machine, incarnation, sequence, token, tasks);
+        self.leader.on_heartbeat(&heartbeat, self.now).expect("no higher token")
     }
 
-    pub fn report(&mut self, machine: &str, session: u64, tasks: &[TaskReport]) -> Vec<Order> {
-        let seq = self.seqs.entry(machine.into()).or_default();
-        *seq += 1;
-        let seq = *seq;
-        self.report_at(machine, seq, session, tasks)
+    pub fn heartbeat(
+        &mut self,
+        machine: &str,
+        incarnation: u64,
+        tasks: &[TaskStatus],
+    ) -> Vec<TaskCommand> {
+        let sequence = self.sequences.entry(machine.into()).or_default();
+        *sequence += 1;
+        let sequence = *sequence;
+        self.report_at(machine, sequence, incarnation, tasks)
     }
 
     pub fn page(&self, id: &str) -> Page {
-        self.picture
+        self.watch_cache
             .pages
             .get(id)
             .and_then(|p| p.get(&0))
@@ -176,38 +183,42 @@
 /// is the second one.
 pub fn report_of(
     machine: &str,
-    session: u64,
-    seq: u64,
+    incarnation: u64,
+    sequence: u64,
     token: u64,
-    tasks: &[TaskReport],
-) -> Report {
+    tasks: &[TaskStatus],
+) -> WorkerHeartbeat {
     let zone = if machine.starts_with("b-") { "b" } else { "a" };
-    Report {
+    WorkerHeartbeat {
         machine: machine.into(),
-        addr: machine.into(),
+        address: machine.into(),
         machine_type: "g8".into(),
         zone: zone.into(),
         spot: false,
-        session,
-        seq,
+        incarnation,
+        sequence,
         token,
         notice_s: None,
         tasks: tasks.to_vec(),
     }
 }
 
-pub fn running(order: &Order) -> TaskReport {
-    exited_with(order, TaskState::Running, None)
+pub fn running(command: &TaskCommand) -> TaskStatus {
+    exited_with(command, TaskState::Running, None)
 }
 
-pub fn exited(order: &Order, cause: Cause) -> TaskReport {
-    exited_with(order, TaskState::Exited, Some(cause))
+pub fn exited(command: &TaskCommand, cause: ExitCause) -> TaskStatus {
+    exited_with(command, TaskState::Exited, Some(cause))
 }
 
-pub fn exited_with(order: &Order, state: TaskState, cause: Option<Cause>) -> TaskReport {
-    TaskReport { task: order.task.clone(), attempt: order.attempt, state, cause, saved: None }
+pub fn exited_with(
+    command: &TaskCommand,
+    state: TaskState,
+    cause: Option<ExitCause>,
+) -> TaskStatus {
+    TaskStatus { task: command.task.clone(), attempt: command.attempt, state, cause, saved: None }
 }
 
-pub fn ops(orders: &[Order], op: Op) -> Vec<&Order> {
-    orders.iter().filter(|o| o.op == op).collect()
+pub fn ops(commands: &[TaskCommand], op: CommandKind) -> Vec<&TaskCommand> {
+    commands.iter().filter(|o| o.op == op).collect()
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,19 +8,20 @@
     time::Duration,
 };
 
-pub mod duty;
 pub mod invariants;
+pub mod leader_harness;
 
 use futures_util::future::BoxFuture;
 use serde_json::json;
 use stonewheel::{
     cloud::{CloudApi, CloudError},
     http::client::CallError,
-    node::{Node, ReportReply, Trouble, UserReply},
+    node::{HeartbeatReply, Node, Unavailable, UserReply},
     peers,
     protocol::{
-        Cause, DirectOrders, Features, JobSpec, JobState, ListedMachine, MachineId, MachineList,
-        MachineState, MachineType, Op, Order, Rental, Report, TaskReport, TaskState,
+        CommandKind, DirectCommands, ExitCause, Features, JobSpec, JobState, ListedMachine,
+        MachineId, MachineList, MachineState, MachineType, ProvisionRequest, TaskCommand,
+        TaskState, TaskStatus, WorkerHeartbeat,
     },
     settings::{Member, NextStateLimits, Settings},
     store,
@@ -36,7 +37,7 @@
 use tokio_util::sync::CancellationToken;
 
 use invariants::Checker;
-pub use stonewheel_standins::{LateCommands, MemState};
+pub use stonewheel_testing::{LateCommands, MemState};
 
 pub const SETTINGS: &str = r#"
 member = "m-0"
@@ -151,7 +152,7 @@
 }
 
 /// The state that a user was told, if any.
-pub fn state(reply: &Result<UserReply, Trouble>) -> Option<JobState> {
+pub fn state(reply: &Result<UserReply, Unavailable>) -> Option<JobState> {
     match reply {
         Ok(UserReply::Known(status) | UserReply::Created(status)) => Some(status.state),
         _ => None,
@@ -171,40 +172,40 @@
 /// `lease_s` of the settings.
 const WORKER_LEASE: Duration = Duration::from_secs(11);
 
-/// How long a worker waits for the answer to a report.
+/// How long a worker waits for the answer to a heartbeat.
 const REPORT_PATIENCE: Duration = Duration::from_secs(4);
 
-/// Where late orders come from: no cut of a controller holds them back.
+/// Where late commands come from: no cut of a controller holds them back.
 const LATE: usize = usize::MAX;
 
 #[derive(Clone, Debug)]
 struct OnMachine {
     attempt: u64,
     state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<ExitCause>,
     since: Instant,
 }
 
 struct Worker {
     zone: Arc<str>,
     spot: bool,
-    session: u64,
-    seq: u64,
+    incarnation: u64,
+    sequence: u64,
     token: u64,
     /// When the last answered report was sent.
     leased: Instant,
     tasks: BTreeMap<String, OnMachine>,
     /// The nodes that it can't reach.
     cut_from: BTreeSet<usize>,
-    /// Answers to its reports are lost.
+    /// Answers to its heartbeats are lost.
     deaf: bool,
-    /// Its reports reach nobody, but direct orders reach it.
+    /// Its reports reach nobody, but direct commands reach it.
     mute: bool,
-    /// It stands still; direct orders wait until it goes on.
+    /// It stands still; direct commands wait until it goes on.
     hung: bool,
-    waiting: Vec<DirectOrders>,
+    waiting: Vec<DirectCommands>,
     fails: bool,
-    last: Option<Report>,
+    last: Option<WorkerHeartbeat>,
 }
 
 #[derive(Default)]
@@ -233,7 +234,7 @@
     store: MemState,
     /// How long a task runs; services never end.
     run: HashMap<String, Duration>,
-    /// Which direct orders come late.
+    /// Which direct commands come late.
     late_commands: Option<LateCommands>,
     /// Until when these nodes stand still.
     frozen: HashMap<usize, Instant>,
@@ -280,7 +281,7 @@
         Box::pin(async { Ok(vec![machine_type()]) })
     }
 
-    fn rent(&self, rental: Rental) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
+    fn rent(&self, rental: ProvisionRequest) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
         Box::pin(async move {
             sleep(Duration::from_millis(100)).await;
             let mut site = lock(&self.site);
@@ -326,7 +327,7 @@
                     machine_type: "g8".into(),
                     zone: w.zone.clone(),
                     spot: w.spot,
-                    addr: address_of(id).to_string(),
+                    address: address_of(id).to_string(),
                     state: MachineState::Running,
                     age_s: 0.0,
                 })
@@ -460,7 +461,7 @@
     }
 
     /// What a user hears, held against what any user heard before.
-    fn hear(&self, id: &str, reply: &Result<UserReply, Trouble>) {
+    fn hear(&self, id: &str, reply: &Result<UserReply, Unavailable>) {
         let mut site = lock(&self.site);
         let heard = match reply {
             Ok(UserReply::Known(status) | UserReply::Created(status)) => Some(status.state),
@@ -486,13 +487,13 @@
         }
     }
 
-    pub async fn ask(&self, node: usize, id: &str) -> Result<UserReply, Trouble> {
+    pub async fn ask(&self, node: usize, id: &str) -> Result<UserReply, Unavailable> {
         let reply = self.node(node).status(id).await;
         self.hear(id, &reply);
         reply
     }
 
-    pub async fn cancel(&self, node: usize, id: &str) -> Result<UserReply, Trouble> {
+    pub async fn cancel(&self, node: usize, id: &str) -> Result<UserReply, Unavailable> {
         let reply = self.node(node).cancel(id).await;
         self.hear(id, &reply);
         reply
@@ -503,7 +504,7 @@
         node: usize,
         id: &str,
         changes: serde_json::Value,
-    ) -> Result<UserReply, Trouble> {
+    ) -> Result<UserReply, Unavailable> {
         let reply = self.node(node).submit(&job(id, changes)).await;
         self.hear(id, &reply);
         reply
@@ -539,7 +540,7 @@
             })
             .collect();
         let node = Node::new(settings, state, cloud, workers, seed);
-        node.spawn_duties(&stop).close();
+        node.spawn_background_tasks(&stop).close();
         lock(&self.site).nodes[at] = Some((node, stop));
     }
 
@@ -701,20 +702,20 @@
         let worker = site.workers.get_mut(machine).expect("known machine");
         worker.hung = hung;
         if !hung {
-            worker.end_overdue_session();
+            worker.end_overdue_incarnation();
             let waiting = std::mem::take(&mut worker.waiting);
-            for orders in waiting {
-                site.obey(&machine.into(), orders);
+            for commands in waiting {
+                site.obey(&machine.into(), commands);
             }
         }
     }
 
-    pub fn session(&self, machine: &str) -> u64 {
-        lock(&self.site).workers.get(machine).map_or(0, |w| w.session)
+    pub fn incarnation(&self, machine: &str) -> u64 {
+        lock(&self.site).workers.get(machine).map_or(0, |w| w.incarnation)
     }
 
     /// The last report that a machine sent.
-    pub fn last_report(&self, machine: &str) -> Report {
+    pub fn last_report(&self, machine: &str) -> WorkerHeartbeat {
         lock(&self.site).workers[machine].last.clone().expect("a report")
     }
 
@@ -727,7 +728,7 @@
         lock(&self.site).workers.get_mut(machine).expect("known machine").fails = true;
     }
 
-    /// From now on these of the direct orders come late.
+    /// From now on these of the direct commands come late.
     pub fn set_late_commands(&self, late: Option<LateCommands>) {
         lock(&self.site).late_commands = late;
     }
@@ -773,7 +774,7 @@
         });
     }
 
-    /// Answers and orders to these machines are lost for a while.
+    /// Answers and commands to these machines are lost for a while.
     pub fn deafen_for(&self, machines: &[MachineId], seconds: f64) {
         let set = |world: &World, machines: &[MachineId], deaf: bool| {
             let mut site = lock(&world.site);
@@ -792,7 +793,7 @@
     }
 
     /// The last report of each machine, as a network may hold them back.
-    pub fn last_reports(&self) -> Vec<Report> {
+    pub fn last_reports(&self) -> Vec<WorkerHeartbeat> {
         lock(&self.site).workers.values().filter_map(|w| w.last.clone()).collect()
     }
 
@@ -808,8 +809,8 @@
             let worker = Worker {
                 zone,
                 spot,
-                session: 1,
-                seq: 0,
+                incarnation: 1,
+                sequence: 0,
                 token: 0,
                 leased: Instant::now(),
                 tasks: BTreeMap::new(),
@@ -826,14 +827,14 @@
         });
     }
 
-    /// A worker's life: reports, lease, orders.
+    /// A worker's life: reports, lease, commands.
     async fn work(&self, name: &MachineId) {
         let mut at = 0;
         loop {
             sleep(Duration::from_millis(950)).await;
             let sent = Instant::now();
-            let Some((report, cut, deaf, mute)) = self.next_report(name) else { return };
-            let Some(report) = report else { continue };
+            let Some((heartbeat, cut, deaf, mute)) = self.next_report(name) else { return };
+            let Some(heartbeat) = heartbeat else { continue };
             let node = lock(&self.site).nodes[at].as_ref().map(|(n, _)| n.clone());
             let lost = mute || cut.contains(&at);
             if cut.contains(&at) && lock(&self.site).cuts_hang {
@@ -845,27 +846,27 @@
                     // It is read when the node goes on; by then nobody waits.
                     tokio::spawn(async move {
                         tokio::time::sleep_until(until).await;
-                        node.report(&report);
+                        node.heartbeat(&heartbeat);
                     });
                     sleep(REPORT_PATIENCE).await;
                 } else {
-                    reply = Some(node.answer_report(&report).await);
+                    reply = Some(node.answer_heartbeat(&heartbeat).await);
                 }
             }
             match reply.filter(|_| !deaf) {
-                Some(ReportReply::Orders { token, orders }) => {
-                    self.learn(&orders);
+                Some(HeartbeatReply::Commands { token, commands }) => {
+                    self.learn(&commands);
                     let mut site = lock(&self.site);
                     let Some(worker) = site.workers.get_mut(name) else { return };
                     if token < worker.token {
                         continue;
                     }
                     (worker.token, worker.leased) = (token, sent);
-                    for order in orders {
-                        site.carry_out(name, order);
+                    for command in commands {
+                        site.carry_out(name, command);
                     }
                 }
-                Some(ReportReply::Elsewhere(to)) => {
+                Some(HeartbeatReply::Redirect(to)) => {
                     let known = to.and_then(|m| m.strip_prefix("m-")?.parse::<usize>().ok());
                     at = known.filter(|to| *to != at).unwrap_or((at + 1) % 3);
                 }
@@ -878,9 +879,9 @@
     }
 
     /// Notes the jobs of tasks that are to start, as users described them.
-    fn learn(&self, orders: &[Order]) {
-        for order in orders.iter().filter(|o| o.op == Op::Start) {
-            let id = order.task.split('/').next().unwrap_or_default();
+    fn learn(&self, commands: &[TaskCommand]) {
+        for command in commands.iter().filter(|o| o.op == CommandKind::Start) {
+            let id = command.task.split('/').next().unwrap_or_default();
             if lock(&self.site).specs.contains_key(id) {
                 continue;
             }
@@ -894,7 +895,7 @@
     fn next_report(
         &self,
         name: &MachineId,
-    ) -> Option<(Option<Report>, BTreeSet<usize>, bool, bool)> {
+    ) -> Option<(Option<WorkerHeartbeat>, BTreeSet<usize>, bool, bool)> {
         let mut site = lock(&self.site);
         let Site { workers, run, .. } = &mut *site;
         let now = Instant::now();
@@ -903,39 +904,39 @@
         if worker.hung {
             return Some((None, cut, deaf, mute));
         }
-        worker.end_overdue_session();
+        worker.end_overdue_incarnation();
         for (task, on) in &mut worker.tasks {
             let job = task.split('/').next().unwrap_or_default();
             let age = now - on.since;
             if on.state == TaskState::Running && worker.fails {
-                (on.state, on.cause) = (TaskState::Exited, Some(Cause::Error));
+                (on.state, on.cause) = (TaskState::Exited, Some(ExitCause::Error));
             } else if on.state == TaskState::Running
                 && run.get(task).or(run.get(job)).is_some_and(|r| age >= *r)
             {
-                (on.state, on.cause) = (TaskState::Exited, Some(Cause::Done));
+                (on.state, on.cause) = (TaskState::Exited, Some(ExitCause::Done));
             }
         }
-        let report = worker.report(name);
-        worker.last = Some(report.clone());
-        Some((Some(report), cut, deaf, mute))
+        let heartbeat = worker.heartbeat(name);
+        worker.last = Some(heartbeat.clone());
+        Some((Some(heartbeat), cut, deaf, mute))
     }
 }
 
 impl Worker {
-    fn end_overdue_session(&mut self) {
+    fn end_overdue_incarnation(&mut self) {
         if self.leased.elapsed() > WORKER_LEASE {
             self.tasks.clear();
-            self.session += 1;
+            self.incarnation += 1;
             self.leased = Instant::now();
         }
     }
 
-    fn report(&mut self, name: &MachineId) -> Report {
-        self.seq += 1;
+    fn heartbeat(&mut self, name: &MachineId) -> WorkerHeartbeat {
+        self.sequence += 1;
         let tasks = self
             .tasks
             .iter()
-            .map(|(task, on)| TaskReport {
+            .map(|(task, on)| TaskStatus {
                 task: task.clone(),
                 attempt: on.attempt,
                 state: on.state,
@@ -943,14 +944,14 @@
                 saved: None,
             })
             .collect();
-        Report {
+        WorkerHeartbeat {
             machine: name.clone(),
-            addr: name.to_string(),
+            address: name.to_string(),
             machine_type: "g8".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks,
@@ -969,34 +970,34 @@
 impl WorkerApi for MemWorkers {
     fn command(
         &self,
-        addr: &str,
-        orders: DirectOrders,
-    ) -> BoxFuture<'_, Result<Report, CallError>> {
-        let name = machine_at(addr);
+        address: &str,
+        commands: DirectCommands,
+    ) -> BoxFuture<'_, Result<WorkerHeartbeat, CallError>> {
+        let name = machine_at(address);
         Box::pin(async move {
             let _socket = self.sockets.acquire().await;
             sleep(LATENCY).await;
             if let Some(until) = self.world.frozen_until(self.at) {
                 tokio::time::sleep_until(until).await;
             }
-            self.world.learn(&orders.orders);
+            self.world.learn(&commands.commands);
             let late = lock(&self.world.site).late_commands.as_mut().and_then(LateCommands::draw);
             if let Some(delay) = late {
                 let world = self.world.clone();
                 tokio::spawn(async move {
                     sleep(delay).await;
                     let mut site = lock(&world.site);
-                    let _ = site.command(&name, LATE, orders);
+                    let _ = site.command(&name, LATE, commands);
                 });
                 sleep(Duration::from_secs(1)).await;
                 return Err(CallError::Timeout);
             }
             let answer = {
                 let mut site = lock(&self.world.site);
-                site.command(&name, self.at, orders)
+                site.command(&name, self.at, commands)
             };
-            if let Some(report) = answer {
-                return Ok(report);
+            if let Some(heartbeat) = answer {
+                return Ok(heartbeat);
             }
             sleep(Duration::from_secs(1)).await;
             Err(CallError::Timeout)
@@ -1005,31 +1006,36 @@
 }
 
 impl Site {
-    /// Direct orders from node `from`: the worker's report, or silence.
-    fn command(&mut self, name: &MachineId, from: usize, orders: DirectOrders) -> Option<Report> {
+    /// Direct commands from node `from`: the worker's heartbeat, or silence.
+    fn command(
+        &mut self,
+        name: &MachineId,
+        from: usize,
+        commands: DirectCommands,
+    ) -> Option<WorkerHeartbeat> {
         let worker = self.workers.get_mut(name)?;
         if worker.hung {
-            worker.waiting.push(orders);
+            worker.waiting.push(commands);
             return None;
         }
         if worker.deaf || worker.cut_from.contains(&from) {
             return None;
         }
-        self.obey(name, orders)
+        self.obey(name, commands)
     }
 
-    /// Direct orders are carried out whenever token and session match.
-    fn obey(&mut self, name: &MachineId, orders: DirectOrders) -> Option<Report> {
+    /// Direct commands are carried out whenever token and incarnation match.
+    fn obey(&mut self, name: &MachineId, commands: DirectCommands) -> Option<WorkerHeartbeat> {
         let worker = self.workers.get(name)?;
-        let carried = orders.token >= worker.token && orders.session == worker.session;
+        let carried = commands.token >= worker.token && commands.incarnation == worker.incarnation;
         if carried {
-            for order in orders.orders {
-                self.carry_out(name, order);
+            for command in commands.commands {
+                self.carry_out(name, command);
             }
         }
         let worker = self.workers.get_mut(name)?;
-        worker.token = worker.token.max(orders.token);
-        Some(worker.report(name))
+        worker.token = worker.token.max(commands.token);
+        Some(worker.heartbeat(name))
     }
 
     /// Whether a task that just started keeps its job's and its team's bounds.
@@ -1094,47 +1100,47 @@
         found
     }
 
-    fn carry_out(&mut self, name: &MachineId, order: Order) {
-        // A worker gives up its session by itself, also while it stands still: it
+    fn carry_out(&mut self, name: &MachineId, command: TaskCommand) {
+        // A worker gives up its incarnation by itself, also while it stands still: it
         // may go on within its lease only.
         let running = |id: &MachineId| {
             let worker = self.workers.get(id).filter(|w| w.leased.elapsed() <= WORKER_LEASE);
-            let on = worker.and_then(|w| w.tasks.get(&order.task));
+            let on = worker.and_then(|w| w.tasks.get(&command.task));
             on.is_some_and(|on| on.state != TaskState::Exited)
         };
-        let elsewhere = order.op == Op::Start
-            && self.checker.machines_of(&order.task).any(|id| id != name && running(id));
+        let elsewhere = command.op == CommandKind::Start
+            && self.checker.machines_of(&command.task).any(|id| id != name && running(id));
         let Some(worker) = self.workers.get_mut(name) else { return };
-        match order.op {
-            Op::Start => {
-                if worker.tasks.get(&order.task).is_some_and(|o| o.attempt >= order.attempt) {
+        match command.op {
+            CommandKind::Start => {
+                if worker.tasks.get(&command.task).is_some_and(|o| o.attempt >= command.attempt) {
                     return;
                 }
-                let session = worker.session;
+                let incarnation = worker.incarnation;
                 if elsewhere {
-                    self.broken.push(format!("ran_twice: {} on {name}", order.task));
+                    self.broken.push(format!("ran_twice: {} on {name}", command.task));
                 }
                 self.starts += 1;
                 let (zone, spot) = (worker.zone.clone(), worker.spot);
                 let on = OnMachine {
-                    attempt: order.attempt,
+                    attempt: command.attempt,
                     state: TaskState::Running,
                     cause: None,
                     since: Instant::now(),
                 };
-                worker.tasks.insert(order.task.clone(), on);
-                self.checker.placed(&order.task, order.attempt, name, session);
-                self.check_start(&order.task, &zone, spot);
+                worker.tasks.insert(command.task.clone(), on);
+                self.checker.placed(&command.task, command.attempt, name, incarnation);
+                self.check_start(&command.task, &zone, spot);
             }
-            Op::Stop => {
-                if let Some(on) = worker.tasks.get_mut(&order.task)
+            CommandKind::Stop => {
+                if let Some(on) = worker.tasks.get_mut(&command.task)
                     && on.state != TaskState::Exited
                 {
-                    (on.state, on.cause) = (TaskState::Exited, Some(Cause::Stopped));
+                    (on.state, on.cause) = (TaskState::Exited, Some(ExitCause::Stopped));
                 }
             }
-            Op::Forget => {
-                worker.tasks.remove(&order.task);
+            CommandKind::Forget => {
+                worker.tasks.remove(&command.task);
             }
         }
     }
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -15,7 +15,7 @@
 
 /// What a leader does within `QUIET_SECONDS` in which nothing happens.
 struct QuietCost {
-    reports: u64,
+    heartbeats: u64,
     reviewed: u64,
     ticks: u64,
     weighed: u64,
@@ -34,14 +34,14 @@
     world.submit(0, "j-000001", service).await.expect("accepted");
     seconds(30).await;
     let leader = world.leader().expect("a leader");
-    let effort = || world.node(leader).leader_effort().expect("it leads");
-    let revision = || world.node(leader).picture.lock().expect("not poisoned").revision;
-    let (before, began) = (effort(), revision());
+    let counters = || world.node(leader).leader_counters().expect("it leads");
+    let revision = || world.node(leader).watch_cache.lock().expect("not poisoned").revision;
+    let (before, began) = (counters(), revision());
     seconds(QUIET_SECONDS).await;
-    let after = effort();
+    let after = counters();
     no_rule_broken(&world);
     QuietCost {
-        reports: after.reports - before.reports,
+        heartbeats: after.heartbeats - before.heartbeats,
         reviewed: after.reviewed - before.reviewed,
         ticks: after.ticks - before.ticks,
         weighed: after.weighed - before.weighed,
@@ -53,8 +53,8 @@
 async fn reports_that_change_nothing_do_not_turn_the_leaders_loop() {
     const MACHINES: u64 = 200;
     let cost = quiet_cost(MACHINES, 40, 1.0).await;
-    assert!(cost.reports > MACHINES * QUIET_SECONDS / 2, "all machines report");
-    // Eight sweeps in each report interval, and what the cloud's lists and
+    assert!(cost.heartbeats > MACHINES * QUIET_SECONDS / 2, "all machines report");
+    // Eight sweeps in each heartbeat interval, and what the cloud's lists and
     // rounds bring; it was a turn for nearly every report.
     assert!(cost.ticks <= 12 * QUIET_SECONDS, "{} ticks", cost.ticks);
 }
@@ -64,8 +64,8 @@
     const MACHINES: u64 = 4000;
     const REPLICAS: u32 = 8000;
     let cost = quiet_cost(MACHINES, REPLICAS, 15.0).await;
-    assert!(cost.reports > MACHINES * QUIET_SECONDS / 2, "all machines report");
-    assert!(cost.reports <= MACHINES * QUIET_SECONDS * 11 / 10, "{} reports", cost.reports);
+    assert!(cost.heartbeats > MACHINES * QUIET_SECONDS / 2, "all machines report");
+    assert!(cost.heartbeats <= MACHINES * QUIET_SECONDS * 11 / 10, "{} reports", cost.heartbeats);
     // Each report is held against the tasks of its own machine alone: those that
     // it names and those that are bound to it.
     let tasks = u64::from(REPLICAS) * QUIET_SECONDS * 11 / 10;
--- a/tests/fault_scenarios.rs
+++ b/tests/fault_scenarios.rs
@@ -10,7 +10,7 @@
 use common::{World, no_rule_broken, seconds, state};
 use serde_json::json;
 use stonewheel::{
-    node::{Trouble, UserReply},
+    node::{Unavailable, UserReply},
     protocol::JobState,
     store,
 };
@@ -261,7 +261,7 @@
     sleep(Duration::from_millis(300)).await;
     for round in 0..4 {
         for late in before.iter().chain([&during]) {
-            world.node(new).report(late);
+            world.node(new).heartbeat(late);
             sleep(Duration::from_millis(100)).await;
         }
         seconds(2).await;
@@ -274,7 +274,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn copies_from_earlier_sessions_and_attempts_change_nothing() {
+async fn copies_from_earlier_incarnations_and_attempts_change_nothing() {
     let world = World::new(1).await;
     let service = json!({"Shape": "service", "Spokes": 1, "Gpus": 8.0});
     assert!(state(&world.submit(0, "j-000001", service).await).is_some());
@@ -289,14 +289,14 @@
     world.until("it runs again", || world.starts() == 2).await;
     seconds(3).await;
     for node in 0..3 {
-        world.node(node).report(&first);
+        world.node(node).heartbeat(&first);
         let exited = {
             let mut copy = first.clone();
             copy.tasks[0].state = stonewheel::protocol::TaskState::Exited;
-            copy.tasks[0].cause = Some(stonewheel::protocol::Cause::Done);
+            copy.tasks[0].cause = Some(stonewheel::protocol::ExitCause::Done);
             copy
         };
-        world.node(node).report(&exited);
+        world.node(node).heartbeat(&exited);
     }
     seconds(10).await;
     assert_eq!(state(&world.ask(0, "j-000001").await), Some(JobState::Running));
@@ -393,7 +393,7 @@
         assert!(matches!(end, JobState::Done | JobState::Cancelled), "{end:?}");
         // One record of the end, which later processes will read.
         let record = world.state.value(&store::end_key(&id)).expect("an end record");
-        let record: store::End = serde_json::from_str(&record).expect("an end");
+        let record: store::JobEnd = serde_json::from_str(&record).expect("an end");
         assert_eq!(record.state, end);
         for node in 0..3 {
             assert_eq!(state(&world.ask(node, &id).await), Some(end));
@@ -415,8 +415,8 @@
     seconds(15).await;
     assert!(world.machines_of("j-000001").is_empty());
     // The old leader doesn't know, and says so.
-    assert_eq!(world.ask(leader, "j-000002").await, Err(Trouble::State));
-    assert_eq!(world.cancel(leader, "j-000002").await, Err(Trouble::State));
+    assert_eq!(world.ask(leader, "j-000002").await, Err(Unavailable::State));
+    assert_eq!(world.cancel(leader, "j-000002").await, Err(Unavailable::State));
     assert_eq!(world.starts(), 4, "the other service went on");
     no_rule_broken(&world);
 }
@@ -478,7 +478,7 @@
     assert_eq!(state(&world.cancel(other, "j-000001").await), Some(JobState::Cancelled));
     seconds(3).await;
     assert!(world.machines_of("j-000001").is_empty(), "stopped directly");
-    assert_eq!(world.session(&machine), 1, "within its lease");
+    assert_eq!(world.incarnation(&machine), 1, "within its lease");
     no_rule_broken(&world);
 }
 
@@ -492,7 +492,7 @@
     assert_eq!(state(&told), Some(JobState::Cancelled));
     seconds(9).await;
     assert!(world.machines_of("j-000001").is_empty(), "stopped directly");
-    assert_eq!(world.session(&machine), 1, "within its lease");
+    assert_eq!(world.incarnation(&machine), 1, "within its lease");
     no_rule_broken(&world);
 }
 
--- a/tests/guest_array.rs
+++ b/tests/guest_array.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Mutex;
 
-use common::{World, duty::Duty, no_rule_broken, seconds};
+use common::{World, leader_harness::LeaderHarness, no_rule_broken, seconds};
 use serde_json::json;
 use stonewheel::protocol::JobState;
 
@@ -25,30 +25,30 @@
 
 /// A fleet of 100 machines, an array of 25,000 small tasks and 800 jobs of one
 /// task; whether the cloud has more machines decides how much room there is.
-fn swarm_beside_a_huge_array(sold_out: bool) -> Duty {
-    let mut duty = Duty::new(5);
-    let report_all = |duty: &mut Duty| {
+fn swarm_beside_a_huge_array(sold_out: bool) -> LeaderHarness {
+    let mut harness = LeaderHarness::new(5);
+    let report_all = |harness: &mut LeaderHarness| {
         for number in 0..100 {
-            duty.report(&format!("n-{number:03}"), 1, &[]);
+            harness.heartbeat(&format!("n-{number:03}"), 1, &[]);
         }
     };
-    report_all(&mut duty);
-    duty.submit(
+    report_all(&mut harness);
+    harness.submit(
         "j-900000",
         json!({"Spokes": 25_000, "Cores": 0.25, "Gpus": 0.0, "MemoryGb": 1.0, "Rank": "best_effort"}),
     );
     for number in 0..800 {
-        duty.submit(&format!("j-{number:06}"), json!({"Spokes": 1}));
+        harness.submit(&format!("j-{number:06}"), json!({"Spokes": 1}));
     }
     for _ in 0..3 {
-        for rental in duty.leader.take_rentals() {
+        for rental in harness.leader.take_rentals() {
             let rented = (!sold_out).then(Vec::new);
-            duty.leader.rented(&rental, rented, duty.now);
+            harness.leader.rented(&rental, rented, harness.now);
         }
-        duty.pass(5.0);
-        report_all(&mut duty);
+        harness.pass(5.0);
+        report_all(&mut harness);
     }
-    duty
+    harness
 }
 
 /// The program's tables held a row of 26,000 entries for each of 800 jobs: 80 MB,
@@ -74,14 +74,14 @@
     let _alone = ONE_AT_A_TIME.lock();
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
-        let mut duty = Duty::new(5);
+        let mut harness = LeaderHarness::new(5);
         for number in 0..200 {
-            duty.report(&format!("n-{number:03}"), 1, &[]);
+            harness.heartbeat(&format!("n-{number:03}"), 1, &[]);
         }
-        duty.submit("j-900000", json!({"Spokes": 25_000, "Cores": 0.25, "Gpus": 0.0}));
-        duty.pass(0.1);
-        let pages = duty.commits().len();
-        let limit = duty.settings.state_limits().transaction_writes;
+        harness.submit("j-900000", json!({"Spokes": 25_000, "Cores": 0.25, "Gpus": 0.0}));
+        harness.pass(0.1);
+        let pages = harness.commits().len();
+        let limit = harness.settings.state_limits().transaction_writes;
         // The first page is written for the width too.
         assert!((2..=limit + 1).contains(&pages), "{pages} pages, {limit} in a transaction");
     });
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -22,7 +22,7 @@
 use stonewheel::{
     cloud::{CloudApi, CloudError},
     node::Node,
-    protocol::{MachineId, MachineList, MachineType, Rental},
+    protocol::{MachineId, MachineList, MachineType, ProvisionRequest},
     worker_client::HttpWorkers,
 };
 use tokio::{
@@ -47,7 +47,7 @@
         Box::pin(async { Ok(vec![machine_type()]) })
     }
 
-    fn rent(&self, _: Rental) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
+    fn rent(&self, _: ProvisionRequest) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
         Box::pin(async { Err(CloudError::NoCapacity) })
     }
 
@@ -127,7 +127,7 @@
 /// A worker's life: connect, report, wait; connect anew when told to.
 async fn work(number: usize, address: SocketAddr, heard: Arc<Heard>, mut restart: Restart) {
     let name = format!("n-{number:06}");
-    let (mut seq, mut token) = (0_u64, 0_u64);
+    let (mut sequence, mut token) = (0_u64, 0_u64);
     sleep(REPORT * (number as u32 % 1000) / 1000).await;
     loop {
         let Ok(Ok(stream)) = timeout(PATIENCE, TcpStream::connect(address)).await else {
@@ -138,13 +138,13 @@
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         loop {
-            seq += 1;
-            let report = json!({
+            sequence += 1;
+            let heartbeat = json!({
                 "Millstone": name, "Endpoint": "127.0.0.1:1", "Frame": "g8", "Yard": "a",
-                "Driftwood": false, "Turning": 1, "Tick": seq, "Warrant": token,
+                "Driftwood": false, "Turning": 1, "Tick": sequence, "Warrant": token,
                 "WarningS": null, "Spokes": []
             });
-            let body = report.to_string();
+            let body = heartbeat.to_string();
             let request = format!(
                 "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\n\
                  Content-Length: {}\r\n\r\n{body}",
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -78,8 +78,8 @@
 
 /// Machines that run a task of each job, summed.
 fn blue_tasks(world: &World) -> usize {
-    let reports = world.last_reports();
-    let tasks = reports.iter().flat_map(|report| &report.tasks);
+    let heartbeats = world.last_reports();
+    let tasks = heartbeats.iter().flat_map(|heartbeat| &heartbeat.tasks);
     tasks.filter(|task| task.task.starts_with(BLUE) && task.state != TaskState::Exited).count()
 }
 
--- a/tests/link_samples.rs
+++ b/tests/link_samples.rs
@@ -2,8 +2,8 @@
 //! break compatibility with controllers of another version in the same set.
 
 use stonewheel::{
-    peers::{LEAST_FRAME_LIMIT, Message, decode, encode},
-    protocol::{CancellationNotice, Features, Heartbeat, WorkerContact},
+    peers::{MIN_FRAME_LIMIT, Message, decode, encode},
+    protocol::{CancellationNotice, ControllerHeartbeat, Features, WorkerContact},
 };
 
 /// Sections 1 to 5: heartbeat, cancellations, features, frame limit, worker contact.
@@ -16,14 +16,14 @@
 
 fn message() -> Message {
     Message {
-        heartbeat: Heartbeat {
+        heartbeat: ControllerHeartbeat {
             member: "m-1".into(),
-            mark: (7, 8),
-            echo: Some((5, 6)),
+            id: (7, 8),
+            acknowledged: Some((5, 6)),
             leads: true,
             token: 1_048_577,
             state_ok: true,
-            turned_reports_away: false,
+            rejected_heartbeats: false,
             revision: 70_000,
             cancellations: Some(CancellationNotice {
                 since: 300,
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_frame_with_every_section() {
-    assert_eq!(LEAST_FRAME_LIMIT, 65_536);
+    assert_eq!(MIN_FRAME_LIMIT, 65_536);
     assert_eq!(encode(message()), FRAME);
     assert_eq!(decode(&FRAME), Some(message()));
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -4,7 +4,7 @@
 use serde_json::value::RawValue;
 use stonewheel::{
     protocol::{Events, Item, JobState},
-    store::{Picture, end_key},
+    store::{WatchCache, end_key},
 };
 
 const PAGE_BYTES: usize = 4096;
@@ -35,21 +35,21 @@
     const PART: u64 = 500;
     const LIMIT: usize = 16 << 20;
     let before = resident_bytes();
-    let mut picture = Picture::default();
+    let mut watch_cache = WatchCache::default();
     for first in (0..ENDED).step_by(PART as usize) {
-        let (_, others) = picture.note_ends(part(first, PART));
+        let (_, others) = watch_cache.note_ends(part(first, PART));
         assert!(others.is_empty(), "an end need not wait for the rest of the reading");
     }
     let nothing = Events { revision: ENDED, events: Vec::new() };
-    picture.replace(Vec::new(), ENDED, nothing.clone());
+    watch_cache.replace(Vec::new(), ENDED, nothing.clone());
     // The records are read again when the watch was left behind.
     for first in (0..ENDED).step_by(PART as usize) {
-        picture.note_ends(part(first, PART));
+        watch_cache.note_ends(part(first, PART));
     }
-    picture.replace(Vec::new(), ENDED, nothing);
+    watch_cache.replace(Vec::new(), ENDED, nothing);
     let held = resident_bytes().saturating_sub(before);
     assert!(held < LIMIT, "{} KiB for {ENDED} ended jobs", held >> 10);
-    let state = |id: &str| picture.status(id).map(|status| status.state);
+    let state = |id: &str| watch_cache.status(id).map(|status| status.state);
     assert_eq!(state("j-399999"), Some(JobState::Cancelled));
     assert_eq!(state("j-000001"), Some(JobState::Done));
     assert_eq!(state("j-400000"), None);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -9,7 +9,7 @@
 use common::{World, no_rule_broken, seconds, state};
 use serde_json::json;
 use stonewheel::{
-    node::{Trouble, UserReply},
+    node::{Unavailable, UserReply},
     protocol::{JobState, Write},
     store,
 };
@@ -170,7 +170,7 @@
     let world = World::new(1).await;
     submit(&world, 0, "j-000001", &[]).await;
     world.until("it runs", || world.starts() > 0).await;
-    // The controller's picture lags: another one's write is not yet watched.
+    // The controller's watch cache lags: another one's write is not yet watched.
     let end = store::value(&json!({"s": "aborted", "d": 0})).expect("json");
     let write = Write::Put { key: store::end_key("j-000001"), value: end, lease: None };
     world.state.commit(Vec::new(), vec![write]).expect("written");
@@ -237,7 +237,7 @@
     let world = World::new(1).await;
     world.state.set_outage(true);
     let reply = world.submit(0, "j-000002", json!({"Awaits": ["j-000001"]})).await;
-    assert_eq!(reply, Err(Trouble::State));
+    assert_eq!(reply, Err(Unavailable::State));
 }
 
 #[tokio::test(start_paused = true)]
@@ -250,8 +250,8 @@
     world.state.commit(Vec::new(), vec![write]).expect("written");
     seconds(1).await;
     let reply = world.submit(0, "j-000002", json!({"Awaits": ["j-000001"]})).await;
-    assert_eq!(reply, Err(Trouble::Record), "neither accepted nor refused for good");
-    assert_eq!(world.ask(1, "j-000001").await, Err(Trouble::Record), "not called unknown");
+    assert_eq!(reply, Err(Unavailable::Record), "neither accepted nor refused for good");
+    assert_eq!(world.ask(1, "j-000001").await, Err(Unavailable::Record), "not called unknown");
     assert_eq!(world.starts(), 0);
 }
 
--- a/tests/production_size.rs
+++ b/tests/production_size.rs
@@ -15,9 +15,9 @@
 use serde_json::json;
 use stonewheel::{
     node::UserReply,
-    protocol::{JobState, Report},
+    protocol::{JobState, WorkerHeartbeat},
 };
-use stonewheel_standins::LateTransactions;
+use stonewheel_testing::LateTransactions;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// How much is played, and with what.
@@ -140,7 +140,7 @@
     world.set_late_commands(Some(LateCommands::new(seed, 0.35, 2.0..latest_s)));
     world.state.set_late(Some(LateTransactions::new(seed, 0.04, 0.5)));
     world.state.set_window(40);
-    let mut old_reports: Vec<Report> = Vec::new();
+    let mut old_reports: Vec<WorkerHeartbeat> = Vec::new();
     while Instant::now() < end {
         sleep(Duration::from_secs_f64(rng.random_range(4.0..10.0))).await;
         let Some(leader) = world.leader().and_then(|l| world.running_node(l)) else { continue };
@@ -194,8 +194,8 @@
             }
             _ => {
                 // Held back until a new leader acts.
-                for report in std::mem::take(&mut old_reports) {
-                    let _ = world.running_node(leader).map(|n| world.node(n).report(&report));
+                for heartbeat in std::mem::take(&mut old_reports) {
+                    let _ = world.running_node(leader).map(|n| world.node(n).heartbeat(&heartbeat));
                 }
             }
         }
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -10,9 +10,9 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::value::RawValue;
 use stonewheel::{
-    node::OwnedReply,
+    node::InternalJobReply,
     protocol::{Condition, JobSpec, JobState, MachineType},
-    store::{self, Change, End, Lead, Picture},
+    store::{self, Change, JobEnd, LeaderRecord, WatchCache},
 };
 use stonewheel_activation::record as activation;
 use stonewheel_coordination::{Owner, Session, session_key};
@@ -23,12 +23,12 @@
 };
 
 const JOB: &str = r#"{"Ref":"j-000007","Grain":"train","Crew":"blue","Shape":"batch","Rank":"high","Spokes":3,"Cores":2.0,"Gpus":1.0,"MemoryGb":8.0,"Mould":"img","ImageGb":1.5,"Together":false,"Scatter":false,"Driftwood":false,"ReckonS":20.0,"NotchS":10.0,"StashS":2.0}"#;
-const TOKEN: &str = "1048577";
+const TOKEN_KEY: &str = "1048577";
 const STRAY: &str = r#""m-1""#;
-const TYPES: &str = r#"[{"Label":"g8","Cores":96.0,"Gpus":8.0,"MemoryGb":768.0,"LocalGb":900.0,"PullGbPerS":0.5,"Hourly":12.5,"LowPrice":4.25,"ReadyS":75.0,"Yards":["a","b"]}]"#;
+const MACHINE_TYPES_KEY: &str = r#"[{"Label":"g8","Cores":96.0,"Gpus":8.0,"MemoryGb":768.0,"LocalGb":900.0,"PullGbPerS":0.5,"Hourly":12.5,"LowPrice":4.25,"ReadyS":75.0,"Yards":["a","b"]}]"#;
 /// The types that the simulated cloud offers.
 const STORED_TYPES: &str = r#"[{"Label":"g8","Cores":64.0,"Gpus":8.0,"MemoryGb":256.0,"LocalGb":800.0,"PullGbPerS":2.0,"Hourly":20.0,"LowPrice":6.0,"ReadyS":20.0,"Yards":["a","b"]}]"#;
-const LEAD: &str = r#"{"member":"m-1","incarnation":77,"token":2,"lease":9}"#;
+const LEADER_KEY: &str = r#"{"member":"m-1","incarnation":77,"token":2,"lease":9}"#;
 const PAGE: &str = r#"{"a":4,"b":[[0,4,"n-000231",1,0]],"d":[[1,2]]}"#;
 
 const SERVICE: &str = r#"{"epoch":3,"owner":{"member":"m-1","incarnation":7},"version":"v1","next_replica":5,"replicas":[{"number":1,"job":"j-101","version":"v1","stage":"starting"},{"number":2,"job":"j-102","version":"v1","stage":"serving"},{"number":3,"job":"j-103","version":"v2","stage":"draining"},{"number":4,"job":"j-104","version":"v2","stage":"stopping"}],"rollout":{"id":"r-1","from":"v1","to":"v2","size":4,"level":3,"surge":2,"steps":[25,100],"step":1,"phase":"soaking","paused":true,"history":[{"phase":"stepping","step":0,"why":"an operator started it"}]},"commands":[{"id":"r-1","kind":"start v2 [25, 100] 2"}]}"#;
@@ -66,11 +66,11 @@
 #[test]
 fn keys() {
     for (key, text) in [
-        (store::PREFIX.to_owned(), "sw/"),
-        (store::LEAD.to_owned(), "sw/lead"),
-        (store::TOKEN.to_owned(), "sw/token"),
-        (store::TYPES.to_owned(), "sw/types"),
-        (store::REPORTS_TURNED_AWAY.to_owned(), "sw/stray"),
+        (store::KEY_PREFIX.to_owned(), "sw/"),
+        (store::LEADER_KEY.to_owned(), "sw/lead"),
+        (store::TOKEN_KEY.to_owned(), "sw/token"),
+        (store::MACHINE_TYPES_KEY.to_owned(), "sw/types"),
+        (store::REJECTED_HEARTBEATS_KEY.to_owned(), "sw/stray"),
         (store::job_key("j-000007"), "sw/j/j-000007"),
         (store::page_key("j-000007", 12), "sw/p/j-000007/12"),
         (store::end_key("j-000007"), "sw/e/j-000007"),
@@ -89,37 +89,37 @@
 
 #[test]
 fn scheduler_records() {
-    is_stored(&1_048_577_u64, TOKEN);
+    is_stored(&1_048_577_u64, TOKEN_KEY);
     is_stored(&"m-1".to_owned(), STRAY);
-    is_stored(&types(), TYPES);
+    is_stored(&types(), MACHINE_TYPES_KEY);
     for (state, text) in [
         (JobState::Done, r#"{"s":"done","d":3}"#),
         (JobState::Cancelled, r#"{"s":"aborted","d":3}"#),
     ] {
-        is_stored(&End { state, done: 3 }, text);
+        is_stored(&JobEnd { state, done: 3 }, text);
     }
 }
 
 #[test]
 fn scheduler_records_are_found_under_their_keys() {
-    let mut picture = Picture::default();
-    let mut put = |key: &str, value: &str| picture.put(key, raw(value), 5);
-    assert_eq!(put("sw/lead", LEAD), [Change::Lead]);
-    assert_eq!(put("sw/stray", STRAY), [Change::ReportsTurnedAway]);
-    assert_eq!(put("sw/token", TOKEN), []);
-    assert_eq!(put("sw/types", TYPES), []);
+    let mut watch_cache = WatchCache::default();
+    let mut put = |key: &str, value: &str| watch_cache.put(key, raw(value), 5);
+    assert_eq!(put("sw/lead", LEADER_KEY), [Change::Leader]);
+    assert_eq!(put("sw/stray", STRAY), [Change::HeartbeatsRejected]);
+    assert_eq!(put("sw/token", TOKEN_KEY), []);
+    assert_eq!(put("sw/types", MACHINE_TYPES_KEY), []);
     assert_eq!(put("sw/j/j-000007", JOB), [Change::Arrived("j-000007".into())]);
     assert_eq!(put("sw/p/j-000007/12", PAGE), []);
     assert_eq!(put("sw/e/j-8", r#"{"s":"aborted","d":3}"#), [Change::Ended("j-8".into())]);
-    let lead = Lead { member: "m-1".into(), incarnation: 77, token: 2, lease: 9 };
-    assert_eq!(picture.lead, Some((5, lead)));
-    assert_eq!(picture.token, (5, 1_048_577));
-    assert_eq!(picture.types.as_ref().map(|(_, held)| &**held), Some(&types()));
-    let status = picture.status("j-000007").expect("known");
+    let lead = LeaderRecord { member: "m-1".into(), incarnation: 77, token: 2, lease: 9 };
+    assert_eq!(watch_cache.lead, Some((5, lead)));
+    assert_eq!(watch_cache.token, (5, 1_048_577));
+    assert_eq!(watch_cache.types.as_ref().map(|(_, held)| &**held), Some(&types()));
+    let status = watch_cache.status("j-000007").expect("known");
     assert_eq!((status.done, status.running), (2, 1));
-    assert_eq!(picture.machines_of("j-000007"), ["n-000231".into()]);
-    assert!(picture.pages["j-000007"].contains_key(&12));
-    assert_eq!(picture.cancelled_since(0, 9), (vec![("j-8".into(), 5, 3)], true));
+    assert_eq!(watch_cache.machines_of("j-000007"), ["n-000231".into()]);
+    assert!(watch_cache.pages["j-000007"].contains_key(&12));
+    assert_eq!(watch_cache.cancelled_since(0, 9), (vec![("j-8".into(), 5, 3)], true));
 }
 
 #[tokio::test(start_paused = true)]
@@ -131,7 +131,7 @@
     let spec = JobSpec::parse(JOB.replace("j-000007", "j-000008").as_bytes()).expect("valid");
     let fence = Condition { key: "sp/r/s/matcher".into(), version: 0 };
     let reply = world.node(0).submit_owned(&spec, &fence, "sp/r/j/j-000008").await;
-    assert_eq!(reply, Ok(OwnedReply::Done));
+    assert_eq!(reply, Ok(InternalJobReply::Done));
     for (key, text) in [
         ("sw/token", "1048576"),
         ("sw/types", STORED_TYPES),
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -15,9 +15,9 @@
 use serde_json::json;
 use stonewheel::{
     http::server::routes,
-    node::{Node, ReportReply, Trouble, UserReply},
+    node::{HeartbeatReply, Node, Unavailable, UserReply},
     peers,
-    protocol::{Condition, JobState, Report, Write},
+    protocol::{Condition, JobState, WorkerHeartbeat, Write},
     store,
 };
 use tokio::{
@@ -27,11 +27,11 @@
 };
 use tokio_util::sync::CancellationToken;
 
-fn created(reply: &Result<UserReply, Trouble>) -> bool {
+fn created(reply: &Result<UserReply, Unavailable>) -> bool {
     matches!(reply, Ok(UserReply::Created(_)))
 }
 
-fn state(reply: Result<UserReply, Trouble>) -> JobState {
+fn state(reply: Result<UserReply, Unavailable>) -> JobState {
     match reply {
         Ok(UserReply::Known(status) | UserReply::Created(status)) => status.state,
         other => panic!("no state: {other:?}"),
@@ -42,7 +42,7 @@
     sleep(Duration::from_secs(n)).await;
 }
 
-/// All workers of a large fleet may come within one report interval after a change
+/// All workers of a large fleet may come within one heartbeat interval after a change
 /// of leader. A connection beyond the backlog would try again a second later.
 #[tokio::test]
 async fn a_listener_has_room_for_more_waiting_connections_than_the_usual_backlog() {
@@ -98,7 +98,7 @@
     world.runs_for("j-000003", 2);
     let body = job("j-000003", json!({"Spokes": 1}));
     assert!(created(&world.node(0).submit(&body).await));
-    // Done stands in the store before any node's picture may know of it.
+    // Done stands in the store before any node's watch cache may know of it.
     let version = world.state.version("sw/j/j-000003");
     assert!(version > 0);
     world.until_state(0, "j-000003", JobState::Done).await;
@@ -178,8 +178,8 @@
     world.until_state(next, "j-000008", JobState::Done).await;
     assert_eq!(world.starts(), 4, "nothing was restarted");
     // The refused node doesn't guess.
-    assert_eq!(world.node(old).status("j-000007").await, Err(Trouble::State));
-    assert_eq!(world.node(old).status("j-999999").await, Err(Trouble::State));
+    assert_eq!(world.node(old).status("j-000007").await, Err(Unavailable::State));
+    assert_eq!(world.node(old).status("j-999999").await, Err(Unavailable::State));
     assert!(world.broken().is_empty());
 }
 
@@ -194,8 +194,8 @@
     seconds(5).await;
     for node in 0..3 {
         let reply = world.node(node).submit(&job("j-000010", json!({}))).await;
-        assert_eq!(reply, Err(Trouble::State));
-        assert_eq!(world.node(node).status("j-000009").await, Err(Trouble::State));
+        assert_eq!(reply, Err(Unavailable::State));
+        assert_eq!(world.node(node).status("j-000009").await, Err(Unavailable::State));
         assert!(world.node(node).healthy(), "no other node would be better");
     }
     seconds(40).await;
@@ -294,7 +294,7 @@
     let began = Instant::now();
     loses_workers_but_no_task(&world, leader, &machines).await;
     for machine in &machines {
-        assert_eq!(world.session(machine), 1, "{machine} lost its lease");
+        assert_eq!(world.incarnation(machine), 1, "{machine} lost its lease");
     }
     assert!(began.elapsed() < Duration::from_secs(23));
 }
@@ -312,7 +312,7 @@
     loses_workers_but_no_task(&world, leader, &machines).await;
     assert_eq!(world.leader(), Some((leader + 1) % 3));
     for machine in &machines {
-        assert_eq!(world.session(machine), 1, "{machine} lost its lease");
+        assert_eq!(world.incarnation(machine), 1, "{machine} lost its lease");
     }
 }
 
@@ -343,10 +343,11 @@
     let follower = (leader + 1) % 3;
     let known = world.last_report(&machines[0]);
     let leader_name = format!("m-{leader}");
-    let sent_to = |token| match world.node(follower).report(&Report { token, ..known.clone() }) {
-        ReportReply::Elsewhere(to) => to,
-        other => panic!("a follower answered {other:?}"),
-    };
+    let sent_to =
+        |token| match world.node(follower).heartbeat(&WorkerHeartbeat { token, ..known.clone() }) {
+            HeartbeatReply::Redirect(to) => to,
+            other => panic!("a follower answered {other:?}"),
+        };
     assert_eq!(sent_to(0), Some(leader_name), "it may reach whom others can't");
     assert_eq!(sent_to(known.token), None, "it could not reach the leader");
 }
@@ -573,9 +574,9 @@
         })
         .collect();
     seconds(1).await;
-    let report = json!({"Millstone": "n-000001", "Endpoint": "", "Frame": "g8", "Yard": "a",
+    let heartbeat = json!({"Millstone": "n-000001", "Endpoint": "", "Frame": "g8", "Yard": "a",
         "Turning": 1, "Tick": 1_000_000, "Warrant": 0, "Spokes": []});
-    let body = serde_json::to_vec(&report).expect("json");
+    let body = serde_json::to_vec(&heartbeat).expect("json");
     let (status, _, took) = ask(node.clone(), "POST", "/agent/beat", body).await;
     assert_eq!((status, took), (200, Duration::ZERO), "no report waits for users");
     let (mut accepted, mut refused) = (Vec::new(), 0);
@@ -619,9 +620,9 @@
         link.write_all(&1024_u32.to_be_bytes()).await.expect("sent");
         unfinished.push(link);
     }
-    let mut heartbeat = world.node(1).heartbeat("m-0");
+    let mut heartbeat = world.node(1).controller_heartbeat("m-0");
     heartbeat.member = "m-9".into();
-    let frame = peers::encode(peers::Message::new(heartbeat, peers::LEAST_FRAME_LIMIT));
+    let frame = peers::encode(peers::Message::new(heartbeat, peers::MIN_FRAME_LIMIT));
     let mut link = TcpStream::connect(address).await.expect("the system takes it");
     link.write_all(&(frame.len() as u32).to_be_bytes()).await.expect("sent");
     link.write_all(&frame).await.expect("sent");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -11,7 +11,7 @@
 use stonewheel::{
     protocol::{JobSpec, JobState, Write},
     state::{Budget, StateError},
-    store::{self, End, Lead, Page, Picture},
+    store::{self, JobEnd, LeaderRecord, Page, WatchCache},
 };
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
@@ -19,7 +19,7 @@
 const JOB: &str = r#"{"Ref":"j-000007","Grain":"train","Crew":"blue","Shape":"ensemble","Rank":"best_effort","Spokes":3,"Cores":2.0,"Gpus":1.0,"MemoryGb":8.0,"Mould":"img","ImageGb":1.5,"Frames":["g8"],"Yard":"a","Together":true,"Scatter":false,"Driftwood":false,"ReckonS":20.0,"NotchS":10.0,"StashS":2.0,"DueS":90.0}"#;
 const PAGE: &str = r#"{"a":4,"w":3,"b":[[0,4,"n-000231",1,0],[2,3,"n-000007",12,1]],"d":[[1,1]]}"#;
 const END: &str = r#"{"s":"aborted","d":1}"#;
-const LEAD: &str = r#"{"member":"m-1","incarnation":77,"token":5,"lease":9}"#;
+const LEADER_KEY: &str = r#"{"member":"m-1","incarnation":77,"token":5,"lease":9}"#;
 
 fn raw(text: &str) -> Box<RawValue> {
     RawValue::from_string(text.into()).expect("json")
@@ -38,9 +38,9 @@
     assert!(spec.dependencies.is_empty());
     let page: Page = stays(PAGE);
     assert_eq!((page.bound.len(), page.done_count()), (2, 1));
-    let end: End = stays(END);
+    let end: JobEnd = stays(END);
     assert_eq!(end.state, JobState::Cancelled);
-    let lead: Lead = stays(LEAD);
+    let lead: LeaderRecord = stays(LEADER_KEY);
     assert_eq!(lead.token, 5);
 }
 
@@ -57,12 +57,16 @@
 
 #[test]
 fn keys_of_a_later_version_are_passed_over() {
-    let mut picture = Picture::default();
+    let mut watch_cache = WatchCache::default();
     for key in ["sw/later", "sw/z/j-000001", "sw/z/j-000001/3", "sw/j/x", "elsewhere"] {
-        assert!(picture.put(key, raw("{\"any\":1}"), 7).is_empty(), "{key}");
-        assert!(picture.delete(key, 8).is_none(), "{key}");
+        assert!(watch_cache.put(key, raw("{\"any\":1}"), 7).is_empty(), "{key}");
+        assert!(watch_cache.delete(key, 8).is_none(), "{key}");
     }
-    assert!(picture.jobs.is_empty() && picture.ends.is_empty() && picture.unreadable.is_empty());
+    assert!(
+        watch_cache.jobs.is_empty()
+            && watch_cache.ends.is_empty()
+            && watch_cache.unreadable.is_empty()
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/wire_samples.rs
+++ b/tests/wire_samples.rs
@@ -6,11 +6,11 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::value::RawValue;
 use stonewheel::protocol::{
-    BODY_LIMIT, Cause, Committed, Condition, DirectOrders, ErrorBody, Event, Events, Item,
-    ItemPage, JobSpec, JobState, JobStatus, LeaseGrant, LeaseRequest, ListedMachine, MAX_TASKS,
-    MachineList, MachineNames, MachineState, MachineType, MachineTypes, Misdirected, Op, Order,
-    Priority, Refused, Rental, Report, ReportAnswer, Shape, TaskReport, TaskState, Transaction,
-    Write, is_job_id,
+    BODY_LIMIT, CommandKind, Committed, Condition, DirectCommands, ErrorBody, Event, Events,
+    ExitCause, HeartbeatResponse, Item, ItemPage, JobSpec, JobState, JobStatus, LeaseGrant,
+    LeaseRequest, ListedMachine, MAX_TASKS, MachineList, MachineNames, MachineState, MachineType,
+    MachineTypes, Priority, ProvisionRequest, Redirect, Refused, Shape, TaskCommand, TaskState,
+    TaskStatus, Transaction, WorkerHeartbeat, Write, is_job_id,
 };
 
 const ARRAY_JOB: &str = r#"{"Ref":"j-000007","Grain":"train","Crew":"blue","Shape":"batch","Rank":"best_effort","Spokes":3,"Cores":2.5,"Gpus":1.0,"MemoryGb":8.0,"Mould":"img","ImageGb":1.5,"Frames":["g8","g4"],"Yard":"a","Together":true,"Scatter":false,"Driftwood":true,"ReckonS":20.0,"NotchS":10.0,"StashS":2.0,"DueS":90.0,"Awaits":["j-000001","j-000002"]}"#;
@@ -117,8 +117,8 @@
     }
 }
 
-fn order(op: Op, task: &str, attempt: u64, grace_s: Option<f64>) -> Order {
-    Order { op, task: task.into(), attempt, grace_s }
+fn command(op: CommandKind, task: &str, attempt: u64, grace_s: Option<f64>) -> TaskCommand {
+    TaskCommand { op, task: task.into(), attempt, grace_s }
 }
 
 #[test]
@@ -139,17 +139,17 @@
     both_ways(&TaskState::Running, r#""running""#);
     both_ways(&TaskState::Saving, r#""flushing""#);
     both_ways(&TaskState::Exited, r#""ended""#);
-    both_ways(&Cause::Done, r#""done""#);
-    both_ways(&Cause::Stopped, r#""stopped""#);
-    both_ways(&Cause::Peers, r#""peers""#);
-    both_ways(&Cause::Alone, r#""alone""#);
-    both_ways(&Cause::Error, r#""error""#);
-    both_ways(&Cause::NoRoom, r#""full""#);
-    both_ways(&Cause::Busy, r#""busy""#);
-    both_ways(&Cause::Unknown, r#""unknown""#);
-    both_ways(&Op::Start, r#""run""#);
-    both_ways(&Op::Stop, r#""halt""#);
-    both_ways(&Op::Forget, r#""clear""#);
+    both_ways(&ExitCause::Done, r#""done""#);
+    both_ways(&ExitCause::Stopped, r#""stopped""#);
+    both_ways(&ExitCause::Peers, r#""peers""#);
+    both_ways(&ExitCause::Alone, r#""alone""#);
+    both_ways(&ExitCause::Error, r#""error""#);
+    both_ways(&ExitCause::NoRoom, r#""full""#);
+    both_ways(&ExitCause::Busy, r#""busy""#);
+    both_ways(&ExitCause::Unknown, r#""unknown""#);
+    both_ways(&CommandKind::Start, r#""run""#);
+    both_ways(&CommandKind::Stop, r#""halt""#);
+    both_ways(&CommandKind::Forget, r#""clear""#);
     both_ways(&MachineState::Booting, r#""starting""#);
     both_ways(&MachineState::Running, r#""running""#);
     both_ways(&MachineState::Failed, r#""failed""#);
@@ -195,52 +195,55 @@
 
 #[test]
 fn bodies_of_workers() {
-    let ended = TaskReport {
+    let ended = TaskStatus {
         task: "j-000007/0".into(),
         attempt: 4,
         state: TaskState::Exited,
-        cause: Some(Cause::Stopped),
+        cause: Some(ExitCause::Stopped),
         saved: Some(true),
     };
-    let running = TaskReport {
+    let running = TaskStatus {
         task: "j-000007/1".into(),
         attempt: 3,
         state: TaskState::Running,
         cause: None,
         saved: None,
     };
-    let report = Report {
+    let heartbeat = WorkerHeartbeat {
         machine: "n-000231".into(),
-        addr: "10.0.0.7:9000".into(),
+        address: "10.0.0.7:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 12,
-        seq: 34,
+        incarnation: 12,
+        sequence: 34,
         token: 5,
         notice_s: Some(30.0),
         tasks: vec![ended, running.clone()],
     };
-    both_ways(&report, REPORT);
+    both_ways(&heartbeat, REPORT);
     is_read(r#"{"Spoke":"j-000007/1","Try":3,"Stance":"running"}"#, &running);
-    let least = Report {
-        addr: String::new(),
+    let least = WorkerHeartbeat {
+        address: String::new(),
         spot: false,
         token: 0,
         notice_s: None,
         tasks: Vec::new(),
-        ..report
+        ..heartbeat
     };
     both_ways(&least, LEAST_REPORT_WRITTEN);
     is_read(LEAST_REPORT, &least);
 
-    let start = order(Op::Start, "j-000007/0", 4, None);
-    let stop = order(Op::Stop, "j-000007/1", 3, Some(2.5));
-    let forget = order(Op::Forget, "j-000007/2", 2, None);
-    both_ways(&ReportAnswer { token: 5, orders: vec![start.clone(), stop, forget] }, REPORT_ANSWER);
-    both_ways(&DirectOrders { token: 5, session: 12, orders: vec![start] }, DIRECT_ORDERS);
-    assert_eq!(written(&Misdirected { report_to: Some("m-1".into()) }), MISDIRECTED);
-    assert_eq!(written(&Misdirected { report_to: None }), "{}");
+    let start = command(CommandKind::Start, "j-000007/0", 4, None);
+    let stop = command(CommandKind::Stop, "j-000007/1", 3, Some(2.5));
+    let forget = command(CommandKind::Forget, "j-000007/2", 2, None);
+    both_ways(
+        &HeartbeatResponse { token: 5, commands: vec![start.clone(), stop, forget] },
+        REPORT_ANSWER,
+    );
+    both_ways(&DirectCommands { token: 5, incarnation: 12, commands: vec![start] }, DIRECT_ORDERS);
+    assert_eq!(written(&Redirect { report_to: Some("m-1".into()) }), MISDIRECTED);
+    assert_eq!(written(&Redirect { report_to: None }), "{}");
 }
 
 #[test]
@@ -271,7 +274,7 @@
         zones: Vec::new(),
     };
     is_read(LEAST_MACHINE_TYPES, &MachineTypes { types: vec![least] });
-    let rental = Rental {
+    let rental = ProvisionRequest {
         request: "m-0-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -286,7 +289,7 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        addr: "10.0.0.7:9000".into(),
+        address: "10.0.0.7:9000".into(),
         state: MachineState::Booting,
         age_s: 61.5,
     };
@@ -296,7 +299,7 @@
         machine_type: "c1".into(),
         zone: "b".into(),
         spot: false,
-        addr: String::new(),
+        address: String::new(),
         state: MachineState::Failed,
         age_s: 0.0,
     };
