--- /dev/null
+++ b/tests/fault_scenarios/main.rs
@@ -0,0 +1,11 @@
+//! Fault scenarios, as in the table of `docs/design.md`: two faults that are harmless alone,
+//! together. The simulated deployment checks the rules by itself (`World::broken`).
+
+#[allow(dead_code)] // Each test binary uses its own part.
+#[path = "../common/mod.rs"]
+mod common;
+
+mod leadership;
+mod machines;
+mod requests;
+mod state_outages;
--- /dev/null
+++ b/tests/late_commands/cancelled_tasks.rs
@@ -0,0 +1,92 @@
+//! Machines that may still run tasks of cancelled jobs are returned in time.
+
+use crate::common::{World, leader_harness::LeaderHarness, seconds, state};
+use crate::open_starts::no_answer;
+use crate::open_starts::one_task;
+use crate::open_starts::send_one;
+use serde_json::json;
+use std::time::Duration;
+use stonewheel::protocol::{JobState, MachineId};
+use tokio::time::Instant;
+
+#[tokio::test(start_paused = true)]
+async fn a_machine_that_may_start_a_cancelled_task_is_returned_in_an_outage_too() {
+    let mut harness = LeaderHarness::new(5);
+    harness.heartbeat("n-1", 1, &[]);
+    one_task(&mut harness, "j-000001");
+    let sent = send_one(&mut harness);
+    no_answer(&mut harness, &sent);
+    harness.cancel("j-000001");
+    for _ in 0..25 {
+        harness.now += Duration::from_secs(1);
+        harness.heartbeat("n-1", 1, &[]);
+        harness.leader.tick(harness.now, true, None);
+    }
+    assert_eq!(harness.leader.take_deletions(), ["n-1".into()] as [MachineId; 1]);
+}
+
+/// After how many seconds the machine with an open start of a cancelled job is
+/// returned, counted from when the leader learned of the cancellation.
+async fn returned_after(confirmed_before_s: u64) -> u64 {
+    let mut harness = LeaderHarness::new(5);
+    harness.now += Duration::from_secs(60);
+    harness.heartbeat("n-1", 1, &[]);
+    one_task(&mut harness, "j-000001");
+    let sent = send_one(&mut harness);
+    no_answer(&mut harness, &sent);
+    let confirmed = harness.now - Duration::from_secs(confirmed_before_s);
+    harness.cancel("j-000001");
+    harness.leader.confirmed_since("j-000001", confirmed);
+    for after in 1..40 {
+        harness.now += Duration::from_secs(1);
+        harness.heartbeat("n-1", 1, &[]);
+        harness.leader.tick(harness.now, false, harness.alone);
+        if !harness.leader.take_deletions().is_empty() {
+            return after;
+        }
+    }
+    panic!("never returned");
+}
+
+#[tokio::test(start_paused = true)]
+async fn machines_are_returned_in_time_after_the_confirmation_however_late_it_is_learned() {
+    assert_eq!(returned_after(0).await, 19);
+    assert_eq!(returned_after(10).await, 9);
+    // There is always some time to stop the task, as long as there is any left.
+    assert_eq!(returned_after(18).await, 6);
+    assert_eq!(returned_after(25).await, 3);
+    assert_eq!(returned_after(40).await, 1);
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_new_leader_counts_from_the_confirmation() {
+    // Leaders change again and again; none has half of the limit to itself.
+    let world = World::new(1).await;
+    let machine = world.machines()[0].clone();
+    seconds(5).await;
+    let body = json!({"Shape": "service", "Spokes": 1});
+    assert!(state(&world.submit(0, "j-000001", body).await).is_some());
+    world.until("it runs", || world.starts() == 1).await;
+    seconds(2).await;
+    // The machine hears nobody: the test goes on reporting in its place.
+    let mut heartbeat = world.last_report(&machine);
+    world.cut(&machine, &[0, 1, 2]);
+    assert_eq!(state(&world.cancel(0, "j-000001").await), Some(JobState::Cancelled));
+    let told = Instant::now();
+    let mut leader = world.leader().expect("a leader");
+    assert_eq!(heartbeat.tasks.len(), 1);
+    while world.machines().contains(&machine) {
+        assert!(told.elapsed() < Duration::from_secs(24), "too late");
+        for _ in 0..8 {
+            seconds(1).await;
+            if let Some(node) = world.leader().and_then(|l| world.running_node(l)) {
+                heartbeat.sequence += 1;
+                let _ = world.node(node).heartbeat(&heartbeat);
+            }
+        }
+        world.kill_node(leader);
+        world.until("another leads", || world.leader().is_some_and(|l| l != leader)).await;
+        world.start_node(leader);
+        leader = world.leader().expect("a leader");
+    }
+}
