--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -176,7 +176,7 @@
 
     /// The controller's next transactions are carried out, but not answered.
     pub fn mute_state(&self, at: usize, count: u32) {
-        self.state.mute(&self.client_of(at), count);
+        self.state.lose_answers(&self.client_of(at), count);
     }
 
     /// The same of its orders to start and stop replicas.
--- a/crates/stonewheel-testing/src/members.rs
+++ b/crates/stonewheel-testing/src/members.rs
@@ -109,7 +109,7 @@
 
     /// A process's next transactions are carried out, but not answered.
     pub fn mute_state(&self, at: usize, count: u32) {
-        self.state.mute(&self.client(at), count);
+        self.state.lose_answers(&self.client(at), count);
     }
 
     /// A process's next calls to anything else are carried out, but not answered.
--- a/crates/stonewheel-testing/src/state.rs
+++ b/crates/stonewheel-testing/src/state.rs
@@ -236,7 +236,7 @@
         std::mem::take(&mut store.held)
     }
 
-    pub fn carry_out(&self, late: Vec<Transaction>) -> Vec<Result<u64, StateError>> {
+    pub fn execute(&self, late: Vec<Transaction>) -> Vec<Result<u64, StateError>> {
         let mut store = lock(&self.0);
         store.expire();
         late.iter().map(|txn| store.multi(txn)).collect()
@@ -247,7 +247,7 @@
     }
 
     /// The client's next transactions are carried out, but not answered.
-    pub fn mute(&self, client: &str, count: u32) {
+    pub fn lose_answers(&self, client: &str, count: u32) {
         lock(&self.0).mute.insert(client.into(), count);
     }
 
@@ -351,7 +351,7 @@
                         let state = self.store.clone();
                         tokio::spawn(async move {
                             sleep(delay).await;
-                            state.carry_out(vec![txn]);
+                            state.execute(vec![txn]);
                         });
                     }
                     true
--- a/tests/activation.rs
+++ b/tests/activation.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use common::{World, job, machine_at, no_rule_broken, state};
+use common::{TestDeployment, assert_no_violation, job, machine_at, state};
 use futures_util::future::BoxFuture;
 use serde_json::json;
 use stonewheel::{
@@ -47,7 +47,7 @@
 }
 
 /// A replica answers while its task runs on its machine.
-struct MemProbe(World);
+struct MemProbe(TestDeployment);
 
 impl ReplicaProbe for MemProbe {
     fn answers(&self, endpoint: SocketAddr, _: &str) -> BoxFuture<'_, bool> {
@@ -67,7 +67,7 @@
     fn machines_with(&self, job: &str) -> usize;
 }
 
-impl OwnJobs for World {
+impl OwnJobs for TestDeployment {
     fn jobs_of_our_own(&self) -> Vec<String> {
         let keys = self.state.keys("sp/a/j/");
         keys.iter().map(|key| key.trim_start_matches("sp/a/j/").to_owned()).collect()
@@ -81,18 +81,18 @@
 /// Three controllers with the part switched on, over the same fleet.
 #[derive(Clone)]
 struct Deployment {
-    world: World,
+    cluster: TestDeployment,
     activators: Arc<Mutex<BTreeMap<usize, Arc<Activator>>>>,
 }
 
 impl Deployment {
     /// `with`: the controllers that run the part.
     async fn new(machines: u32, with: &[usize]) -> Self {
-        let world = World::new(machines).await;
-        world.set_activation(Some(activation_settings()));
-        let deployment = Self { world, activators: Arc::default() };
+        let cluster = TestDeployment::new(machines).await;
+        cluster.set_activation(Some(activation_settings()));
+        let deployment = Self { cluster, activators: Arc::default() };
         for at in with {
-            deployment.world.kill_node(*at);
+            deployment.cluster.kill_node(*at);
             sleep(Duration::from_secs(5)).await;
             deployment.start(*at);
         }
@@ -101,20 +101,20 @@
     }
 
     fn start(&self, at: usize) {
-        self.world.start_node(at);
-        let probe = Arc::new(MemProbe(self.world.clone()));
-        let node = self.world.node(at);
+        self.cluster.start_node(at);
+        let probe = Arc::new(MemProbe(self.cluster.clone()));
+        let node = self.cluster.node(at);
         let coordinator = coordinator(&node);
-        tokio::spawn(coordinator.clone().run(self.world.stop_token(at)));
+        tokio::spawn(coordinator.clone().run(self.cluster.stop_token(at)));
         let activator = activator(&node, coordinator, probe, at as u64).expect("switched on");
-        tokio::spawn(activator.clone().run(self.world.stop_token(at)));
+        tokio::spawn(activator.clone().run(self.cluster.stop_token(at)));
         self.activators.lock().expect("not poisoned").insert(at, activator);
     }
 
     fn kill(&self, at: usize) {
-        self.world.kill_node(at);
+        self.cluster.kill_node(at);
         // It gives nothing back: its lease runs out by itself.
-        self.world.state.refuse(&format!("m-{at}"), true);
+        self.cluster.state.refuse(&format!("m-{at}"), true);
         self.activators.lock().expect("not poisoned").remove(&at);
     }
 
@@ -135,7 +135,7 @@
     }
 
     fn record(&self) -> serde_json::Value {
-        let text = self.world.state.value("sp/a/m/router").unwrap_or_else(|| "null".into());
+        let text = self.cluster.state.value("sp/a/m/router").unwrap_or_else(|| "null".into());
         serde_json::from_str(&text).expect("a record")
     }
 
@@ -151,21 +151,21 @@
     let deployment = Deployment::new(3, &[0, 1, 2]).await;
     let outcomes = deployment.burst(300).await;
     assert!(outcomes.iter().all(Result::is_ok), "{outcomes:?}");
-    let world = &deployment.world;
-    let jobs = world.jobs_of_our_own();
+    let cluster = &deployment.cluster;
+    let jobs = cluster.jobs_of_our_own();
     assert_eq!(jobs.len(), 1);
-    let status = world.ask(0, &jobs[0]).await;
+    let status = cluster.status(0, &jobs[0]).await;
     assert_eq!(state(&status), Some(JobState::Running));
     // Both replicas, each with its endpoint as soon as it answers.
     sleep(Duration::from_secs(20)).await;
     let endpoints = deployment.record()["state"]["active"]["stage"]["ready"]["endpoints"].clone();
-    assert_eq!(endpoints.as_array().map(Vec::len), Some(world.machines_with(&jobs[0])));
-    world.until("asleep", || deployment.record()["state"] == "asleep").await;
-    assert_eq!(world.jobs_of_our_own(), Vec::<String>::new());
+    assert_eq!(endpoints.as_array().map(Vec::len), Some(cluster.machines_with(&jobs[0])));
+    cluster.until("asleep", || deployment.record()["state"] == "asleep").await;
+    assert_eq!(cluster.jobs_of_our_own(), Vec::<String>::new());
     sleep(Duration::from_secs(3)).await;
-    assert_eq!(world.machines_with(&jobs[0]), 0);
-    assert_eq!(state(&world.ask(1, &jobs[0]).await), Some(JobState::Cancelled));
-    no_rule_broken(world);
+    assert_eq!(cluster.machines_with(&jobs[0]), 0);
+    assert_eq!(state(&cluster.status(1, &jobs[0]).await), Some(JobState::Cancelled));
+    assert_no_violation(cluster);
 }
 
 #[tokio::test(start_paused = true)]
@@ -184,19 +184,19 @@
         deployment.kill(owner);
         let outcomes = deployment.burst(20).await;
         assert!(outcomes.iter().all(Result::is_ok), "{after_ms} ms: {outcomes:?}");
-        assert_eq!(deployment.world.jobs_of_our_own().len(), 1, "{after_ms} ms");
+        assert_eq!(deployment.cluster.jobs_of_our_own().len(), 1, "{after_ms} ms");
         assert_eq!(deployment.record()["generation"], 1, "{after_ms} ms");
-        no_rule_broken(&deployment.world);
+        assert_no_violation(&deployment.cluster);
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_full_fleet_holds_requests_and_says_when_to_come_back() {
     let deployment = Deployment::new(1, &[0, 1, 2]).await;
-    let world = &deployment.world;
-    world.no_more_machines();
+    let cluster = &deployment.cluster;
+    cluster.exhaust_capacity();
     let rival = json!({"Shape": "service", "Spokes": 1, "Rank": "production", "Gpus": 8.0});
-    world.submit(0, "j-000001", rival).await.expect("accepted");
+    cluster.submit(0, "j-000001", rival).await.expect("accepted");
     sleep(Duration::from_secs(10)).await;
     let began = Instant::now();
     let outcomes = deployment.burst(3).await;
@@ -208,8 +208,8 @@
     );
     // `hold_s`, or once the attempts are used up.
     assert!(began.elapsed() <= Duration::from_secs(301), "{:?}", began.elapsed());
-    assert!(world.jobs_of_our_own().len() <= 1);
-    no_rule_broken(world);
+    assert!(cluster.jobs_of_our_own().len() <= 1);
+    assert_no_violation(cluster);
 }
 
 #[tokio::test(start_paused = true)]
@@ -218,20 +218,20 @@
     let deployment = Deployment::new(3, &[0, 1]).await;
     let outcomes = deployment.burst(40).await;
     assert!(outcomes.iter().all(Result::is_ok), "{outcomes:?}");
-    deployment.world.kill_node(2);
+    deployment.cluster.kill_node(2);
     sleep(Duration::from_secs(5)).await;
     deployment.start(2);
     sleep(Duration::from_secs(10)).await;
     let outcomes = deployment.burst(60).await;
     assert!(outcomes.iter().all(Result::is_ok), "{outcomes:?}");
-    assert_eq!(deployment.world.jobs_of_our_own().len(), 1);
-    no_rule_broken(&deployment.world);
+    assert_eq!(deployment.cluster.jobs_of_our_own().len(), 1);
+    assert_no_violation(&deployment.cluster);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_job_of_our_own_is_fenced_and_a_users_job_is_left_alone() {
-    let world = World::new(2).await;
-    let node = world.node(0);
+    let cluster = TestDeployment::new(2).await;
+    let node = cluster.node(0);
     let spec = |id: &str| {
         let body = job(id, json!({"Shape": "service", "Spokes": 1}));
         JobSpec::parse(&body).expect("valid")
@@ -240,42 +240,47 @@
         let raw = serde_json::value::RawValue::from_string(text.into()).expect("json");
         stonewheel::protocol::Write::Put { key: "sp/a/m/router".into(), value: raw, lease: None }
     };
-    world.state.commit(Vec::new(), vec![put("1")]).expect("committed");
-    let fence =
-        || Condition { key: "sp/a/m/router".into(), version: world.state.version("sp/a/m/router") };
+    cluster.state.commit(Vec::new(), vec![put("1")]).expect("committed");
+    let fence = || Condition {
+        key: "sp/a/m/router".into(),
+        version: cluster.state.version("sp/a/m/router"),
+    };
     // A user's job has the id.
-    world.submit(1, "j-000007", json!({"Shape": "service", "Spokes": 1})).await.expect("accepted");
+    cluster
+        .submit(1, "j-000007", json!({"Shape": "service", "Spokes": 1}))
+        .await
+        .expect("accepted");
     let reply = node.submit_owned(&spec("j-000007"), &fence(), "sp/a/j/j-000007").await;
     assert_eq!(reply, Ok(InternalJobReply::NameTaken));
     let reply = node.withdraw_owned("j-000007", &fence(), "sp/a/j/j-000007").await;
     assert_eq!(reply, Ok(InternalJobReply::Done), "there is nothing of ours");
-    assert_eq!(state(&world.ask(1, "j-000007").await), Some(JobState::Pending));
+    assert_eq!(state(&cluster.status(1, "j-000007").await), Some(JobState::Pending));
     // The record changes between the decision and the submission.
     let old = fence();
-    world.state.commit(Vec::new(), vec![put("2")]).expect("committed");
+    cluster.state.commit(Vec::new(), vec![put("2")]).expect("committed");
     let reply = node.submit_owned(&spec("j-000008"), &old, "sp/a/j/j-000008").await;
     assert_eq!(reply, Ok(InternalJobReply::Stale));
-    assert_eq!(state(&world.ask(1, "j-000008").await), None, "never accepted");
+    assert_eq!(state(&cluster.status(1, "j-000008").await), None, "never accepted");
     // The answer is lost, and the repeat finds the job.
-    world.state.mute("m-0", 1);
+    cluster.state.lose_answers("m-0", 1);
     let marker = "sp/a/j/j-000009";
     assert!(node.submit_owned(&spec("j-000009"), &fence(), marker).await.is_err());
     let reply = node.submit_owned(&spec("j-000009"), &fence(), marker).await;
     assert_eq!(reply, Ok(InternalJobReply::Done));
     let old = fence();
-    world.state.commit(Vec::new(), vec![put("3")]).expect("committed");
+    cluster.state.commit(Vec::new(), vec![put("3")]).expect("committed");
     assert_eq!(node.withdraw_owned("j-000009", &old, marker).await, Ok(InternalJobReply::Stale));
-    assert!(state(&world.ask(1, "j-000009").await) != Some(JobState::Cancelled));
-    world.state.mute("m-0", 1);
+    assert!(state(&cluster.status(1, "j-000009").await) != Some(JobState::Cancelled));
+    cluster.state.lose_answers("m-0", 1);
     let unsure = node.withdraw_owned("j-000009", &fence(), marker).await;
     assert!(unsure.is_err(), "{unsure:?}");
     assert_eq!(node.withdraw_owned("j-000009", &fence(), marker).await, Ok(InternalJobReply::Done));
-    assert_eq!(state(&world.ask(1, "j-000009").await), Some(JobState::Cancelled));
-    assert_eq!(world.state.value(marker), None);
+    assert_eq!(state(&cluster.status(1, "j-000009").await), Some(JobState::Cancelled));
+    assert_eq!(cluster.state.value(marker), None);
     // What can never run is said so.
     let body = job("j-000010", json!({"Shape": "service", "Crew": "nobody"}));
     let impossible = JobSpec::parse(&body).expect("valid");
     let reply = node.submit_owned(&impossible, &fence(), "sp/a/j/j-000010").await;
     assert_eq!(reply, Ok(InternalJobReply::Impossible("no such team".into())));
-    no_rule_broken(&world);
+    assert_no_violation(&cluster);
 }
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -36,7 +36,7 @@
     pub fn with(mut settings: Settings, tokens: TermTokens) -> Self {
         let mut watch_cache = WatchCache { loaded: true, ..WatchCache::default() };
         watch_cache.types = Some((1, Arc::new(vec![machine_type()])));
-        // Returning idle machines is no part of these stories.
+        // Returning idle machines is no part of these scenarios.
         settings.operator.idle_boots = 1e3;
         Self::over(settings, watch_cache, tokens)
     }
@@ -129,18 +129,24 @@
         }
     }
 
-    pub fn report_at(
+    pub fn heartbeat_at(
         &mut self,
         machine: &str,
         sequence: u64,
         incarnation: u64,
         tasks: &[TaskStatus],
     ) -> Vec<TaskCommand> {
-        self.report_showing(self.leader.token_for(machine), machine, sequence, incarnation, tasks)
+        self.heartbeat_with_token(
+            self.leader.token_for(machine),
+            machine,
+            sequence,
+            incarnation,
+            tasks,
+        )
     }
 
     /// A heartbeat of a worker whose highest token is `token`.
-    pub fn report_showing(
+    pub fn heartbeat_with_token(
         &mut self,
         token: u64,
         machine: &str,
@@ -148,7 +154,7 @@
         incarnation: u64,
         tasks: &[TaskStatus],
     ) -> Vec<TaskCommand> {
-        let heartbeat = report_of(machine, incarnation, sequence, token, tasks);
+        let heartbeat = heartbeat_of(machine, incarnation, sequence, token, tasks);
         self.leader.on_heartbeat(&heartbeat, self.now).expect("no higher token")
     }
 
@@ -161,7 +167,7 @@
         let sequence = self.sequences.entry(machine.into()).or_default();
         *sequence += 1;
         let sequence = *sequence;
-        self.report_at(machine, sequence, incarnation, tasks)
+        self.heartbeat_at(machine, sequence, incarnation, tasks)
     }
 
     pub fn page(&self, id: &str) -> Page {
@@ -181,7 +187,7 @@
 
 /// What a worker of the usual kind reports; its name begins with its zone if that
 /// is the second one.
-pub fn report_of(
+pub fn heartbeat_of(
     machine: &str,
     incarnation: u64,
     sequence: u64,
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{World, no_rule_broken, seconds};
+use common::{TestDeployment, assert_no_violation, seconds};
 use serde_json::json;
 use stonewheel::protocol::JobState;
 use tokio::time::{Instant, sleep};
@@ -24,22 +24,22 @@
 }
 
 async fn quiet_cost(machines: u64, replicas: u32, scale: f64) -> QuietCost {
-    let world = World::in_two_zones_scaled(0, scale).await;
+    let deployment = TestDeployment::in_two_zones_scaled(0, scale).await;
     for _ in 0..machines {
         // So that they don't all report at the same instant.
         sleep(Duration::from_secs(1) / u32::try_from(machines).expect("a few")).await;
-        world.add_machine("a");
+        deployment.add_machine("a");
     }
     let service = json!({"Shape": "service", "Spokes": replicas});
-    world.submit(0, "j-000001", service).await.expect("accepted");
+    deployment.submit(0, "j-000001", service).await.expect("accepted");
     seconds(30).await;
-    let leader = world.leader().expect("a leader");
-    let counters = || world.node(leader).leader_counters().expect("it leads");
-    let revision = || world.node(leader).watch_cache.lock().expect("not poisoned").revision;
+    let leader = deployment.leader().expect("a leader");
+    let counters = || deployment.node(leader).leader_counters().expect("it leads");
+    let revision = || deployment.node(leader).watch_cache.lock().expect("not poisoned").revision;
     let (before, began) = (counters(), revision());
     seconds(QUIET_SECONDS).await;
     let after = counters();
-    no_rule_broken(&world);
+    assert_no_violation(&deployment);
     QuietCost {
         heartbeats: after.heartbeats - before.heartbeats,
         reviewed: after.reviewed - before.reviewed,
@@ -78,15 +78,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_report_that_changes_something_is_acted_on_at_once() {
-    let world = World::new(1).await;
-    world.runs_for("j-000001", 4);
+    let deployment = TestDeployment::new(1).await;
+    deployment.runs_for("j-000001", 4);
     // Each task takes the whole machine, so every start waits for an exit.
     let fields = json!({"Spokes": 4, "Cores": 64.0, "Gpus": 8.0, "MemoryGb": 200.0});
-    world.no_more_machines();
-    world.submit(0, "j-000001", fields).await.expect("accepted");
+    deployment.exhaust_capacity();
+    deployment.submit(0, "j-000001", fields).await.expect("accepted");
     let begin = Instant::now();
-    world.until_state(0, "j-000001", JobState::Done).await;
+    deployment.until_state(0, "j-000001", JobState::Done).await;
     let took = begin.elapsed().as_secs_f64();
     assert!(took < 4.0 * 4.0 + 6.0, "{took} s for four tasks of four seconds");
-    no_rule_broken(&world);
+    assert_no_violation(&deployment);
 }
--- a/tests/deployment/jobs.rs
+++ b/tests/deployment/jobs.rs
@@ -1,7 +1,7 @@
 //! Life of a job: submission, idempotent repeats, ends, what users are told.
 
 use crate::common::seconds;
-use crate::common::{World, job};
+use crate::common::{TestDeployment, job};
 use serde_json::json;
 use stonewheel::{
     node::{Unavailable, UserReply},
@@ -21,84 +21,84 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_array_runs_to_its_end_and_leaves_one_small_record() {
-    let world = World::new(1).await;
-    world.runs_for("j-000001", 5);
+    let deployment = TestDeployment::new(1).await;
+    deployment.runs_for("j-000001", 5);
     let body = job("j-000001", json!({"Spokes": 5}));
-    assert!(created(&world.node(0).submit(&body).await));
-    world.until_state(1, "j-000001", JobState::Done).await;
+    assert!(created(&deployment.node(0).submit(&body).await));
+    deployment.until_state(1, "j-000001", JobState::Done).await;
     seconds(5).await;
-    assert_eq!(world.starts(), 5);
-    assert_eq!(world.state.keys("sw/j/"), [""; 0]);
-    assert_eq!(world.state.keys("sw/p/"), [""; 0]);
+    assert_eq!(deployment.starts(), 5);
+    assert_eq!(deployment.state.keys("sw/j/"), [""; 0]);
+    assert_eq!(deployment.state.keys("sw/p/"), [""; 0]);
     // A late repeat of the submission gets the end, not a new job.
-    assert_eq!(state(world.node(2).submit(&body).await), JobState::Done);
-    assert!(world.broken().is_empty());
+    assert_eq!(state(deployment.node(2).submit(&body).await), JobState::Done);
+    assert!(deployment.violations().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_to_a_submission_and_its_retry_at_another_controller_make_one_job() {
-    let world = World::new(1).await;
-    let follower = (world.leader().expect("a leader") + 1) % 3;
-    world.runs_for("j-000002", 3);
-    world.state.mute(&format!("m-{follower}"), 1);
+    let deployment = TestDeployment::new(1).await;
+    let follower = (deployment.leader().expect("a leader") + 1) % 3;
+    deployment.runs_for("j-000002", 3);
+    deployment.state.lose_answers(&format!("m-{follower}"), 1);
     let body = job("j-000002", json!({"Spokes": 1}));
     // The write was carried out unanswered; reading back finds it.
-    let told = state(world.node(follower).submit(&body).await);
+    let told = state(deployment.node(follower).submit(&body).await);
     assert!(matches!(told, JobState::Pending | JobState::Running));
     let other = (follower + 1) % 3;
-    let reply = world.node(other).submit(&body).await;
+    let reply = deployment.node(other).submit(&body).await;
     assert!(matches!(reply, Ok(UserReply::Known(_))));
-    world.until_state(other, "j-000002", JobState::Done).await;
-    assert_eq!(world.starts(), 1);
+    deployment.until_state(other, "j-000002", JobState::Done).await;
+    assert_eq!(deployment.starts(), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_first_end_wins_between_cancelled_and_done() {
-    let world = World::new(1).await;
-    world.runs_for("j-000003", 2);
+    let deployment = TestDeployment::new(1).await;
+    deployment.runs_for("j-000003", 2);
     let body = job("j-000003", json!({"Spokes": 1}));
-    assert!(created(&world.node(0).submit(&body).await));
+    assert!(created(&deployment.node(0).submit(&body).await));
     // Done stands in the store before any node's watch cache may know of it.
-    let version = world.state.version("sw/j/j-000003");
+    let version = deployment.state.version("sw/j/j-000003");
     assert!(version > 0);
-    world.until_state(0, "j-000003", JobState::Done).await;
+    deployment.until_state(0, "j-000003", JobState::Done).await;
     for node in 0..3 {
-        assert_eq!(state(world.node(node).cancel("j-000003").await), JobState::Done);
+        assert_eq!(state(deployment.node(node).cancel("j-000003").await), JobState::Done);
     }
     let again = job("j-000004", json!({"Shape": "service", "Spokes": 1}));
-    assert!(created(&world.node(0).submit(&again).await));
-    world.until("it runs", || !world.machines_of("j-000004").is_empty()).await;
-    assert_eq!(state(world.node(1).cancel("j-000004").await), JobState::Cancelled);
+    assert!(created(&deployment.node(0).submit(&again).await));
+    deployment.until("it runs", || !deployment.machines_of("j-000004").is_empty()).await;
+    assert_eq!(state(deployment.node(1).cancel("j-000004").await), JobState::Cancelled);
     for node in 0..3 {
-        assert_eq!(state(world.node(node).status("j-000004").await), JobState::Cancelled);
+        assert_eq!(state(deployment.node(node).status("j-000004").await), JobState::Cancelled);
     }
-    world.until("it is gone", || world.machines_of("j-000004").is_empty()).await;
+    deployment.until("it is gone", || deployment.machines_of("j-000004").is_empty()).await;
     seconds(20).await;
-    assert!(world.machines_of("j-000004").is_empty());
-    assert_eq!(world.state.keys("sw/p/"), [""; 0]);
+    assert!(deployment.machines_of("j-000004").is_empty());
+    assert_eq!(deployment.state.keys("sw/p/"), [""; 0]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn reads_after_a_failover_are_not_older_than_earlier_answers() {
-    let world = World::new(1).await;
+    let deployment = TestDeployment::new(1).await;
     for round in 0..6 {
         let id = format!("j-0001{round:02}");
         let body = job(&id, json!({"Shape": "service", "Spokes": 1}));
-        let first = world.node(round % 3).submit(&body).await;
+        let first = deployment.node(round % 3).submit(&body).await;
         assert!(created(&first));
         // At once, on every node: whatever the watch has brought so far.
         for node in 0..3 {
-            assert_ne!(world.node(node).status(&id).await, Ok(UserReply::Unknown));
+            assert_ne!(deployment.node(node).status(&id).await, Ok(UserReply::Unknown));
         }
-        assert_eq!(state(world.node((round + 1) % 3).cancel(&id).await), JobState::Cancelled);
+        assert_eq!(state(deployment.node((round + 1) % 3).cancel(&id).await), JobState::Cancelled);
         for node in 0..3 {
-            assert_eq!(state(world.node(node).status(&id).await), JobState::Cancelled);
+            assert_eq!(state(deployment.node(node).status(&id).await), JobState::Cancelled);
         }
         if round == 2 {
-            let leader = world.leader().expect("a leader");
-            world.kill_node(leader);
+            let leader = deployment.leader().expect("a leader");
+            deployment.kill_node(leader);
             seconds(1).await;
-            world.start_node(leader);
+            deployment.start_node(leader);
             seconds(8).await;
         }
     }
@@ -106,38 +106,38 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_machine_that_fails_its_tasks_does_not_stall_a_job() {
-    let world = World::new(2).await;
+    let deployment = TestDeployment::new(2).await;
     seconds(5).await;
-    world.set_failing("n-000001");
-    world.runs_for("j-000013", 4);
-    assert!(created(&world.node(0).submit(&job("j-000013", json!({"Spokes": 10}))).await));
-    world.until_state(0, "j-000013", JobState::Done).await;
-    assert!(world.broken().is_empty());
+    deployment.set_failing("n-000001");
+    deployment.runs_for("j-000013", 4);
+    assert!(created(&deployment.node(0).submit(&job("j-000013", json!({"Spokes": 10}))).await));
+    deployment.until_state(0, "j-000013", JobState::Done).await;
+    assert!(deployment.violations().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_huge_array_is_stored_in_values_that_fit_and_continues_after_a_failover() {
-    let world = World::new(2).await;
-    world.runs_for("j-000014", 1_000);
+    let deployment = TestDeployment::new(2).await;
+    deployment.runs_for("j-000014", 1_000);
     let body = job("j-000014", json!({"Spokes": 100_000, "Crew": "red"}));
-    assert!(created(&world.node(0).submit(&body).await));
+    assert!(created(&deployment.node(0).submit(&body).await));
     // Its team's limit is 16 GPUs, so 16 tasks run.
-    world.until("it fills its limit", || world.starts() == 16).await;
-    let old = world.leader().expect("a leader");
-    world.kill_node(old);
+    deployment.until("it fills its limit", || deployment.starts() == 16).await;
+    let old = deployment.leader().expect("a leader");
+    deployment.kill_node(old);
     seconds(30).await;
-    assert_eq!(world.starts(), 16, "the limit holds over a takeover");
+    assert_eq!(deployment.starts(), 16, "the limit holds over a takeover");
     let node = (old + 1) % 3;
-    assert_eq!(state(world.node(node).cancel("j-000014").await), JobState::Cancelled);
-    world.until("it is gone", || world.machines_of("j-000014").is_empty()).await;
-    world.until("its records are dropped", || world.state.keys("sw/p/").is_empty()).await;
-    assert!(world.broken().is_empty());
+    assert_eq!(state(deployment.node(node).cancel("j-000014").await), JobState::Cancelled);
+    deployment.until("it is gone", || deployment.machines_of("j-000014").is_empty()).await;
+    deployment.until("its records are dropped", || deployment.state.keys("sw/p/").is_empty()).await;
+    assert!(deployment.violations().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn bad_submissions_are_distinguished() {
-    let world = World::new(1).await;
-    let node = world.node(0);
+    let deployment = TestDeployment::new(1).await;
+    let node = deployment.node(0);
     let malformed = [
         b"not json".to_vec(),
         b"[]".to_vec(),
--- a/tests/deployment/listeners.rs
+++ b/tests/deployment/listeners.rs
@@ -1,7 +1,7 @@
 //! Sockets, overload and the writer under conflicts.
 
 use crate::common::seconds;
-use crate::common::{World, job};
+use crate::common::{TestDeployment, job};
 use crate::jobs::created;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -43,10 +43,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_conflict_takes_out_one_change_and_commits_the_others() {
-    let world = World::new(1).await;
-    let node = world.node(0);
+    let deployment = TestDeployment::new(1).await;
+    let node = deployment.node(0);
     let raw = |text: &str| store::value(&text).expect("json");
-    world
+    deployment
         .state
         .commit(
             Vec::new(),
@@ -59,7 +59,7 @@
     assert!(created(&one) && created(&three));
     assert!(!created(&two), "its end record stands already");
     let condition = Condition { key: "sw/e/j-7".into(), version: 1 };
-    assert!(world.state.commit(vec![condition], Vec::new()).is_err());
+    assert!(deployment.state.commit(vec![condition], Vec::new()).is_err());
 }
 
 /// One request to a node's routes: the status, `Retry-After`, and how long the
@@ -74,11 +74,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn overload_is_refused_early_and_heartbeats_take_precedence() {
-    let world = World::new(3).await;
-    let leader = world.leader().expect("a leader");
-    let node = world.node(leader);
+    let deployment = TestDeployment::new(3).await;
+    let leader = deployment.leader().expect("a leader");
+    let node = deployment.node(leader);
     // Every write takes a second, and far more users come than can be served.
-    world.state.mute(&format!("m-{leader}"), 1000);
+    deployment.state.lose_answers(&format!("m-{leader}"), 1000);
     let limit = node.admission.limit();
     let crowd: Vec<_> = (0..4 * limit)
         .map(|n| {
@@ -107,21 +107,21 @@
     assert!(!accepted.is_empty());
     assert!(node.admission.limit() < limit, "slow answers shrink the limit");
     // When the store is quick again, all that was accepted runs.
-    world.state.mute(&format!("m-{leader}"), 0);
+    deployment.state.lose_answers(&format!("m-{leader}"), 0);
     for id in &accepted {
-        world.runs_for(id, 1);
+        deployment.runs_for(id, 1);
     }
     for id in &accepted {
-        world.until_state((leader + 1) % 3, id, JobState::Done).await;
+        deployment.until_state((leader + 1) % 3, id, JobState::Done).await;
     }
-    assert!(world.broken().is_empty(), "{:?}", world.broken());
+    assert!(deployment.violations().is_empty(), "{:?}", deployment.violations());
 }
 
 /// Runs in real time, since it has real connections.
 #[tokio::test]
 async fn unfinished_frames_on_many_links_are_bounded_and_links_are_released() {
-    let world = World::new(0).await;
-    let node = world.node(0);
+    let deployment = TestDeployment::new(0).await;
+    let node = deployment.node(0);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let stop = CancellationToken::new();
@@ -133,7 +133,7 @@
         link.write_all(&1024_u32.to_be_bytes()).await.expect("sent");
         unfinished.push(link);
     }
-    let mut heartbeat = world.node(1).controller_heartbeat("m-0");
+    let mut heartbeat = deployment.node(1).controller_heartbeat("m-0");
     heartbeat.member = "m-9".into();
     let frame = peers::encode(peers::Message::new(heartbeat, peers::MIN_FRAME_LIMIT));
     let mut link = TcpStream::connect(address).await.expect("the system takes it");
--- a/tests/fault_scenarios/main.rs
+++ b/tests/fault_scenarios/main.rs
@@ -1,5 +1,5 @@
 //! Fault scenarios, as in the table of `docs/design.md`: two faults that are harmless alone,
-//! together. The simulated deployment checks the rules by itself (`World::broken`).
+//! together. The simulated deployment checks the rules by itself (`TestDeployment::broken`).
 
 #[allow(dead_code)] // Each test binary uses its own part.
 #[path = "../common/mod.rs"]
--- a/tests/fault_scenarios/requests.rs
+++ b/tests/fault_scenarios/requests.rs
@@ -1,6 +1,6 @@
 //! Users' requests at the moment of an end, overload by urgent work, malformed requests.
 
-use crate::common::{World, no_rule_broken, seconds, state};
+use crate::common::{TestDeployment, assert_no_violation, seconds, state};
 use serde_json::json;
 use std::time::Duration;
 use stonewheel::{node::UserReply, protocol::JobState, store};
@@ -9,78 +9,81 @@
 #[tokio::test(start_paused = true)]
 async fn urgent_work_gets_capacity_that_is_too_little_for_all() {
     // The cloud has no more; the state service is slow.
-    let world = World::new(2).await;
-    world.no_more_machines();
-    world.state.set_slow(Duration::from_millis(200));
+    let deployment = TestDeployment::new(2).await;
+    deployment.exhaust_capacity();
+    deployment.state.set_slow(Duration::from_millis(200));
     let many = json!({"Spokes": 40, "Gpus": 1.0, "Rank": "best_effort", "NotchS": 5.0});
-    world.runs_for("j-000001", 15);
-    world.runs_for("j-000003", 15);
-    assert!(state(&world.submit(0, "j-000001", many).await).is_some());
-    world.until("the fleet is full", || world.starts() >= 16).await;
+    deployment.runs_for("j-000001", 15);
+    deployment.runs_for("j-000003", 15);
+    assert!(state(&deployment.submit(0, "j-000001", many).await).is_some());
+    deployment.until("the fleet is full", || deployment.starts() >= 16).await;
     let gang = json!({"Shape": "ensemble", "Spokes": 2, "Gpus": 8.0, "Rank": "high"});
     let asked = Instant::now();
-    assert!(state(&world.submit(1, "j-000003", gang).await).is_some());
-    world.until_state(2, "j-000003", JobState::Running).await;
+    assert!(state(&deployment.submit(1, "j-000003", gang).await).is_some());
+    deployment.until_state(2, "j-000003", JobState::Running).await;
     assert!(asked.elapsed() < Duration::from_secs(30), "urgent work waited {:?}", asked.elapsed());
-    world.until_state(0, "j-000003", JobState::Done).await;
-    world.until_state(1, "j-000001", JobState::Done).await;
-    no_rule_broken(&world);
+    deployment.until_state(0, "j-000003", JobState::Done).await;
+    deployment.until_state(1, "j-000001", JobState::Done).await;
+    assert_no_violation(&deployment);
 }
 
 #[tokio::test(start_paused = true)]
 async fn cancel_poll_and_repeat_at_the_very_end_agree() {
     // Over a second around the end, in steps, on different nodes at once.
-    let world = World::new(2).await;
+    let deployment = TestDeployment::new(2).await;
     for step in 0..20_u32 {
         let id = format!("j-0000{:02}", step + 10);
-        world.runs_for(&id, 3);
-        let starts = world.starts();
-        assert!(state(&world.submit(0, &id, json!({"Spokes": 2})).await).is_some());
-        world.until("it runs", || world.starts() == starts + 2).await;
+        deployment.runs_for(&id, 3);
+        let starts = deployment.starts();
+        assert!(state(&deployment.submit(0, &id, json!({"Spokes": 2})).await).is_some());
+        deployment.until("it runs", || deployment.starts() == starts + 2).await;
         // A slow answer widens the moment in which both ends are under way.
-        world.state.set_slow(Duration::from_millis(u64::from(step % 2) * 200));
+        deployment.state.set_slow(Duration::from_millis(u64::from(step % 2) * 200));
         sleep(Duration::from_millis(2500 + 120 * u64::from(step))).await;
         let (a, b, c) = tokio::join!(
-            world.cancel((step as usize) % 3, &id),
-            world.ask((step as usize + 1) % 3, &id),
-            world.submit((step as usize + 2) % 3, &id, json!({"Spokes": 2})),
+            deployment.cancel((step as usize) % 3, &id),
+            deployment.status((step as usize + 1) % 3, &id),
+            deployment.submit((step as usize + 2) % 3, &id, json!({"Spokes": 2})),
         );
         assert!(a.is_ok() && b.is_ok() && c.is_ok());
         let end = state(&a).expect("an end");
         assert!(matches!(end, JobState::Done | JobState::Cancelled), "{end:?}");
         // One record of the end, which later processes will read.
-        let record = world.state.value(&store::end_key(&id)).expect("an end record");
+        let record = deployment.state.value(&store::end_key(&id)).expect("an end record");
         let record: store::JobEnd = serde_json::from_str(&record).expect("an end");
         assert_eq!(record.state, end);
         for node in 0..3 {
-            assert_eq!(state(&world.ask(node, &id).await), Some(end));
-            assert_eq!(state(&world.cancel(node, &id).await), Some(end));
-            assert_eq!(state(&world.submit(node, &id, json!({})).await), Some(end));
+            assert_eq!(state(&deployment.status(node, &id).await), Some(end));
+            assert_eq!(state(&deployment.cancel(node, &id).await), Some(end));
+            assert_eq!(state(&deployment.submit(node, &id, json!({})).await), Some(end));
         }
     }
     seconds(40).await;
-    no_rule_broken(&world);
+    assert_no_violation(&deployment);
 }
 
 #[tokio::test(start_paused = true)]
 async fn malformed_requests_touch_no_record() {
-    let world = World::new(1).await;
+    let deployment = TestDeployment::new(1).await;
     let service = json!({"Shape": "service", "Spokes": 1});
-    assert!(state(&world.submit(0, "j-000001", service).await).is_some());
-    world.until_state(0, "j-000001", JobState::Running).await;
-    world.runs_for("j-000002", 1);
-    assert!(state(&world.submit(0, "j-000002", json!({})).await).is_some());
-    world.until_state(0, "j-000002", JobState::Done).await;
-    let keys = world.state.keys("sw/");
+    assert!(state(&deployment.submit(0, "j-000001", service).await).is_some());
+    deployment.until_state(0, "j-000001", JobState::Running).await;
+    deployment.runs_for("j-000002", 1);
+    assert!(state(&deployment.submit(0, "j-000002", json!({})).await).is_some());
+    deployment.until_state(0, "j-000002", JobState::Done).await;
+    let keys = deployment.state.keys("sw/");
     for node in 0..3 {
         // A known job stays accepted whatever its repeat looks like.
         for odd in [json!({"Spokes": 9}), json!({"Crew": "nobody"}), json!({"Spokes": null})] {
-            let reply = world.submit(node, "j-000001", odd.clone()).await;
+            let reply = deployment.submit(node, "j-000001", odd.clone()).await;
             assert_eq!(state(&reply), Some(JobState::Running), "{odd}");
-            assert_eq!(state(&world.submit(node, "j-000002", odd).await), Some(JobState::Done));
+            assert_eq!(
+                state(&deployment.submit(node, "j-000002", odd).await),
+                Some(JobState::Done)
+            );
         }
-        assert_eq!(state(&world.cancel(node, "j-000002").await), Some(JobState::Done));
-        assert_eq!(world.cancel(node, "j-000009").await, Ok(UserReply::Unknown));
+        assert_eq!(state(&deployment.cancel(node, "j-000002").await), Some(JobState::Done));
+        assert_eq!(deployment.cancel(node, "j-000009").await, Ok(UserReply::Unknown));
         for bad in [
             json!({"Spokes": -1}),
             json!({"Spokes": 1.5}),
@@ -96,7 +99,7 @@
             json!({"Mould": ""}),
             json!({"Together": null}),
         ] {
-            let reply = world.submit(node, "j-000008", bad.clone()).await;
+            let reply = deployment.submit(node, "j-000008", bad.clone()).await;
             assert!(matches!(reply, Ok(UserReply::Malformed(_))), "{bad}: {reply:?}");
         }
         for never in [
@@ -107,23 +110,23 @@
             json!({"Yard": "z"}),
             json!({"Crew": "red", "Shape": "service", "Spokes": 17}),
         ] {
-            let reply = world.submit(node, "j-000008", never.clone()).await;
+            let reply = deployment.submit(node, "j-000008", never.clone()).await;
             assert!(matches!(reply, Ok(UserReply::Impossible(_))), "{never}: {reply:?}");
         }
         for field in ["Grain", "Crew", "Shape", "Rank", "Spokes", "Cores", "Gpus", "MemoryGb"] {
             let mut body: serde_json::Value =
                 serde_json::from_slice(&crate::common::job("j-000008", json!({}))).expect("json");
             body.as_object_mut().expect("an object").remove(field);
-            let reply = world.node(node).submit(body.to_string().as_bytes()).await;
+            let reply = deployment.node(node).submit(body.to_string().as_bytes()).await;
             assert!(matches!(reply, Ok(UserReply::Malformed(_))), "without {field}: {reply:?}");
         }
         let twice = br#"{"Ref":"j-000008","Ref":"j-000008"}"#;
         for body in [&twice[..], b"[]", b"null", b"", b"{", br#"{"Ref":7}"#] {
-            let reply = world.node(node).submit(body).await;
+            let reply = deployment.node(node).submit(body).await;
             assert!(matches!(reply, Ok(UserReply::Malformed(_))), "{reply:?}");
         }
-        assert_eq!(world.ask(node, "j-000008").await, Ok(UserReply::Unknown));
+        assert_eq!(deployment.status(node, "j-000008").await, Ok(UserReply::Unknown));
     }
-    assert_eq!(world.state.keys("sw/"), keys);
-    no_rule_broken(&world);
+    assert_eq!(deployment.state.keys("sw/"), keys);
+    assert_no_violation(&deployment);
 }
--- a/tests/guest_array.rs
+++ b/tests/guest_array.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Mutex;
 
-use common::{World, leader_harness::LeaderHarness, no_rule_broken, seconds};
+use common::{TestDeployment, assert_no_violation, leader_harness::LeaderHarness, seconds};
 use serde_json::json;
 use stonewheel::protocol::JobState;
 
@@ -25,7 +25,7 @@
 
 /// A fleet of 100 machines, an array of 25,000 small tasks and 800 jobs of one
 /// task; whether the cloud has more machines decides how much room there is.
-fn swarm_beside_a_huge_array(sold_out: bool) -> LeaderHarness {
+fn swarm_beside_a_huge_array(no_capacity: bool) -> LeaderHarness {
     let mut harness = LeaderHarness::new(5);
     let report_all = |harness: &mut LeaderHarness| {
         for number in 0..100 {
@@ -42,7 +42,7 @@
     }
     for _ in 0..3 {
         for rental in harness.leader.take_rentals() {
-            let rented = (!sold_out).then(Vec::new);
+            let rented = (!no_capacity).then(Vec::new);
             harness.leader.rented(&rental, rented, harness.now);
         }
         harness.pass(5.0);
@@ -60,8 +60,8 @@
     const LIMIT: usize = 24 << 20;
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let before = peak_bytes();
-    for sold_out in [false, true] {
-        runtime.block_on(async { drop(swarm_beside_a_huge_array(sold_out)) });
+    for no_capacity in [false, true] {
+        runtime.block_on(async { drop(swarm_beside_a_huge_array(no_capacity)) });
     }
     let held = peak_bytes().saturating_sub(before);
     assert!(held < LIMIT, "{} KiB", held / KIB);
@@ -94,21 +94,21 @@
     let runtime = builder.enable_all().start_paused(true).build().expect("a runtime");
     runtime.block_on(async {
         const TASKS: u32 = 20_000;
-        let world = World::new(16).await;
-        world.no_more_machines();
-        world.runs_for("j-000001", 8);
+        let deployment = TestDeployment::new(16).await;
+        deployment.exhaust_capacity();
+        deployment.runs_for("j-000001", 8);
         let fields = json!({"Spokes": TASKS, "Cores": 0.25, "Gpus": 0.0, "MemoryGb": 1.0});
-        world.submit(0, "j-000001", fields).await.expect("accepted");
+        deployment.submit(0, "j-000001", fields).await.expect("accepted");
         for share in [4, 2] {
-            world.until("part of it ran", || world.starts() > TASKS / share).await;
-            let leader = world.leader().expect("a leader");
-            world.kill_node(leader);
+            deployment.until("part of it ran", || deployment.starts() > TASKS / share).await;
+            let leader = deployment.leader().expect("a leader");
+            deployment.kill_node(leader);
             seconds(5).await;
-            world.start_node(leader);
+            deployment.start_node(leader);
         }
-        let asked = world.leader().expect("a leader");
-        world.until_state(asked, "j-000001", JobState::Done).await;
-        assert_eq!(world.starts(), TASKS, "each task started once");
-        no_rule_broken(&world);
+        let asked = deployment.leader().expect("a leader");
+        deployment.until_state(asked, "j-000001", JobState::Done).await;
+        assert_eq!(deployment.starts(), TASKS, "each task started once");
+        assert_no_violation(&deployment);
     });
 }
--- a/tests/late_commands/cancelled_tasks.rs
+++ b/tests/late_commands/cancelled_tasks.rs
@@ -1,6 +1,6 @@
 //! Machines that may still run tasks of cancelled jobs are returned in time.
 
-use crate::common::{World, leader_harness::LeaderHarness, seconds, state};
+use crate::common::{TestDeployment, leader_harness::LeaderHarness, seconds, state};
 use crate::open_starts::no_answer;
 use crate::open_starts::one_task;
 use crate::open_starts::send_one;
@@ -61,32 +61,34 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_leader_counts_from_the_confirmation() {
     // Leaders change again and again; none has half of the limit to itself.
-    let world = World::new(1).await;
-    let machine = world.machines()[0].clone();
+    let deployment = TestDeployment::new(1).await;
+    let machine = deployment.machines()[0].clone();
     seconds(5).await;
     let body = json!({"Shape": "service", "Spokes": 1});
-    assert!(state(&world.submit(0, "j-000001", body).await).is_some());
-    world.until("it runs", || world.starts() == 1).await;
+    assert!(state(&deployment.submit(0, "j-000001", body).await).is_some());
+    deployment.until("it runs", || deployment.starts() == 1).await;
     seconds(2).await;
     // The machine hears nobody: the test goes on reporting in its place.
-    let mut heartbeat = world.last_report(&machine);
-    world.cut(&machine, &[0, 1, 2]);
-    assert_eq!(state(&world.cancel(0, "j-000001").await), Some(JobState::Cancelled));
+    let mut heartbeat = deployment.last_heartbeat(&machine);
+    deployment.partition(&machine, &[0, 1, 2]);
+    assert_eq!(state(&deployment.cancel(0, "j-000001").await), Some(JobState::Cancelled));
     let told = Instant::now();
-    let mut leader = world.leader().expect("a leader");
+    let mut leader = deployment.leader().expect("a leader");
     assert_eq!(heartbeat.tasks.len(), 1);
-    while world.machines().contains(&machine) {
+    while deployment.machines().contains(&machine) {
         assert!(told.elapsed() < Duration::from_secs(24), "too late");
         for _ in 0..8 {
             seconds(1).await;
-            if let Some(node) = world.leader().and_then(|l| world.running_node(l)) {
+            if let Some(node) = deployment.leader().and_then(|l| deployment.running_node(l)) {
                 heartbeat.sequence += 1;
-                let _ = world.node(node).heartbeat(&heartbeat);
+                let _ = deployment.node(node).heartbeat(&heartbeat);
             }
         }
-        world.kill_node(leader);
-        world.until("another leads", || world.leader().is_some_and(|l| l != leader)).await;
-        world.start_node(leader);
-        leader = world.leader().expect("a leader");
+        deployment.kill_node(leader);
+        deployment
+            .until("another leads", || deployment.leader().is_some_and(|l| l != leader))
+            .await;
+        deployment.start_node(leader);
+        leader = deployment.leader().expect("a leader");
     }
 }
--- a/tests/late_commands/direct_calls.rs
+++ b/tests/late_commands/direct_calls.rs
@@ -1,9 +1,9 @@
 //! How many direct commands leave, to whom, and when none may.
 
 use crate::common::{
-    World,
+    TestDeployment, assert_no_violation,
     leader_harness::{LeaderHarness, ops},
-    no_rule_broken, seconds, settings, state,
+    seconds, settings, state,
 };
 use crate::open_starts::no_answer;
 use crate::open_starts::one_task;
@@ -82,9 +82,13 @@
 }
 
 /// The starts in a controller's answer to the next report of a machine.
-fn starts_in_answer(world: &World, node: usize, heartbeat: &mut WorkerHeartbeat) -> usize {
+fn starts_in_answer(
+    deployment: &TestDeployment,
+    node: usize,
+    heartbeat: &mut WorkerHeartbeat,
+) -> usize {
     heartbeat.sequence += 1;
-    match world.node(node).heartbeat(heartbeat) {
+    match deployment.node(node).heartbeat(heartbeat) {
         HeartbeatReply::Commands { commands, .. } => ops(&commands, CommandKind::Start).len(),
         HeartbeatReply::Redirect(_) => 0,
     }
@@ -92,29 +96,29 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_leader_whose_knowledge_of_cancellations_is_old_starts_nothing() {
-    let world = World::new(1).await;
-    let old = world.leader().expect("a leader");
+    let deployment = TestDeployment::new(1).await;
+    let old = deployment.leader().expect("a leader");
     let other = (old + 1) % 3;
-    let machine = world.machines()[0].clone();
+    let machine = deployment.machines()[0].clone();
     // From here on the test speaks for the machine.
     seconds(5).await;
-    let mut heartbeat = world.last_report(&machine);
+    let mut heartbeat = deployment.last_heartbeat(&machine);
     heartbeat.token = heartbeat.token.max(1);
-    world.cut(&machine, &[0, 1, 2]);
-    assert!(state(&world.submit(old, "j-000001", json!({"Spokes": 1})).await).is_some());
-    world.until("it is placed", || !world.state.keys("sw/p/").is_empty()).await;
+    deployment.partition(&machine, &[0, 1, 2]);
+    assert!(state(&deployment.submit(old, "j-000001", json!({"Spokes": 1})).await).is_some());
+    deployment.until("it is placed", || !deployment.state.keys("sw/p/").is_empty()).await;
     sleep(Duration::from_millis(300)).await;
-    assert_eq!(starts_in_answer(&world, old, &mut heartbeat), 1);
+    assert_eq!(starts_in_answer(&deployment, old, &mut heartbeat), 1);
     // The leader alone can't learn of the cancellation.
-    world.sever(old);
-    world.state.refuse(&format!("m-{old}"), true);
+    deployment.disconnect(old);
+    deployment.state.refuse(&format!("m-{old}"), true);
     seconds(1).await;
-    assert_eq!(state(&world.cancel(other, "j-000001").await), Some(JobState::Cancelled));
-    let lease = world.node(old).settings.leader_lease();
+    assert_eq!(state(&deployment.cancel(other, "j-000001").await), Some(JobState::Cancelled));
+    let lease = deployment.node(old).settings.leader_lease();
     sleep(lease).await;
     for _ in 0..3 {
-        assert_eq!(starts_in_answer(&world, old, &mut heartbeat), 0, "its user was told");
+        assert_eq!(starts_in_answer(&deployment, old, &mut heartbeat), 0, "its user was told");
         sleep(Duration::from_millis(300)).await;
     }
-    no_rule_broken(&world);
+    assert_no_violation(&deployment);
 }
--- a/tests/late_commands/open_starts.rs
+++ b/tests/late_commands/open_starts.rs
@@ -1,8 +1,8 @@
 //! Direct starts without an answer.
 
 use crate::common::{
-    World,
-    leader_harness::{LeaderHarness, exited, ops, report_of, running},
+    TestDeployment,
+    leader_harness::{LeaderHarness, exited, heartbeat_of, ops, running},
     seconds, settings, state,
 };
 use serde_json::json;
@@ -25,7 +25,7 @@
     tasks: &[TaskStatus],
 ) {
     let token = harness.leader.token_for(&sent.machine);
-    let heartbeat = report_of(&sent.machine, sent.commands.incarnation, sequence, token, tasks);
+    let heartbeat = heartbeat_of(&sent.machine, sent.commands.incarnation, sequence, token, tasks);
     let outcome = DirectOutcome::Answered(&heartbeat);
     harness.leader.on_direct(sent, outcome, harness.now).expect("leads");
     harness.sequences.insert(sent.machine.to_string(), sequence);
@@ -129,12 +129,12 @@
     assert!(harness.leader.token_for("n-1") > first.commands.token);
     harness.cancel("j-000001");
     // The worker has not heard of the token yet: the start may still arrive.
-    assert!(harness.report_showing(first.commands.token, "n-1", 10, 1, &[]).is_empty());
+    assert!(harness.heartbeat_with_token(first.commands.token, "n-1", 10, 1, &[]).is_empty());
     harness.settle();
     assert_eq!(harness.bound("j-000001").len(), 1);
     // Now it has, and refuses the start: the task is gone and so is the job.
     let token = harness.leader.token_for("n-1");
-    harness.report_showing(token, "n-1", 11, 1, &[]);
+    harness.heartbeat_with_token(token, "n-1", 11, 1, &[]);
     harness.settle();
     assert!(harness.bound("j-000001").is_empty());
     assert!(!harness.watch_cache.jobs.contains_key("j-000001"));
@@ -156,39 +156,40 @@
 
 #[tokio::test(start_paused = true)]
 async fn tokens_of_one_term_never_reach_the_next() {
-    let world = World::new(1).await;
-    let old = world.leader().expect("a leader");
-    let first: u64 = world.state.value("sw/token").and_then(|t| t.parse().ok()).expect("a token");
-    world.kill_node(old);
-    world.until("another leads", || world.leader().is_some_and(|l| l != old)).await;
+    let deployment = TestDeployment::new(1).await;
+    let old = deployment.leader().expect("a leader");
+    let first: u64 =
+        deployment.state.value("sw/token").and_then(|t| t.parse().ok()).expect("a token");
+    deployment.kill_node(old);
+    deployment.until("another leads", || deployment.leader().is_some_and(|l| l != old)).await;
     let lead: serde_json::Value =
-        serde_json::from_str(&world.state.value("sw/lead").expect("a leader")).expect("json");
+        serde_json::from_str(&deployment.state.value("sw/lead").expect("a leader")).expect("json");
     let next = lead["token"].as_u64().expect("a token");
     assert_eq!(next, first + 1);
     // The record holds the last token of the range, not the first.
-    let last = world.state.value("sw/token").and_then(|t| t.parse().ok());
+    let last = deployment.state.value("sw/token").and_then(|t| t.parse().ok());
     assert_eq!(last, Some(TermTokens::starting_at(next).last()));
     assert!(last > Some(next));
 }
 
 #[tokio::test(start_paused = true)]
 async fn responses_to_heartbeats_carry_the_raised_token() {
-    let world = World::new(1).await;
-    let leader = world.leader().expect("a leader");
-    let machine = world.machines()[0].clone();
+    let deployment = TestDeployment::new(1).await;
+    let leader = deployment.leader().expect("a leader");
+    let machine = deployment.machines()[0].clone();
     seconds(5).await;
-    let mut heartbeat = world.last_report(&machine);
+    let mut heartbeat = deployment.last_heartbeat(&machine);
     // Nothing that is sent directly gets an answer; the test speaks for the worker.
-    world.cut(&machine, &[0, 1, 2]);
-    assert!(state(&world.submit(leader, "j-000001", json!({"Spokes": 1})).await).is_some());
+    deployment.partition(&machine, &[0, 1, 2]);
+    assert!(state(&deployment.submit(leader, "j-000001", json!({"Spokes": 1})).await).is_some());
     for _ in 0..3 {
         heartbeat.sequence += 1;
-        let _ = world.node(leader).heartbeat(&heartbeat);
+        let _ = deployment.node(leader).heartbeat(&heartbeat);
         seconds(1).await;
     }
     heartbeat.sequence += 1;
     let first = heartbeat.token;
-    let reply = world.node(leader).heartbeat(&heartbeat);
+    let reply = deployment.node(leader).heartbeat(&heartbeat);
     assert!(
         matches!(&reply, HeartbeatReply::Commands { token, .. } if *token > first),
         "{reply:?}"
--- a/tests/late_commands/record_deletion.rs
+++ b/tests/late_commands/record_deletion.rs
@@ -1,6 +1,8 @@
 //! Records of ended jobs are deleted whole, and readings miss none.
 
-use crate::common::{World, leader_harness::LeaderHarness, no_rule_broken, seconds, state};
+use crate::common::{
+    TestDeployment, assert_no_violation, leader_harness::LeaderHarness, seconds, state,
+};
 use serde_json::json;
 use std::time::Duration;
 use stonewheel::{
@@ -78,50 +80,50 @@
 #[tokio::test(start_paused = true)]
 async fn a_reading_that_overlaps_cancellations_forgets_no_dependant() {
     // Chains are cancelled while every controller reads all records again.
-    let world = World::new(2).await;
-    world.runs_for("j-000001", 500);
+    let deployment = TestDeployment::new(2).await;
+    deployment.runs_for("j-000001", 500);
     let mut ids = vec!["j-000001".to_owned()];
-    assert!(state(&world.submit(0, "j-000001", json!({})).await).is_some());
+    assert!(state(&deployment.submit(0, "j-000001", json!({})).await).is_some());
     for number in 2..120 {
         let id = format!("j-{number:06}");
         let needs = json!({"Awaits": [ids[ids.len() / 2]]});
-        assert!(state(&world.submit(number % 3, &id, needs).await).is_some());
+        assert!(state(&deployment.submit(number % 3, &id, needs).await).is_some());
         ids.push(id);
     }
-    assert_eq!(state(&world.cancel(0, "j-000001").await), Some(JobState::Cancelled));
+    assert_eq!(state(&deployment.cancel(0, "j-000001").await), Some(JobState::Cancelled));
     // From now on every few changes make a reading necessary.
-    world.state.set_window(1);
-    world.state.set_slow(Duration::from_millis(150));
+    deployment.state.set_window(1);
+    deployment.state.set_slow(Duration::from_millis(150));
     seconds(30).await;
-    world.state.set_window(1000);
-    world.state.set_slow(Duration::ZERO);
+    deployment.state.set_window(1000);
+    deployment.state.set_slow(Duration::ZERO);
     seconds(10).await;
-    assert!(world.state.too_old() > 0, "no reading overlapped");
+    assert!(deployment.state.too_old() > 0, "no reading overlapped");
     for id in &ids {
-        let told = world.ask(1, id).await;
+        let told = deployment.status(1, id).await;
         assert_eq!(state(&told), Some(JobState::Cancelled), "{id}: {told:?}");
     }
-    no_rule_broken(&world);
+    assert_no_violation(&deployment);
 }
 
 #[tokio::test(start_paused = true)]
 async fn records_are_read_whole_although_parts_of_the_reading_fail() {
-    let world = World::new(1).await;
+    let deployment = TestDeployment::new(1).await;
     // A few dozen parts, each of which may fail.
     for number in 0..1500 {
         let end = store::value(&json!({"s": "done", "d": 1})).expect("json");
         let key = store::end_key(&format!("j-{number:06}"));
-        world
+        deployment
             .state
             .commit(Vec::new(), vec![Write::Put { key, value: end, lease: None }])
             .expect("written");
     }
-    let node = (world.leader().expect("a leader") + 1) % 3;
-    world.kill_node(node);
-    world.state.set_failing(Some((7, 0.3)));
-    world.start_node(node);
+    let node = (deployment.leader().expect("a leader") + 1) % 3;
+    deployment.kill_node(node);
+    deployment.state.set_failing(Some((7, 0.3)));
+    deployment.start_node(node);
     seconds(30).await;
-    world.state.set_failing(None);
-    assert!(world.node(node).healthy(), "it has read the records");
-    assert_eq!(state(&world.ask(node, "j-001499").await), Some(JobState::Done));
+    deployment.state.set_failing(None);
+    assert!(deployment.node(node).healthy(), "it has read the records");
+    assert_eq!(state(&deployment.status(node, "j-001499").await), Some(JobState::Done));
 }
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -173,7 +173,7 @@
         harness.now,
     );
     let heartbeat = |harness: &mut LeaderHarness, sequence, token| {
-        harness.report_showing(token, "n-1", sequence, 1, &[])
+        harness.heartbeat_with_token(token, "n-1", sequence, 1, &[])
     };
     heartbeat(&mut harness, 1, 0);
     harness.submit("j-000001", json!({"Spokes": 1}));
--- a/tests/leader/failover.rs
+++ b/tests/leader/failover.rs
@@ -55,12 +55,12 @@
     next.settle();
     assert_ne!(next.bound("j-000001")[0].1, "n-1");
     // A late report of the deleted machine brings nothing back.
-    assert!(next.report_at("n-1", 99, 7, &[]).is_empty());
+    assert!(next.heartbeat_at("n-1", 99, 7, &[]).is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_lease_without_any_answer_is_proof_for_machines_never_heard() {
-    // Half of a fleet was cut off as its leader ended. The next one waited for
+    // Half of a fleet was partitioned as its leader ended. The next one waited for
     // the end of the cut with tasks that were long gone.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 3, &[]);
@@ -77,7 +77,7 @@
     next.settle();
     assert_eq!(next.bound("j-000001"), [(0, "n-2".to_owned())]);
     // A late copy from before the cut brings nothing back.
-    assert!(next.report_at("n-1", 50, 3, &[]).is_empty());
+    assert!(next.heartbeat_at("n-1", 50, 3, &[]).is_empty());
     assert!(next.leader.take_deletions().is_empty(), "it may come back");
 }
 
@@ -154,7 +154,7 @@
     returned
 }
 
-/// Six machines cut off around a takeover were given back after 8 s, while the
+/// Six machines partitioned around a takeover were given back after 8 s, while the
 /// cloud had no others to give (`docs/incidents/inc-b6d2.md`).
 #[tokio::test(start_paused = true)]
 async fn a_new_leader_keeps_a_silent_machine_whose_lease_will_prove_its_tasks_gone() {
@@ -204,7 +204,7 @@
     let task = running(ops(&commands, CommandKind::Start)[0]);
     let mut next = harness.succeed(6);
     let copy = |next: &mut LeaderHarness, sequence| {
-        next.report_showing(5, "n-1", sequence, 3, std::slice::from_ref(&task))
+        next.heartbeat_with_token(5, "n-1", sequence, 3, std::slice::from_ref(&task))
     };
     let mut moved = None;
     for second in 0..30 {
--- a/tests/leader/heartbeats.rs
+++ b/tests/leader/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Reconciliation of worker heartbeats with the records.
 
-use crate::common::leader_harness::{LeaderHarness, exited, ops, report_of, running};
+use crate::common::leader_harness::{LeaderHarness, exited, heartbeat_of, ops, running};
 use serde_json::json;
 use stonewheel::{
     controller::DirectOutcome,
@@ -43,7 +43,7 @@
     harness.heartbeat("n-1", 1, &[task]);
     // Copies from before the start, which lack the task.
     for sequence in 1..=2 {
-        assert!(harness.report_at("n-1", sequence, 1, &[]).is_empty());
+        assert!(harness.heartbeat_at("n-1", sequence, 1, &[]).is_empty());
     }
     harness.settle();
     assert_eq!(harness.bound("j-000001"), [(0, "n-1".to_owned())]);
@@ -51,7 +51,7 @@
     harness.pass(12.0);
     harness.settle();
     assert!(harness.bound("j-000001").is_empty());
-    assert!(harness.report_at("n-1", 90, 1, &[]).is_empty());
+    assert!(harness.heartbeat_at("n-1", 90, 1, &[]).is_empty());
     harness.settle();
     assert!(harness.bound("j-000001").is_empty(), "a dead session takes no tasks");
 }
@@ -120,13 +120,13 @@
     let request = harness.leader.take_direct(harness.now)[0].clone();
     let (id, commands) = (request.machine.clone(), request.commands.clone());
     let task = running(&commands.commands[0]);
-    let answer = report_of(&id, 1, 7, 5, &[task]);
+    let answer = heartbeat_of(&id, 1, 7, 5, &[task]);
     harness
         .leader
         .on_direct(&request, DirectOutcome::Answered(&answer), harness.now)
         .expect("leads");
     // A heartbeat sent before the order was carried out is older by its number.
-    assert!(harness.report_at("n-1", 2, 1, &[]).is_empty());
+    assert!(harness.heartbeat_at("n-1", 2, 1, &[]).is_empty());
     harness.settle();
     assert_eq!(harness.bound("j-000001").len(), 1);
     // A higher token in the answer ends the leadership.
@@ -156,7 +156,7 @@
         .map(running)
         .collect();
     assert_eq!(listed.len(), 1);
-    let answer = report_of(&id, 1, 9, 5, &listed);
+    let answer = heartbeat_of(&id, 1, 9, 5, &listed);
     harness
         .leader
         .on_direct(&request, DirectOutcome::Answered(&answer), harness.now)
@@ -164,7 +164,7 @@
     harness.settle();
     assert_eq!(harness.bound("j-000001").len(), 1, "it may still start there");
     // The worker's next own report is proof.
-    harness.report_at("n-1", 10, 1, &listed);
+    harness.heartbeat_at("n-1", 10, 1, &listed);
     harness.settle();
     assert!(harness.bound("j-000001").is_empty());
 }
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -6,7 +6,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use common::{World, job, no_rule_broken, seconds, state};
+use common::{TestDeployment, assert_no_violation, job, seconds, state};
 use serde_json::json;
 use stonewheel::{
     coordination::coordinator,
@@ -37,10 +37,10 @@
     parse_sections(sections.into_iter()).expect("valid").expect("switched on")
 }
 
-fn start(world: &World, at: usize) -> Arc<Lending> {
-    let node = world.node(at);
+fn start(cluster: &TestDeployment, at: usize) -> Arc<Lending> {
+    let node = cluster.node(at);
     let coordinator = coordinator(&node);
-    let stop = world.stop_token(at);
+    let stop = cluster.stop_token(at);
     tokio::spawn(coordinator.clone().run(stop.clone()));
     let lending = lending(&node, coordinator, at as u64).expect("switched on");
     tokio::spawn(lending.clone().run(stop));
@@ -48,64 +48,64 @@
 }
 
 /// Three controllers that lend, and machines full of blue's arrays.
-async fn full_of_batch(on: bool) -> World {
+async fn full_of_batch(on: bool) -> TestDeployment {
     full_of(on, json!({"Spokes": 8, "NotchS": 5.0, "StashS": 1.0, "ReckonS": 3600.0})).await
 }
 
-async fn full_of(on: bool, array: serde_json::Value) -> World {
-    let world = World::new(MACHINES).await;
-    world.set_lending(on.then(settings));
-    world.no_more_machines();
+async fn full_of(on: bool, array: serde_json::Value) -> TestDeployment {
+    let cluster = TestDeployment::new(MACHINES).await;
+    cluster.set_lending(on.then(settings));
+    cluster.exhaust_capacity();
     for at in 0..3 {
-        world.kill_node(at);
+        cluster.kill_node(at);
         seconds(5).await;
-        world.start_node(at);
+        cluster.start_node(at);
         if on {
-            start(&world, at);
+            start(&cluster, at);
         }
     }
     seconds(15).await;
     for n in 0..3 {
         let id = format!("{BLUE}{n}");
-        world.runs_for(&id, 3600);
-        let reply = world.submit(n % 3, &id, array.clone()).await;
+        cluster.runs_for(&id, 3600);
+        let reply = cluster.submit(n % 3, &id, array.clone()).await;
         assert_eq!(state(&reply), Some(JobState::Pending));
     }
-    world.until("the machines are full", || blue_tasks(&world) == 24).await;
+    cluster.until("the machines are full", || blue_tasks(&cluster) == 24).await;
     seconds(35).await;
-    world
+    cluster
 }
 
 /// Machines that run a task of each job, summed.
-fn blue_tasks(world: &World) -> usize {
-    let heartbeats = world.last_reports();
+fn blue_tasks(cluster: &TestDeployment) -> usize {
+    let heartbeats = cluster.last_heartbeats();
     let tasks = heartbeats.iter().flat_map(|heartbeat| &heartbeat.tasks);
     tasks.filter(|task| task.task.starts_with(BLUE) && task.state != TaskState::Exited).count()
 }
 
-fn red_machines(world: &World) -> Vec<MachineId> {
-    let machines = world.machines().into_iter();
-    machines.filter(|machine| world.runs_on(RED, machine)).collect()
+fn red_machines(cluster: &TestDeployment) -> Vec<MachineId> {
+    let machines = cluster.machines().into_iter();
+    machines.filter(|machine| cluster.runs_on(RED, machine)).collect()
 }
 
-async fn submit_red(world: &World) {
+async fn submit_red(cluster: &TestDeployment) {
     let replicas =
         json!({"Crew": "red", "Shape": "service", "Spokes": 2, "Gpus": 4.0, "ReckonS": 0.0});
-    world.submit(1, RED, replicas).await.expect("accepted");
+    cluster.submit(1, RED, replicas).await.expect("accepted");
 }
 
-fn entries(world: &World) -> Vec<Entry> {
-    let shards = world.state.keys("sp/l/s/");
-    let shards = shards.iter().filter_map(|key| world.state.value(key));
+fn entries(cluster: &TestDeployment) -> Vec<Entry> {
+    let shards = cluster.state.keys("sp/l/s/");
+    let shards = shards.iter().filter_map(|key| cluster.state.value(key));
     let shards = shards.filter_map(|text| serde_json::from_str::<Shard>(&text).ok());
     shards.flat_map(|shard| shard.entries.into_values()).collect()
 }
 
 /// Phases pass in milliseconds.
-async fn until_phase(world: &World, phase: LoanState) {
+async fn until_phase(cluster: &TestDeployment, phase: LoanState) {
     let limit = Instant::now() + bound();
-    while !entries(world).iter().any(|entry| entry.state == phase) {
-        assert!(Instant::now() < limit, "never came to {phase:?}: {:?}", entries(world));
+    while !entries(cluster).iter().any(|entry| entry.state == phase) {
+        assert!(Instant::now() < limit, "never came to {phase:?}: {:?}", entries(cluster));
         sleep(Duration::from_millis(2)).await;
     }
 }
@@ -211,87 +211,87 @@
 
 #[tokio::test(start_paused = true)]
 async fn without_lending_work_inside_a_guarantee_waits_for_others_batch() {
-    let world = full_of_batch(false).await;
-    submit_red(&world).await;
+    let cluster = full_of_batch(false).await;
+    submit_red(&cluster).await;
     sleep(bound()).await;
-    assert!(red_machines(&world).is_empty(), "the ordinary pass stops no other team's work");
-    no_rule_broken(&world);
+    assert!(red_machines(&cluster).is_empty(), "the ordinary pass stops no other team's work");
+    assert_no_violation(&cluster);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_machine_is_reclaimed_for_work_inside_its_guarantee_and_given_back() {
-    let world = full_of_batch(true).await;
+    let cluster = full_of_batch(true).await;
     let asked = Instant::now();
-    submit_red(&world).await;
-    world.until("red runs", || red_machines(&world).len() == 1).await;
+    submit_red(&cluster).await;
+    cluster.until("red runs", || red_machines(&cluster).len() == 1).await;
     assert!(asked.elapsed() < bound(), "{:?}", asked.elapsed());
     seconds(3).await;
-    assert_eq!(blue_tasks(&world), 16, "no more than one machine was taken");
-    world.until("the ledger is empty again", || entries(&world).is_empty()).await;
+    assert_eq!(blue_tasks(&cluster), 16, "no more than one machine was taken");
+    cluster.until("the ledger is empty again", || entries(&cluster).is_empty()).await;
     seconds(30).await;
-    assert_eq!((red_machines(&world).len(), blue_tasks(&world)), (1, 16));
-    world.cancel(2, RED).await.expect("cancelled");
-    world.until("batch has it again", || blue_tasks(&world) == 24).await;
-    no_rule_broken(&world);
+    assert_eq!((red_machines(&cluster).len(), blue_tasks(&cluster)), (1, 16));
+    cluster.cancel(2, RED).await.expect("cancelled");
+    cluster.until("batch has it again", || blue_tasks(&cluster) == 24).await;
+    assert_no_violation(&cluster);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_ends_in_mid_reclaim_is_succeeded_by_one_that_goes_on() {
     let phases = [LoanState::ReclaimRequested, LoanState::Released, LoanState::Granted];
     for phase in phases {
-        let world = full_of_batch(true).await;
+        let cluster = full_of_batch(true).await;
         let asked = Instant::now();
-        submit_red(&world).await;
-        until_phase(&world, phase).await;
-        let leader = world.leader().expect("a leader");
-        world.kill_node(leader);
-        world.until("red runs", || red_machines(&world).len() == 1).await;
+        submit_red(&cluster).await;
+        until_phase(&cluster, phase).await;
+        let leader = cluster.leader().expect("a leader");
+        cluster.kill_node(leader);
+        cluster.until("red runs", || red_machines(&cluster).len() == 1).await;
         assert!(asked.elapsed() < bound() * 2, "{phase:?}: {:?}", asked.elapsed());
-        world.start_node(leader);
-        start(&world, leader);
+        cluster.start_node(leader);
+        start(&cluster, leader);
         seconds(60).await;
-        assert_eq!(red_machines(&world).len(), 1, "{phase:?}");
-        assert!(entries(&world).is_empty(), "{phase:?}: {:?}", entries(&world));
-        assert_eq!(blue_tasks(&world), 16, "{phase:?}");
-        let claims = world.state.keys(&claims_prefix());
+        assert_eq!(red_machines(&cluster).len(), 1, "{phase:?}");
+        assert!(entries(&cluster).is_empty(), "{phase:?}: {:?}", entries(&cluster));
+        assert_eq!(blue_tasks(&cluster), 16, "{phase:?}");
+        let claims = cluster.state.keys(&claims_prefix());
         assert_eq!(claims, [format!("sp/l/c/{RED}.0")], "one claim outlives its leader: {phase:?}");
-        no_rule_broken(&world);
+        assert_no_violation(&cluster);
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_job_cancelled_in_mid_reclaim_leaves_the_machines_to_batch() {
-    let world = full_of_batch(true).await;
-    submit_red(&world).await;
-    world.until("requested", || !entries(&world).is_empty()).await;
-    world.cancel(0, RED).await.expect("cancelled");
-    world.until("batch has them again", || blue_tasks(&world) == 24).await;
-    world.until("the ledger is empty again", || entries(&world).is_empty()).await;
-    let claims = world.state.keys(&claims_prefix());
-    let standing = claims.iter().filter_map(|key| world.state.value(key)).filter(|text| {
+    let cluster = full_of_batch(true).await;
+    submit_red(&cluster).await;
+    cluster.until("requested", || !entries(&cluster).is_empty()).await;
+    cluster.cancel(0, RED).await.expect("cancelled");
+    cluster.until("batch has them again", || blue_tasks(&cluster) == 24).await;
+    cluster.until("the ledger is empty again", || entries(&cluster).is_empty()).await;
+    let claims = cluster.state.keys(&claims_prefix());
+    let standing = claims.iter().filter_map(|key| cluster.state.value(key)).filter(|text| {
         let record = serde_json::from_str::<ClaimRecord>(text);
         matches!(record, Ok(ClaimRecord::Stands(_)))
     });
     assert_eq!(standing.count(), 0);
-    no_rule_broken(&world);
+    assert_no_violation(&cluster);
 }
 
 #[tokio::test(start_paused = true)]
 async fn free_machines_are_left_to_the_scheduler_and_work_that_never_saves_is_left_alone() {
-    let world = full_of(true, json!({"Spokes": 8, "ReckonS": 3600.0})).await;
-    submit_red(&world).await;
+    let cluster = full_of(true, json!({"Spokes": 8, "ReckonS": 3600.0})).await;
+    submit_red(&cluster).await;
     seconds(30).await;
-    assert_eq!((red_machines(&world).len(), blue_tasks(&world)), (0, 24));
+    assert_eq!((red_machines(&cluster).len(), blue_tasks(&cluster)), (0, 24));
     // Red's replicas fail there once, and avoid it then: it stays free.
-    world.add_machine("a");
-    world.until("it is up", || world.machines().len() == 4).await;
-    let added = world.machines().into_iter().max().expect("a machine");
-    world.set_failing(&added);
+    cluster.add_machine("a");
+    cluster.until("it is up", || cluster.machines().len() == 4).await;
+    let added = cluster.machines().into_iter().max().expect("a machine");
+    cluster.set_failing(&added);
     for _ in 0..6000 {
         // Claims for free machines kept whole ones for small jobs.
-        assert!(entries(&world).is_empty(), "{:?}", entries(&world));
+        assert!(entries(&cluster).is_empty(), "{:?}", entries(&cluster));
         sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!((red_machines(&world).len(), blue_tasks(&world)), (0, 24));
-    no_rule_broken(&world);
+    assert_eq!((red_machines(&cluster).len(), blue_tasks(&cluster)), (0, 24));
+    assert_no_violation(&cluster);
 }
--- a/tests/production_size.rs
+++ b/tests/production_size.rs
@@ -10,7 +10,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use common::{LateCommands, World, state};
+use common::{LateCommands, TestDeployment, state};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::json;
 use stonewheel::{
@@ -99,19 +99,20 @@
 
 /// Submits a job at its time, again and again until it is accepted, and cancels
 /// it likewise.
-async fn play(world: World, job: Planned, begin: Instant, seed: u64) {
+async fn play(deployment: TestDeployment, job: Planned, begin: Instant, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let at = |s: f64| begin + Duration::from_secs_f64(s);
     sleep_until(at(job.at_s)).await;
-    world.runs_for(&job.id, job.run_s);
+    deployment.runs_for(&job.id, job.run_s);
     let mut fields = job.fields;
     fields["Cores"] = json!(1.0);
     fields["Gpus"] = json!(0.0);
     fields["MemoryGb"] = json!(1.0);
     fields["Awaits"] = json!(job.needs);
     loop {
-        if let Some(node) = world.running_node(any_node(&mut rng)) {
-            let reply = timeout(USER_PATIENCE, world.submit(node, &job.id, fields.clone())).await;
+        if let Some(node) = deployment.running_node(any_node(&mut rng)) {
+            let reply =
+                timeout(USER_PATIENCE, deployment.submit(node, &job.id, fields.clone())).await;
             if reply.is_ok_and(|reply| state(&reply).is_some()) {
                 break;
             }
@@ -121,8 +122,8 @@
     let Some(cancel_at_s) = job.cancel_at_s else { return };
     sleep_until(at(cancel_at_s)).await;
     loop {
-        if let Some(node) = world.running_node(any_node(&mut rng)) {
-            let reply = timeout(USER_PATIENCE, world.cancel(node, &job.id)).await;
+        if let Some(node) = deployment.running_node(any_node(&mut rng)) {
+            let reply = timeout(USER_PATIENCE, deployment.cancel(node, &job.id)).await;
             if reply.is_ok_and(|reply| state(&reply).is_some()) {
                 return;
             }
@@ -132,84 +133,88 @@
 }
 
 /// Faults until the busy time is over, all of them at once.
-async fn faults(world: World, begin: Instant, seed: u64) {
+async fn faults(deployment: TestDeployment, begin: Instant, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let end = begin + Duration::from_secs_f64(BUSY_S);
     // Minutes may pass on a network that is interrupted.
     let latest_s = if seed.is_multiple_of(2) { 16.0 } else { 60.0 };
-    world.set_late_commands(Some(LateCommands::new(seed, 0.35, 2.0..latest_s)));
-    world.state.set_late(Some(LateTransactions::new(seed, 0.04, 0.5)));
-    world.state.set_window(40);
+    deployment.set_late_commands(Some(LateCommands::new(seed, 0.35, 2.0..latest_s)));
+    deployment.state.set_late(Some(LateTransactions::new(seed, 0.04, 0.5)));
+    deployment.state.set_window(40);
     let mut old_reports: Vec<WorkerHeartbeat> = Vec::new();
     while Instant::now() < end {
         sleep(Duration::from_secs_f64(rng.random_range(4.0..10.0))).await;
-        let Some(leader) = world.leader().and_then(|l| world.running_node(l)) else { continue };
+        let Some(leader) = deployment.leader().and_then(|l| deployment.running_node(l)) else {
+            continue;
+        };
         match rng.random_range(0..9) {
-            0 => world.freeze(leader, rng.random_range(1.0..8.0)),
+            0 => deployment.freeze(leader, rng.random_range(1.0..8.0)),
             1 => {
-                old_reports = world.last_reports();
-                world.kill_node(leader);
+                old_reports = deployment.last_heartbeats();
+                deployment.kill_node(leader);
                 sleep(Duration::from_secs_f64(rng.random_range(1.0..5.0))).await;
-                world.start_node(leader);
+                deployment.start_node(leader);
             }
             2 => {
                 // Long enough for the watch's window to pass.
                 let node = any_node(&mut rng);
-                world.state.refuse(&format!("m-{node}"), true);
+                deployment.state.refuse(&format!("m-{node}"), true);
                 sleep(Duration::from_secs_f64(rng.random_range(2.0..9.0))).await;
-                world.state.refuse(&format!("m-{node}"), false);
+                deployment.state.refuse(&format!("m-{node}"), false);
             }
             3 => {
-                let machines = world.machines();
+                let machines = deployment.machines();
                 for _ in 0..20 {
                     let machine = &machines[rng.random_range(0..machines.len())];
-                    world.hang_for(machine, rng.random_range(1.0..20.0));
+                    deployment.hang_for(machine, rng.random_range(1.0..20.0));
                 }
             }
             4 => {
                 // Their reports arrive, but nothing reaches them.
-                let machines = world.machines();
+                let machines = deployment.machines();
                 let deaf: Vec<_> = (0..15)
                     .map(|_| machines[rng.random_range(0..machines.len())].clone())
                     .collect();
-                world.deafen_for(&deaf, rng.random_range(3.0..16.0));
+                deployment.drop_responses_for(&deaf, rng.random_range(3.0..16.0));
             }
             5 => {
-                world.sever(leader);
-                world.state.refuse(&format!("m-{leader}"), true);
+                deployment.disconnect(leader);
+                deployment.state.refuse(&format!("m-{leader}"), true);
                 sleep(Duration::from_secs_f64(rng.random_range(3.0..25.0))).await;
-                world.state.refuse(&format!("m-{leader}"), false);
-                world.mend(leader);
+                deployment.state.refuse(&format!("m-{leader}"), false);
+                deployment.reconnect(leader);
             }
             6 => {
-                world.state.set_outage(true);
+                deployment.state.set_outage(true);
                 sleep(Duration::from_secs_f64(rng.random_range(2.0..20.0))).await;
-                world.state.set_outage(false);
+                deployment.state.set_outage(false);
             }
             7 => {
-                let machines = world.machines();
+                let machines = deployment.machines();
                 for _ in 0..10 {
-                    world.lose(&machines[rng.random_range(0..machines.len())]);
+                    deployment.remove_machine(&machines[rng.random_range(0..machines.len())]);
                 }
             }
             _ => {
                 // Held back until a new leader acts.
                 for heartbeat in std::mem::take(&mut old_reports) {
-                    let _ = world.running_node(leader).map(|n| world.node(n).heartbeat(&heartbeat));
+                    let _ = deployment
+                        .running_node(leader)
+                        .map(|n| deployment.node(n).heartbeat(&heartbeat));
                 }
             }
         }
     }
-    world.set_late_commands(None);
-    world.state.set_late(None);
+    deployment.set_late_commands(None);
+    deployment.state.set_late(None);
 }
 
 /// Jobs that are neither done nor cancelled, as a user hears it.
-async fn unfinished(world: &World, ids: &[String]) -> Vec<String> {
+async fn unfinished(deployment: &TestDeployment, ids: &[String]) -> Vec<String> {
     let mut left = Vec::new();
     for id in ids {
-        let Some(node) = world.running_node(0) else { return ids.to_vec() };
-        let reply = timeout(USER_PATIENCE, world.ask(node, id)).await;
+        let Some(node) = deployment.running_node(0) else { return ids.to_vec() };
+        let reply = timeout(USER_PATIENCE, deployment.status(node, id)).await;
         let heard = reply.as_ref().ok().and_then(state);
         if !matches!(heard, Some(JobState::Done | JobState::Cancelled)) {
             left.push(format!("{id}: {reply:?}"));
@@ -220,28 +225,29 @@
 
 /// Asks again and again about the dependants of cancelled jobs: `cancel_s` after
 /// their user was told, none may be called pending or running.
-async fn watch_dependants(world: World, needs: BTreeMap<String, Vec<String>>) {
+async fn watch_dependants(deployment: TestDeployment, needs: BTreeMap<String, Vec<String>>) {
     let mut told: BTreeMap<String, Instant> = BTreeMap::new();
     loop {
         sleep(Duration::from_secs(2)).await;
         for (id, needs) in &needs {
             let cancelled = |need: &String| {
-                told.contains_key(need) || world.told_final(need) == Some(JobState::Cancelled)
+                told.contains_key(need)
+                    || deployment.final_answer(need) == Some(JobState::Cancelled)
             };
             if !told.contains_key(id) && needs.iter().any(cancelled) {
                 told.insert(id.clone(), Instant::now());
             }
         }
         for (id, since) in &told {
-            if since.elapsed().as_secs_f64() < CANCEL_S || world.told_final(id).is_some() {
+            if since.elapsed().as_secs_f64() < CANCEL_S || deployment.final_answer(id).is_some() {
                 continue;
             }
-            let Some(node) = world.running_node(1) else { continue };
-            let reply = timeout(USER_PATIENCE, world.ask(node, id)).await;
+            let Some(node) = deployment.running_node(1) else { continue };
+            let reply = timeout(USER_PATIENCE, deployment.status(node, id)).await;
             if let Ok(Ok(UserReply::Known(status))) = &reply
                 && status.state != JobState::Cancelled
             {
-                world.note_broken(format!("orphaned: {id} is still {:?}", status.state));
+                deployment.record_violation(format!("orphaned: {id} is still {:?}", status.state));
             }
         }
     }
@@ -249,27 +255,27 @@
 
 /// Plays one seed and tells what broke.
 async fn broken_by(seed: u64, size: Size) -> Vec<String> {
-    let world = World::in_two_zones_scaled(size.machines, size.scale).await;
+    let deployment = TestDeployment::in_two_zones_scaled(size.machines, size.scale).await;
     let mut rng = StdRng::seed_from_u64(seed);
     let jobs = plan(&mut rng, size.pipelines);
     let ids: Vec<String> = jobs.iter().map(|job| job.id.clone()).collect();
     let needs = jobs.iter().map(|job| (job.id.clone(), job.needs.clone())).collect();
     let begin = Instant::now();
-    tokio::spawn(watch_dependants(world.clone(), needs));
-    tokio::spawn(faults(world.clone(), begin, seed));
+    tokio::spawn(watch_dependants(deployment.clone(), needs));
+    tokio::spawn(faults(deployment.clone(), begin, seed));
     for (number, job) in jobs.into_iter().enumerate() {
         // The stages of a pipeline come one after another, each once the ones
         // that it needs are accepted: a refusal is tried again.
-        tokio::spawn(play(world.clone(), job, begin, seed ^ (number as u64 + 1) << 20));
+        tokio::spawn(play(deployment.clone(), job, begin, seed ^ (number as u64 + 1) << 20));
     }
     let end = begin + Duration::from_secs_f64(END_S);
     sleep_until(begin + Duration::from_secs_f64(BUSY_S)).await;
-    let mut left = unfinished(&world, &ids).await;
+    let mut left = unfinished(&deployment, &ids).await;
     while !left.is_empty() && Instant::now() < end {
         sleep(Duration::from_secs(5)).await;
-        left = unfinished(&world, &ids).await;
+        left = unfinished(&deployment, &ids).await;
     }
-    let mut broken = world.broken();
+    let mut broken = deployment.violations();
     broken.extend(left.into_iter().map(|job| format!("stuck or forgotten: {job}")));
     let mut kinds: BTreeMap<&str, u32> = BTreeMap::new();
     for what in &broken {
@@ -278,8 +284,8 @@
     println!(
         "seed {seed}, {} machines: {} starts, {} watches passed, broken: {kinds:?}, {:.0} s",
         size.machines,
-        world.starts(),
-        world.state.too_old(),
+        deployment.starts(),
+        deployment.state.too_old(),
         begin.elapsed().as_secs_f64()
     );
     broken
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -6,7 +6,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use common::{World, machine_at, no_rule_broken};
+use common::{TestDeployment, assert_no_violation, machine_at};
 use futures_util::future::BoxFuture;
 use stonewheel::{coordination::coordinator, replica_jobs::ReplicaProbe, rollout::executor};
 use stonewheel_rollout::{
@@ -36,7 +36,7 @@
 }
 
 /// A replica answers while a task of its job runs on its machine.
-struct MemProbe(World);
+struct MemProbe(TestDeployment);
 
 impl ReplicaProbe for MemProbe {
     fn answers(&self, endpoint: SocketAddr, _: &str) -> BoxFuture<'_, bool> {
@@ -50,45 +50,45 @@
     }
 }
 
-fn start(world: &World, at: usize) -> Arc<Executor> {
-    let node = world.node(at);
+fn start(cluster: &TestDeployment, at: usize) -> Arc<Executor> {
+    let node = cluster.node(at);
     let coordinator = coordinator(&node);
-    let stop = world.stop_token(at);
+    let stop = cluster.stop_token(at);
     tokio::spawn(coordinator.clone().run(stop.clone()));
-    let probe = Arc::new(MemProbe(world.clone()));
+    let probe = Arc::new(MemProbe(cluster.clone()));
     let executor = executor(&node, coordinator, probe, at as u64).expect("switched on");
     tokio::spawn(executor.clone().run(stop));
     executor
 }
 
-fn record(world: &World) -> ServiceRecord {
-    let text = world.state.value(&service_key(SERVICE)).expect("a service");
+fn record(cluster: &TestDeployment) -> ServiceRecord {
+    let text = cluster.state.value(&service_key(SERVICE)).expect("a service");
     serde_json::from_str(&text).expect("a record")
 }
 
-fn capacity(world: &World) -> usize {
-    let record = record(world);
+fn capacity(cluster: &TestDeployment) -> usize {
+    let record = record(cluster);
     let serving = record.replicas.iter().filter(|r| r.stage == ReplicaStage::Serving);
-    let machines = world.machines();
-    serving.filter(|r| machines.iter().any(|machine| world.runs_on(&r.job, machine))).count()
+    let machines = cluster.machines();
+    serving.filter(|r| machines.iter().any(|machine| cluster.runs_on(&r.job, machine))).count()
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_rollout_through_the_scheduler_survives_its_leader_and_a_machine() {
-    let world = World::new(8).await;
-    world.set_rollouts(Some(rollouts()));
+    let cluster = TestDeployment::new(8).await;
+    cluster.set_rollouts(Some(rollouts()));
     let mut executors = Vec::new();
     for at in 0..3 {
-        world.kill_node(at);
+        cluster.kill_node(at);
         sleep(Duration::from_secs(5)).await;
-        world.start_node(at);
-        executors.push(start(&world, at));
+        cluster.start_node(at);
+        executors.push(start(&cluster, at));
     }
     sleep(Duration::from_secs(10)).await;
     executors[0].create(SERVICE, "img-1", LEVEL).await.expect("deployed");
     let again = executors[1].create(SERVICE, "img-1", LEVEL).await;
     assert_eq!(again, Err(CommandFailure::Refused(CommandError::Deployed)));
-    world.until("it answers", || capacity(&world) == LEVEL as usize).await;
+    cluster.until("it answers", || capacity(&cluster) == LEVEL as usize).await;
     sleep(Duration::from_secs(10)).await;
     assert_eq!(executors[2].endpoints(SERVICE).await.map(|e| e.len()), Some(LEVEL as usize));
     let command = Command {
@@ -96,28 +96,28 @@
         kind: CommandKind::Start { to: "img-2".into(), steps: vec![50, 100], surge: 3 },
     };
     executors[1].command(SERVICE, &command).await.expect("accepted");
-    let leader = world.leader().expect("a leader");
+    let leader = cluster.leader().expect("a leader");
     sleep(Duration::from_secs(12)).await;
-    world.kill_node(leader);
+    cluster.kill_node(leader);
     // The level without the loss; the machine takes what it holds until that moved.
     let mut least = usize::MAX;
     for tick in 0..2000 {
         if tick == 100 {
-            let job = record(&world).replicas[0].job.clone();
-            let machine = world.machines().into_iter().find(|m| world.runs_on(&job, m));
-            world.lose(&machine.expect("it runs"));
+            let job = record(&cluster).replicas[0].job.clone();
+            let machine = cluster.machines().into_iter().find(|m| cluster.runs_on(&job, m));
+            cluster.remove_machine(&machine.expect("it runs"));
         }
-        least = least.min(capacity(&world));
-        if record(&world).rollout.is_some_and(|rollout| rollout.phase.is_over()) {
+        least = least.min(capacity(&cluster));
+        if record(&cluster).rollout.is_some_and(|rollout| rollout.phase.is_over()) {
             break;
         }
         sleep(Duration::from_millis(100)).await;
     }
-    let record = record(&world);
+    let record = record(&cluster);
     assert_eq!(record.rollout.map(|rollout| rollout.phase), Some(Phase::Done));
     assert!(record.replicas.iter().all(|replica| replica.version == "img-2"));
     assert!(least >= LEVEL as usize, "{least} replicas answered");
-    let live: Vec<String> = world.state.keys("sp/r/j/");
+    let live: Vec<String> = cluster.state.keys("sp/r/j/");
     assert_eq!(live.len(), LEVEL as usize, "all others were withdrawn: {live:?}");
-    no_rule_broken(&world);
+    assert_no_violation(&cluster);
 }
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, fmt::Debug};
 
-use common::World;
+use common::TestDeployment;
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::value::RawValue;
 use stonewheel::{
@@ -124,13 +124,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_controllers_store_while_they_run() {
-    let world = World::new(1).await;
+    let deployment = TestDeployment::new(1).await;
     let submitted = serde_json::from_str(JOB).expect("json");
-    world.submit(0, "j-000007", submitted).await.expect("accepted");
-    world.until("the types are stored", || world.state.value("sw/types").is_some()).await;
+    deployment.submit(0, "j-000007", submitted).await.expect("accepted");
+    deployment.until("the types are stored", || deployment.state.value("sw/types").is_some()).await;
     let spec = JobSpec::parse(JOB.replace("j-000007", "j-000008").as_bytes()).expect("valid");
     let fence = Condition { key: "sp/r/s/matcher".into(), version: 0 };
-    let reply = world.node(0).submit_owned(&spec, &fence, "sp/r/j/j-000008").await;
+    let reply = deployment.node(0).submit_owned(&spec, &fence, "sp/r/j/j-000008").await;
     assert_eq!(reply, Ok(InternalJobReply::Done));
     for (key, text) in [
         ("sw/token", "1048576"),
@@ -138,7 +138,7 @@
         ("sw/j/j-000007", JOB),
         ("sp/r/j/j-000008", r#""m-0""#),
     ] {
-        assert_eq!(world.state.value(key).as_deref(), Some(text), "{key}");
+        assert_eq!(deployment.state.value(key).as_deref(), Some(text), "{key}");
     }
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -6,7 +6,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use common::World;
+use common::TestDeployment;
 use serde_json::{json, value::RawValue};
 use stonewheel::{
     protocol::{JobSpec, JobState, Write},
@@ -71,46 +71,46 @@
 
 #[tokio::test(start_paused = true)]
 async fn when_the_limits_fall_nothing_that_is_written_is_too_large() {
-    let world = World::with_coming_limits(3).await;
+    let deployment = TestDeployment::with_coming_limits(3).await;
     let tiny = |tasks: u32| json!({"Spokes": tasks, "Gpus": 0.0, "Cores": 1.0, "MemoryGb": 1.0});
     for id in ["j-000001", "j-000002", "j-000003"] {
-        world.runs_for(id, 6);
+        deployment.runs_for(id, 6);
     }
-    assert!(world.submit(0, "j-000001", tiny(128)).await.is_ok());
-    world.until("it runs", || world.starts() > 30).await;
-    world.state.lower_limits(2048, 8);
+    assert!(deployment.submit(0, "j-000001", tiny(128)).await.is_ok());
+    deployment.until("it runs", || deployment.starts() > 30).await;
+    deployment.state.lower_limits(2048, 8);
     let mut pipeline = tiny(128);
     pipeline["Awaits"] = json!(["j-000001"]);
-    assert!(world.submit(1, "j-000002", pipeline).await.is_ok());
+    assert!(deployment.submit(1, "j-000002", pipeline).await.is_ok());
     let gang = json!({"Shape": "ensemble", "Spokes": 100, "Gpus": 0.0, "Cores": 1.0,
         "MemoryGb": 1.0, "Awaits": ["j-000002"]});
-    assert!(world.submit(2, "j-000003", gang).await.is_ok());
-    world.until_state(0, "j-000003", JobState::Done).await;
-    assert_eq!(world.state.rejected(), 0);
-    assert!(world.broken().is_empty(), "{:?}", world.broken());
+    assert!(deployment.submit(2, "j-000003", gang).await.is_ok());
+    deployment.until_state(0, "j-000003", JobState::Done).await;
+    assert_eq!(deployment.state.rejected(), 0);
+    assert!(deployment.violations().is_empty(), "{:?}", deployment.violations());
 }
 
 #[tokio::test(start_paused = true)]
 async fn limits_below_the_announced_ones_cost_no_leadership_and_no_loop() {
-    let world = World::with_coming_limits(3).await;
-    let leader = world.leader();
+    let deployment = TestDeployment::with_coming_limits(3).await;
+    let leader = deployment.leader();
     // Less than the settings say: a page of some tasks is refused.
-    world.state.lower_limits(100, 8);
+    deployment.state.lower_limits(100, 8);
     let tiny = json!({"Spokes": 40, "Gpus": 0.0, "Cores": 1.0, "MemoryGb": 1.0});
-    let refused = world.submit(0, "j-000001", tiny.clone()).await;
+    let refused = deployment.submit(0, "j-000001", tiny.clone()).await;
     assert!(matches!(refused, Ok(stonewheel::node::UserReply::Malformed(_))), "{refused:?}");
-    world.state.lower_limits(700, 8);
-    assert!(world.submit(0, "j-000002", tiny).await.is_ok());
-    let before = world.state.rejected();
+    deployment.state.lower_limits(700, 8);
+    assert!(deployment.submit(0, "j-000002", tiny).await.is_ok());
+    let before = deployment.state.rejected();
     sleep(Duration::from_secs(30)).await;
-    let tries = world.state.rejected() - before;
+    let tries = deployment.state.rejected() - before;
     assert!((1..8).contains(&tries), "{tries} tries in 30 s");
-    assert_eq!(world.leader(), leader);
+    assert_eq!(deployment.leader(), leader);
     // Work that fits goes on meanwhile.
-    world.runs_for("j-000003", 3);
+    deployment.runs_for("j-000003", 3);
     let small = json!({"Spokes": 2});
-    assert!(world.submit(1, "j-000003", small).await.is_ok());
-    world.until_state(1, "j-000003", JobState::Done).await;
+    assert!(deployment.submit(1, "j-000003", small).await.is_ok());
+    deployment.until_state(1, "j-000003", JobState::Done).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -143,26 +143,26 @@
 
 #[tokio::test(start_paused = true)]
 async fn no_finer_page_is_written_before_the_last_controller_is_upgraded() {
-    let world = World::in_upgrade(3, &[0, 2]).await;
+    let deployment = TestDeployment::in_upgrade(3, &[0, 2]).await;
     let gang = json!({"Shape": "ensemble", "Spokes": 100, "Gpus": 0.0, "Cores": 1.0,
         "MemoryGb": 1.0});
-    assert!(world.submit(1, "j-000001", gang).await.is_ok());
+    assert!(deployment.submit(1, "j-000001", gang).await.is_ok());
     // Work that fits a common page goes on in a mixed set.
-    world.runs_for("j-000002", 3);
-    assert!(world.submit(1, "j-000002", json!({"Spokes": 2})).await.is_ok());
-    world.until_state(1, "j-000002", JobState::Done).await;
+    deployment.runs_for("j-000002", 3);
+    assert!(deployment.submit(1, "j-000002", json!({"Spokes": 2})).await.is_ok());
+    deployment.until_state(1, "j-000002", JobState::Done).await;
     for upgraded in [0, 2] {
-        assert!(world.state.keys("sw/p/j-000001/").is_empty());
-        assert!(world.machines_of("j-000001").is_empty());
+        assert!(deployment.state.keys("sw/p/j-000001/").is_empty());
+        assert!(deployment.machines_of("j-000001").is_empty());
         // One is killed and comes back new; leaders change with it.
-        world.kill_node(upgraded);
+        deployment.kill_node(upgraded);
         sleep(Duration::from_secs(4)).await;
-        world.set_of_the_version_before(upgraded, false);
-        world.start_node(upgraded);
+        deployment.set_previous_version(upgraded, false);
+        deployment.start_node(upgraded);
         sleep(Duration::from_secs(1)).await;
     }
-    world.until("the gang runs", || !world.machines_of("j-000001").is_empty()).await;
-    assert!(world.state.keys("sw/p/j-000001/").len() > 1);
-    assert_eq!(world.state.rejected(), 0);
-    assert!(world.broken().is_empty(), "{:?}", world.broken());
+    deployment.until("the gang runs", || !deployment.machines_of("j-000001").is_empty()).await;
+    assert!(deployment.state.keys("sw/p/j-000001/").len() > 1);
+    assert_eq!(deployment.state.rejected(), 0);
+    assert!(deployment.violations().is_empty(), "{:?}", deployment.violations());
 }
