--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -164,7 +164,7 @@
             return outcome;
         }
         let retry_after = Duration::from_secs_f64(model.settings.retry_s);
-        // One model in demand must leave room for the wakes of others.
+        // One model in demand must leave capacity for the cold starts of others.
         if model.held() >= self.most_held_of_one() {
             return Err(Refusal::Full { retry_after });
         }
@@ -196,7 +196,7 @@
             Some(Err(Refusal::Unknowable { retry_after }))
         };
         match availability {
-            Availability::Waking => None,
+            Availability::ColdStarting => None,
             Availability::Unknown => unknowable(),
             Availability::Failed { until } if *until <= now => None,
             Availability::Failed { until } => {
@@ -261,10 +261,10 @@
                 Step::Write { record: next, unless_used } => {
                     self.write(&model, record, next, unless_used).await;
                 }
-                Step::MarkUse => self.mark_use(&model, record.version).await,
+                Step::MarkUse => self.write_use_marker(&model, record.version).await,
                 Step::DropUse => self.drop_use(&model).await,
                 Step::Start => self.start(&model, &record).await,
-                Step::Look => self.look(&model, &record).await,
+                Step::Probe => self.probe(&model, &record).await,
                 Step::Stop => self.stop(&model, &record).await,
             }
         }
@@ -306,7 +306,7 @@
         }
         let Ok(put) = put(key, &to, None) else { return };
         match self.coordinator.commit_under(session, conditions, vec![put]).await {
-            Ok(_) => tell(&model.name, &from.value, &to),
+            Ok(_) => log_transition(&model.name, &from.value, &to),
             Err(error) => {
                 debug!(model = model.name, %error, "an activation record was not written");
                 self.coordinator.refresh().await;
@@ -314,7 +314,7 @@
         }
     }
 
-    async fn mark_use(&self, model: &Model, version: u64) {
+    async fn write_use_marker(&self, model: &Model, version: u64) {
         let Some(session) = self.coordinator.session() else { return };
         let key = self.use_key(model);
         let known = self.coordinator.records().version(&key);
@@ -334,7 +334,7 @@
         let version = self.coordinator.records().version(&key);
         // Requests that come while the marker goes are held: none passes once this
         // controller may be without it.
-        model.publish(Availability::Waking);
+        model.publish(Availability::ColdStarting);
         let condition = Condition { key: key.clone(), version };
         if self.coordinator.commit(vec![condition], vec![Write::Delete { key }]).await.is_err() {
             // It may still be deleted at any later time, so it stands for nothing
@@ -376,14 +376,14 @@
         }
     }
 
-    async fn look(&self, model: &Model, record: &Versioned<ActivationRecord>) {
+    async fn probe(&self, model: &Model, record: &Versioned<ActivationRecord>) {
         let Some(order) = self.order(model, record) else { return };
-        let seen = match self.starter.look(&order).await {
+        let seen = match self.starter.probe(&order).await {
             Ok(Replicas::Pending) => Some(Observed::Pending),
             Ok(Replicas::Ready(endpoints)) => Some(Observed::Ready(endpoints)),
             Ok(Replicas::Gone) => Some(Observed::Gone),
             Err(error) => {
-                debug!(model = model.name, %error, "look");
+                debug!(model = model.name, %error, "probe failed");
                 None
             }
         };
@@ -412,22 +412,26 @@
 }
 
 /// Tells the operator what a committed record means.
-fn tell(model: &str, from: &ActivationRecord, to: &ActivationRecord) {
+fn log_transition(model: &str, from: &ActivationRecord, to: &ActivationRecord) {
     let (generation, epoch) = (to.generation, to.epoch);
     match &to.state {
-        ModelState::Asleep => info!(model, generation, "sleeps"),
+        ModelState::ScaledToZero => info!(model, generation, "scaled to zero"),
         ModelState::Failed { reason } => warn!(model, generation, reason, "could not be started"),
         ModelState::Active(now) => {
             let adopted = from.generation == generation && from.epoch != epoch;
             let (attempt, job) = (now.attempt, &now.job);
             match &now.stage {
-                _ if adopted => info!(model, generation, epoch, job, "adopted from a lost owner"),
-                Stage::Starting => info!(model, generation, attempt, job, "wakes"),
+                _ if adopted => {
+                    info!(model, generation, epoch, job, "taken over from a lost owner")
+                }
+                Stage::Starting => info!(model, generation, attempt, job, "cold start requested"),
                 Stage::Ready { endpoints } => {
-                    info!(model, generation, replicas = endpoints.len(), "is ready");
+                    info!(model, generation, replicas = endpoints.len(), "serving");
+                }
+                Stage::Draining { .. } => info!(model, generation, "draining started"),
+                Stage::Stopping { then } => {
+                    info!(model, generation, ?then, job, "stopping replicas")
                 }
-                Stage::Draining { .. } => info!(model, generation, "drains"),
-                Stage::Stopping { then } => info!(model, generation, ?then, job, "is stopped"),
             }
         }
     }
--- a/crates/stonewheel-activation/src/gateway.rs
+++ b/crates/stonewheel-activation/src/gateway.rs
@@ -1,5 +1,5 @@
 //! The way in for requests to models, over HTTP: `ANY /models/{name}/{path}` goes to
-//! a replica as `/{path}`, once the model is awake. `GET /activation` tells the
+//! a replica as `/{path}`, once the model serves. `GET /activation` tells the
 //! operator what each model does.
 
 use std::{convert::Infallible, sync::Arc};
@@ -138,8 +138,8 @@
     /// time is over.
     fn patience(&self, model: &str, began: Instant) -> Option<Duration> {
         let settings = self.activator.settings().models.get(model)?;
-        let (look, hold) = (settings.look_s, settings.hold_s);
-        let pause = Duration::from_secs_f64(look);
+        let (probe, hold) = (settings.look_s, settings.hold_s);
+        let pause = Duration::from_secs_f64(probe);
         (began.elapsed() + pause < Duration::from_secs_f64(hold)).then_some(pause)
     }
 
--- a/crates/stonewheel-activation/src/lib.rs
+++ b/crates/stonewheel-activation/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scale to zero: a model without traffic sleeps, its next request wakes it, and all
+//! Scale to zero: a model without traffic is scaled to zero, its next request starts it, and all
 //! controllers agree on the one cold start that is under way.
 //!
 //! [`record`] is the durable state of a model, changed by compare-and-set alone;
--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -29,19 +29,19 @@
     /// This controller can't know what the model does.
     Unknown,
     /// A start is under way, or about to be: requests are held.
-    Waking,
+    ColdStarting,
     /// The last start was given up: requests are refused until then.
     Failed { until: Instant },
     /// Requests pass to these.
     Ready { endpoints: Arc<[String]> },
 }
 
-/// What one look at a model says.
+/// What one evaluation of a model says.
 pub(crate) struct Plan {
     pub step: Step,
     pub record: Versioned<ActivationRecord>,
     pub availability: Availability,
-    /// When to look again if nothing changes.
+    /// When to evaluate it again if nothing changes.
     pub wake_at: Instant,
 }
 
@@ -75,7 +75,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StageKind {
-    Asleep,
+    ScaledToZero,
     Failed,
     Starting,
     Ready,
@@ -86,7 +86,7 @@
 impl StageKind {
     fn of(record: &ActivationRecord) -> Self {
         match &record.state {
-            ModelState::Asleep => Self::Asleep,
+            ModelState::ScaledToZero => Self::ScaledToZero,
             ModelState::Failed { .. } => Self::Failed,
             ModelState::Active(activation) => match activation.stage {
                 Stage::Starting => Self::Starting,
@@ -109,7 +109,7 @@
     requested: Requested,
     observed: Observed,
     stopped: bool,
-    next_look: Instant,
+    next_probe: Instant,
     /// Drawn for each attempt, so that controllers and models don't retry together.
     jitter: f64,
     owner_gone_since: Option<Instant>,
@@ -121,12 +121,12 @@
             attempt: AttemptId::default(),
             attempt_since: now,
             job: String::new(),
-            stage: StageKind::Asleep,
+            stage: StageKind::ScaledToZero,
             stage_since: now,
             requested: Requested::No,
             observed: Observed::Unknown,
             stopped: false,
-            next_look: now,
+            next_probe: now,
             jitter: 0.0,
             owner_gone_since: None,
         }
@@ -261,11 +261,11 @@
         self.note(attempt, |progress| progress.requested = requested);
     }
 
-    /// Notes what was seen of the replicas, and when to look again.
+    /// Notes what was seen of the replicas, and when to probe again.
     pub fn note_observed(&self, attempt: AttemptId, observed: Option<Observed>, now: Instant) {
-        let next_look = now + Duration::from_secs_f64(self.settings.look_s);
+        let next_probe = now + Duration::from_secs_f64(self.settings.look_s);
         self.note(attempt, |progress| {
-            progress.next_look = next_look;
+            progress.next_probe = next_probe;
             if let Some(observed) = observed {
                 progress.observed = observed;
             }
@@ -349,9 +349,9 @@
             backoff: progress.attempt_since + backoff,
             start: after(progress.attempt_since, self.settings.start_s),
             drain: progress.stage_since + situation.settings.drain(),
-            awake: after(progress.stage_since, self.settings.awake_s),
+            minimum_uptime: after(progress.stage_since, self.settings.awake_s),
             failed: after(progress.stage_since, self.settings.retry_s),
-            look: progress.next_look,
+            probe: progress.next_probe,
             adoption: progress.owner_gone_since.map(|since| since + pause),
         }
     }
@@ -362,9 +362,9 @@
     backoff: Instant,
     start: Instant,
     drain: Instant,
-    awake: Instant,
+    minimum_uptime: Instant,
     failed: Instant,
-    look: Instant,
+    probe: Instant,
     adoption: Option<Instant>,
 }
 
@@ -374,16 +374,17 @@
             backoff: now >= self.backoff,
             start: now >= self.start,
             drain: now >= self.drain,
-            awake: now >= self.awake,
+            minimum_uptime: now >= self.minimum_uptime,
             failed: now >= self.failed,
-            look: now >= self.look,
+            probe: now >= self.probe,
             adoption: self.adoption.is_some_and(|at| now >= at),
         }
     }
 
     /// The next of them that is still to come.
     fn next(&self, now: Instant, idle_at: Instant, session: Option<HeldSession>) -> Instant {
-        let fixed = [self.backoff, self.start, self.drain, self.awake, self.failed, self.look];
+        let fixed =
+            [self.backoff, self.start, self.drain, self.minimum_uptime, self.failed, self.probe];
         let waits = fixed.into_iter().chain(self.adoption).chain([idle_at]);
         let waits = waits.chain(session.map(|session| session.valid_until));
         // Changes wake the model's duty by themselves.
@@ -413,6 +414,6 @@
         ModelState::Failed { .. } if now < failed_until => {
             Availability::Failed { until: failed_until }
         }
-        _ => Availability::Waking,
+        _ => Availability::ColdStarting,
     }
 }
--- a/crates/stonewheel-activation/src/planner.rs
+++ b/crates/stonewheel-activation/src/planner.rs
@@ -54,12 +54,12 @@
     /// The time after which no controller can still have a request at a draining
     /// model.
     pub drain: bool,
-    /// The least time awake.
-    pub awake: bool,
+    /// The minimum time of serving.
+    pub minimum_uptime: bool,
     /// The time for which a failed model refuses requests.
     pub failed: bool,
-    /// The pause between two looks at the replicas.
-    pub look: bool,
+    /// The pause between two probes of the replicas.
+    pub probe: bool,
     /// The time that this controller leaves to others before it adopts an
     /// activation whose owner is gone.
     pub adoption: bool,
@@ -116,8 +116,8 @@
     DropUse,
     /// Ask for the replicas.
     Start,
-    /// Look at the replicas.
-    Look,
+    /// Probe the replicas.
+    Probe,
     /// Stop the replicas.
     Stop,
 }
@@ -131,15 +131,15 @@
         return step;
     }
     match &facts.record.state {
-        ModelState::Asleep if facts.wanted => wake(facts),
-        ModelState::Failed { .. } if facts.wanted && facts.timers.failed => wake(facts),
-        ModelState::Asleep | ModelState::Failed { .. } => Step::Wait,
+        ModelState::ScaledToZero if facts.wanted => cold_start(facts),
+        ModelState::Failed { .. } if facts.wanted && facts.timers.failed => cold_start(facts),
+        ModelState::ScaledToZero | ModelState::Failed { .. } => Step::Wait,
         ModelState::Active(activation) if activation.owner == *facts.me => drive(facts, activation),
         ModelState::Active(activation) => follow(facts, activation),
     }
 }
 
-/// Requests pass only while this process's use marker stands, and the marker goes
+/// Requests pass only while this process's use marker exists, and the marker goes
 /// once they have ceased.
 fn use_marker(facts: &Facts<'_>) -> Option<Step> {
     let ready = facts.record.ready_endpoints().is_some();
@@ -150,7 +150,7 @@
 }
 
 /// The next generation, owned by this process.
-fn wake(facts: &Facts<'_>) -> Step {
+fn cold_start(facts: &Facts<'_>) -> Step {
     write(ActivationRecord {
         generation: facts.record.generation + 1,
         epoch: facts.record.epoch + 1,
@@ -189,7 +189,7 @@
         Stage::Ready { endpoints } => keep(facts, activation, endpoints),
         Stage::Draining { endpoints } if facts.wanted => call_back(facts, activation, endpoints),
         Stage::Draining { .. } if facts.timers.drain => {
-            stage(facts, activation, Stage::Stopping { then: AfterStop::Sleep })
+            stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
         }
         Stage::Draining { .. } => Step::Wait,
         Stage::Stopping { then } => stop(facts, activation, *then),
@@ -215,14 +215,16 @@
         }
         Observed::Gone => try_again(facts, activation),
         Observed::Unknown | Observed::Pending if facts.timers.start => try_again(facts, activation),
-        Observed::Unknown | Observed::Pending => look(facts),
+        Observed::Unknown | Observed::Pending => probe(facts),
     }
 }
 
 fn keep(facts: &Facts<'_>, activation: &Activation, endpoints: &[String]) -> Step {
     match facts.observed {
         Observed::Gone if facts.used || facts.wanted => try_again(facts, activation),
-        Observed::Gone => stage(facts, activation, Stage::Stopping { then: AfterStop::Sleep }),
+        Observed::Gone => {
+            stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
+        }
         Observed::Ready(seen) if seen != endpoints => {
             stage(facts, activation, Stage::Ready { endpoints: seen.clone() })
         }
@@ -230,7 +232,7 @@
         Observed::Pending if !endpoints.is_empty() => {
             stage(facts, activation, Stage::Ready { endpoints: Vec::new() })
         }
-        _ if !facts.used && !facts.wanted && facts.timers.awake => Step::Write {
+        _ if !facts.used && !facts.wanted && facts.timers.minimum_uptime => Step::Write {
             record: with_stage(
                 facts,
                 activation,
@@ -238,7 +240,7 @@
             ),
             unless_used: true,
         },
-        _ => look(facts),
+        _ => probe(facts),
     }
 }
 
@@ -247,7 +249,7 @@
         return Step::Stop;
     }
     let state = match then {
-        AfterStop::Sleep => ModelState::Asleep,
+        AfterStop::ScaleToZero => ModelState::ScaledToZero,
         AfterStop::GiveUp => ModelState::Failed { reason: failure(facts, activation) },
         AfterStop::Retry => ModelState::Active(Activation {
             attempt: activation.attempt + 1,
@@ -278,8 +280,8 @@
     stage(facts, activation, Stage::Ready { endpoints: endpoints.to_vec() })
 }
 
-fn look(facts: &Facts<'_>) -> Step {
-    if facts.timers.look { Step::Look } else { Step::Wait }
+fn probe(facts: &Facts<'_>) -> Step {
+    if facts.timers.probe { Step::Probe } else { Step::Wait }
 }
 
 fn stage(facts: &Facts<'_>, activation: &Activation, stage: Stage) -> Step {
--- a/crates/stonewheel-activation/src/record.rs
+++ b/crates/stonewheel-activation/src/record.rs
@@ -52,7 +52,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum ModelState {
     /// No replica runs and none is being started.
-    Asleep,
+    #[serde(rename = "asleep")]
+    ScaledToZero,
     /// All attempts of the last start failed; the next one waits a while.
     Failed {
         /// Why, for the operator.
@@ -104,7 +105,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum AfterStop {
     /// The model sleeps.
-    Sleep,
+    #[serde(rename = "sleep")]
+    ScaleToZero,
     /// The next attempt of the same generation begins.
     Retry,
     /// The start is given up.
@@ -114,7 +116,7 @@
 impl Default for ActivationRecord {
     /// The state of a model that has no record yet.
     fn default() -> Self {
-        Self { generation: 0, epoch: 0, state: ModelState::Asleep }
+        Self { generation: 0, epoch: 0, state: ModelState::ScaledToZero }
     }
 }
 
@@ -123,7 +125,7 @@
     pub fn activation(&self) -> Option<&Activation> {
         match &self.state {
             ModelState::Active(activation) => Some(activation),
-            ModelState::Asleep | ModelState::Failed { .. } => None,
+            ModelState::ScaledToZero | ModelState::Failed { .. } => None,
         }
     }
 
--- a/crates/stonewheel-activation/src/record/tests.rs
+++ b/crates/stonewheel-activation/src/record/tests.rs
@@ -10,6 +10,6 @@
         assert_eq!(serde_json::to_string(&record).expect("json"), text);
     }
     let record: ActivationRecord = serde_json::from_str(ASLEEP).expect("readable");
-    assert_eq!(record.state, ModelState::Asleep);
+    assert_eq!(record.state, ModelState::ScaledToZero);
     assert_eq!(use_key("router", "m-0"), "sp/a/u/router/m-0");
 }
--- a/crates/stonewheel-activation/src/settings.rs
+++ b/crates/stonewheel-activation/src/settings.rs
@@ -125,7 +125,7 @@
     /// But not sooner after a start.
     #[garde(range(min = 0.0, max = LONGEST_S))]
     pub awake_s: f64,
-    /// How often one wake tries to start it.
+    /// How often one cold start tries to start it.
     #[garde(range(min = 1.0, max = 100.0), custom(whole))]
     pub attempts: f64,
     /// The pause before the second attempt; it doubles with each further one.
@@ -134,7 +134,7 @@
     /// How long requests are refused after the last attempt.
     #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
     pub retry_s: f64,
-    /// How often the owner looks at the replicas.
+    /// How often the owner probes the replicas.
     #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(at_most("start_s", self.start_s)))]
     pub look_s: f64,
 }
--- a/crates/stonewheel-activation/src/starter.rs
+++ b/crates/stonewheel-activation/src/starter.rs
@@ -56,7 +56,7 @@
     fn start(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), StarterError>>;
 
     /// Looks at them.
-    fn look(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>>;
+    fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>>;
 
     /// Stops them; afterwards no start with this job has any effect. A job that is
     /// not ours is left alone.
--- a/crates/stonewheel-activation/tests/common/farm.rs
+++ b/crates/stonewheel-activation/tests/common/farm.rs
@@ -212,7 +212,7 @@
         Ok(())
     }
 
-    fn look(&mut self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
+    fn probe(&mut self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
         let Some(job) = self.jobs.get(&order.job) else { return Ok(Replicas::Gone) };
         Ok(if !job.lives() {
             Replicas::Gone
@@ -264,9 +264,9 @@
         Box::pin(async move { self.call(|state| state.start(&order)).await })
     }
 
-    fn look(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>> {
+    fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>> {
         let order = order.clone();
-        Box::pin(async move { self.call(|state| state.look(&order)).await })
+        Box::pin(async move { self.call(|state| state.probe(&order)).await })
     }
 
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), StarterError>> {
--- a/crates/stonewheel-activation/tests/common/house.rs
+++ b/crates/stonewheel-activation/tests/common/house.rs
@@ -116,7 +116,7 @@
         })
     }
 
-    fn look(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>> {
+    fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>> {
         let order = order.clone();
         Box::pin(async move {
             let state = self.lock();
--- a/crates/stonewheel-activation/tests/exploration.rs
+++ b/crates/stonewheel-activation/tests/exploration.rs
@@ -280,9 +280,9 @@
                 backoff: true,
                 start: over(0),
                 drain: over(1) && settled,
-                awake: over(2),
+                minimum_uptime: over(2),
                 failed: true,
-                look: true,
+                probe: true,
                 adoption: true,
             };
             let step = decide(&Facts {
@@ -343,7 +343,7 @@
             }
             Step::Start => self.send(at, Body::Start { version, job }),
             Step::Stop => self.send(at, Body::Stop { job }),
-            Step::Look => {
+            Step::Probe => {
                 let observed = match self.jobs.get(&job) {
                     Some(JobState::Lives) => Observed::Ready(vec![job]),
                     Some(_) => Observed::Gone,
--- a/crates/stonewheel-activation/tests/measure.rs
+++ b/crates/stonewheel-activation/tests/measure.rs
@@ -44,7 +44,7 @@
     };
     let began = Instant::now();
     house.start(&order).await.expect("started");
-    while house.look(&order).await == Ok(Replicas::Pending) {
+    while house.probe(&order).await == Ok(Replicas::Pending) {
         sleep(Duration::from_millis(50)).await;
     }
     began.elapsed()
@@ -59,14 +59,14 @@
     }
     println!("direct start: {:?} (boot {BOOT:?})", median(direct));
     for size in [1, 3, 5] {
-        let (mut wakes, mut adoptions) = (Vec::new(), Vec::new());
+        let (mut cold_starts, mut adoptions) = (Vec::new(), Vec::new());
         let (mut requests, mut writes) = (Vec::new(), Vec::new());
         for _ in 0..REPEATS {
             let mut loopback = Loopback::new(size).await;
             let before = loopback.deployment.state.usage();
             let began = Instant::now();
             loopback.request(0).await.expect("answered");
-            wakes.push(began.elapsed());
+            cold_starts.push(began.elapsed());
             let after = loopback.deployment.state.usage();
             requests.push(after.requests - before.requests);
             writes.push(after.writes - before.writes);
@@ -86,7 +86,7 @@
         println!(
             "{size} controllers: first answer after {:?}; a wake takes {} requests and {} changes \
              of the state service; adopted after {:?} (session {SESSION:?})",
-            median(wakes),
+            median(cold_starts),
             requests[REPEATS / 2],
             writes[REPEATS / 2],
             (!adoptions.is_empty()).then(|| median(adoptions)),
@@ -100,23 +100,23 @@
     for size in [1, 3, 5] {
         let fleet = Fleet::with_router(size).await;
         let minutes = 10;
-        let asleep = fleet.state.usage();
+        let scaled_to_zero = fleet.state.usage();
         sleep(Duration::from_secs(60 * minutes)).await;
-        let still_asleep = fleet.state.usage();
+        let still_scaled_to_zero = fleet.state.usage();
         fleet.request(0, "router").await;
-        let awake = fleet.state.usage();
+        let minimum_uptime = fleet.state.usage();
         for _ in 0..minutes * 6 {
             sleep(Duration::from_secs(10)).await;
             fleet.request(0, "router").await;
         }
-        let still_awake = fleet.state.usage();
+        let still_serving = fleet.state.usage();
         println!(
             "{size} controllers, session 11 s, each minute: asleep {} requests {} changes, awake \
              with a request every 10 s {} requests {} changes",
-            (still_asleep.requests - asleep.requests) / minutes,
-            (still_asleep.writes - asleep.writes) / minutes,
-            (still_awake.requests - awake.requests) / minutes,
-            (still_awake.writes - awake.writes) / minutes,
+            (still_scaled_to_zero.requests - scaled_to_zero.requests) / minutes,
+            (still_scaled_to_zero.writes - scaled_to_zero.writes) / minutes,
+            (still_serving.requests - minimum_uptime.requests) / minutes,
+            (still_serving.writes - minimum_uptime.writes) / minutes,
         );
     }
 }
--- a/crates/stonewheel-activation/tests/properties.rs
+++ b/crates/stonewheel-activation/tests/properties.rs
@@ -20,7 +20,7 @@
         Just(Stage::Starting),
         endpoints().prop_map(|endpoints| Stage::Ready { endpoints }),
         endpoints().prop_map(|endpoints| Stage::Draining { endpoints }),
-        prop_oneof![Just(AfterStop::Sleep), Just(AfterStop::Retry), Just(AfterStop::GiveUp)]
+        prop_oneof![Just(AfterStop::ScaleToZero), Just(AfterStop::Retry), Just(AfterStop::GiveUp)]
             .prop_map(|then| Stage::Stopping { then }),
     ]
 }
@@ -31,7 +31,7 @@
         ModelState::Active(Activation { owner: owner(number), attempt, job, stage })
     });
     let states = prop_oneof![
-        Just(ModelState::Asleep),
+        Just(ModelState::ScaledToZero),
         Just(ModelState::Failed { reason: "why".into() }),
         active
     ];
@@ -95,9 +95,9 @@
             backoff: f[7],
             start: f[8],
             drain: f[9],
-            awake: f[10],
+            minimum_uptime: f[10],
             failed: f[11],
-            look: f[12],
+            probe: f[12],
             adoption: f[13],
         },
         attempts: ATTEMPTS,
@@ -151,7 +151,7 @@
                 let stopping = |a: &Activation| matches!(a.stage, Stage::Stopping { .. });
                 prop_assert!(mine && activation.is_some_and(stopping));
             }
-            Step::Look => prop_assert!(mine),
+            Step::Probe => prop_assert!(mine),
             _ => {}
         }
     }
--- a/crates/stonewheel-activation/tests/stories.rs
+++ b/crates/stonewheel-activation/tests/stories.rs
@@ -65,7 +65,9 @@
     }
     assert_eq!(fleet.farm.starts().len(), 1, "it was in use all the time");
     fleet.until("it sleeps", |fleet| fleet.farm.live("router") == 0).await;
-    fleet.until("so it is recorded", |f| f.record("router").state == ModelState::Asleep).await;
+    fleet
+        .until("so it is recorded", |f| f.record("router").state == ModelState::ScaledToZero)
+        .await;
     assert_eq!(fleet.request(2, "router").await, Outcome::Answered);
     let generations: Vec<u64> = fleet.farm.starts().iter().map(|s| s.generation).collect();
     assert_eq!(generations, [1, 2]);
@@ -357,7 +359,7 @@
     assert!(all_answered(&fleet.burst(30, "router").await));
     assert_eq!(fleet.farm.taken().len(), 2);
     assert_eq!(fleet.farm.starts().len(), 1);
-    fleet.until("it sleeps again", |f| f.record("router").state == ModelState::Asleep).await;
+    fleet.until("it sleeps again", |f| f.record("router").state == ModelState::ScaledToZero).await;
     fleet.no_rule_broken();
 }
 
@@ -407,7 +409,7 @@
     sleep(Duration::from_millis(1)).await;
     assert_eq!((activator.held().requests, activator.held().bytes), (0, 0));
     fleet.until("it was started", is_ready).await;
-    fleet.until("nobody used it", |f| f.record("router").state == ModelState::Asleep).await;
+    fleet.until("nobody used it", |f| f.record("router").state == ModelState::ScaledToZero).await;
     assert_eq!(fleet.farm.starts().len(), 1);
 }
 
@@ -437,7 +439,7 @@
     fleet.start(1);
     sleep(Duration::from_secs(2)).await;
     assert!(all_answered(&fleet.burst(20, "router").await));
-    fleet.until("it sleeps", |f| f.record("router").state == ModelState::Asleep).await;
+    fleet.until("it sleeps", |f| f.record("router").state == ModelState::ScaledToZero).await;
     fleet.start(2);
     sleep(Duration::from_secs(2)).await;
     assert!(all_answered(&fleet.burst(21, "router").await));
@@ -467,7 +469,7 @@
     sleep(Duration::from_secs(20)).await;
     assert!(all_answered(&fleet.burst(30, "router").await));
     assert_eq!(fleet.farm.starts().len(), 1, "its replicas ran on");
-    fleet.until("it sleeps", |f| f.record("router").state == ModelState::Asleep).await;
+    fleet.until("it sleeps", |f| f.record("router").state == ModelState::ScaledToZero).await;
     fleet.no_rule_broken();
 }
 
--- a/crates/stonewheel-rollout/src/command.rs
+++ b/crates/stonewheel-rollout/src/command.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 use crate::{
-    planner::Sightings,
+    planner::ReplicaObservations,
     record::{DoneCommand, Phase, REMEMBERED_COMMANDS, ReplicaStage, Rollout, ServiceRecord},
 };
 
@@ -77,7 +77,7 @@
     },
     /// Whether a replica answers isn't known.
     #[error("replica {0} could not be looked at")]
-    Unseen(u32),
+    Unobserved(u32),
     /// No replica answers: there is nothing to keep up.
     #[error("no replica of the service answers")]
     NothingAnswers,
@@ -116,7 +116,7 @@
 pub fn apply(
     record: &ServiceRecord,
     command: &Command,
-    sightings: &Sightings,
+    observations: &ReplicaObservations,
 ) -> Result<Option<ServiceRecord>, CommandError> {
     if command.id.is_empty() || command.id.len() > LONGEST_ID {
         return Err(CommandError::Id);
@@ -129,7 +129,7 @@
     let mut next = record.clone();
     match &command.kind {
         CommandKind::Start { to, steps, surge } => {
-            next.rollout = Some(start(record, &command.id, to, steps, *surge, sightings)?);
+            next.rollout = Some(start(record, &command.id, to, steps, *surge, observations)?);
         }
         CommandKind::Pause => under_way(&mut next)?.paused = true,
         CommandKind::Resume => under_way(&mut next)?.paused = false,
@@ -153,7 +153,7 @@
     to: &str,
     steps: &[u8],
     surge: u32,
-    sightings: &Sightings,
+    observations: &ReplicaObservations,
 ) -> Result<Rollout, CommandError> {
     if let Some(rollout) = record.under_way() {
         return Err(CommandError::UnderWay(rollout.id.clone()));
@@ -166,16 +166,16 @@
     if record.version == to && record.replicas.iter().all(|replica| replica.version == to) {
         return Err(CommandError::SameVersion(to.into()));
     }
-    // A look without an answer would lower the level for good.
-    if let Some(number) = sightings.unseen(record) {
-        return Err(CommandError::Unseen(number));
+    // A probe without an answer would lower the level for good.
+    if let Some(number) = observations.unobserved(record) {
+        return Err(CommandError::Unobserved(number));
     }
-    let answering = sightings.answering(record);
+    let answering = observations.answering(record);
     let level = answering.len() as u32;
     if level == 0 {
         return Err(CommandError::NothingAnswers);
     }
-    let holds = sightings.fullest_machine(&answering);
+    let holds = observations.fullest_machine(&answering);
     if surge <= holds {
         return Err(CommandError::Surge { least: holds + 1, holds });
     }
--- a/crates/stonewheel-rollout/src/condition.rs
+++ b/crates/stonewheel-rollout/src/condition.rs
@@ -30,8 +30,8 @@
 /// What a script may ask of the step that was watched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StepFigures {
-    /// Looks at new replicas within the soak.
-    pub looks: u32,
+    /// Probes of new replicas within the soak.
+    pub probes: u32,
     /// How many of them went unanswered.
     pub failures: u32,
     /// Replicas that take requests and answer, of any version.
@@ -126,7 +126,7 @@
 
 fn scope(figures: &StepFigures) -> Scope<'static> {
     let mut scope = Scope::new();
-    scope.push_constant("looks", i64::from(figures.looks));
+    scope.push_constant("looks", i64::from(figures.probes));
     scope.push_constant("failures", i64::from(figures.failures));
     scope.push_constant("answering", i64::from(figures.answering));
     scope.push_constant("level", i64::from(figures.level));
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -21,7 +21,7 @@
     condition::PromotionCondition,
     host::{HostError, ReplicaHost, ReplicaOrder},
     observer::Observer,
-    planner::{Facts, Reason, Sightings, Step, Verdict, decide, has_work},
+    planner::{Facts, Reason, ReplicaObservations, Step, Verdict, decide, has_work},
     record::{Replica, ServiceRecord, record_bytes, service_key},
     settings::RolloutSettings,
 };
@@ -54,7 +54,7 @@
     promote_when: Option<PromotionCondition>,
     observer: Mutex<Observer>,
     succession: Mutex<Succession>,
-    next_look: Mutex<Instant>,
+    next_probe: Mutex<Instant>,
 }
 
 /// The executor of one controller.
@@ -86,7 +86,7 @@
                 promote_when,
                 observer: Mutex::new(Observer::new(settings)),
                 succession: Mutex::default(),
-                next_look: Mutex::new(Instant::now()),
+                next_probe: Mutex::new(Instant::now()),
             };
             (name, Arc::new(service))
         };
@@ -177,11 +177,11 @@
         Err(CommandError::TooLarge { most })
     }
 
-    /// Where the replicas that take requests answer, by a look at each.
+    /// Where the replicas that take requests answer, by a probe of each.
     pub async fn endpoints(&self, service: &str) -> Option<Vec<String>> {
         let known = self.services.get(service)?;
         let record = self.record(service)?;
-        self.look_now(known, &record).await;
+        self.probe_now(known, &record).await;
         Some(lock(&known.observer).endpoints(&record.value, Instant::now()))
     }
 
@@ -202,12 +202,12 @@
                 let replicas = record.value.replicas.len() as u32;
                 self.check_size(replicas.saturating_add(*surge), to)?;
             }
-            let sightings = self.look_now(known, &record).await;
-            let next = match apply(&record.value, command, &sightings) {
+            let observations = self.probe_now(known, &record).await;
+            let next = match apply(&record.value, command, &observations) {
                 Ok(Some(next)) => next,
                 Ok(None) => return Ok(()),
-                // A look got no answer: the next one may.
-                Err(CommandError::Unseen(_)) => {
+                // A probe got no answer: the next one may.
+                Err(CommandError::Unobserved(_)) => {
                     self.coordinator.refresh().await;
                     continue;
                 }
@@ -237,7 +237,7 @@
                 continue;
             };
             if self.owns(&record) && has_work(&record.value) {
-                self.look_if_due(&service, &record).await;
+                self.probe_if_due(&service, &record).await;
             }
             match self.plan(&service, &record) {
                 Step::Wait(reason) => {
@@ -282,7 +282,7 @@
             session_valid: session.is_some_and(|session| now < session.valid_until),
             owner_alive,
             may_adopt,
-            sightings: &observer.sightings(now),
+            observations: &observer.observations(now),
             verdict: &self.verdict(service, &observer, &record.value, now),
             job_base: self.job_base(),
         })
@@ -311,14 +311,14 @@
 
     fn wake_at(&self, service: &Service, reason: Reason) -> Instant {
         let now = Instant::now();
-        let look = (*lock(&service.next_look)).max(now);
+        let probe = (*lock(&service.next_probe)).max(now);
         let due = lock(&service.observer).next_due(now);
         match reason {
             // A change of the records wakes the duty by itself; this is for adoption.
             Reason::NotOwner | Reason::NoSession | Reason::Nothing => {
                 now + self.coordinator.timing().session / ADOPTION_PARTS
             }
-            _ => due.map_or(look, |due| due.min(look)),
+            _ => due.map_or(probe, |due| due.min(probe)),
         }
     }
 
@@ -390,33 +390,37 @@
         }
     }
 
-    async fn look_if_due(&self, service: &Service, record: &Versioned<ServiceRecord>) {
-        if *lock(&service.next_look) > Instant::now() {
+    async fn probe_if_due(&self, service: &Service, record: &Versioned<ServiceRecord>) {
+        if *lock(&service.next_probe) > Instant::now() {
             return;
         }
-        self.look_now(service, record).await;
-        *lock(&service.next_look) = Instant::now() + self.settings.look();
+        self.probe_now(service, record).await;
+        *lock(&service.next_probe) = Instant::now() + self.settings.probe();
     }
 
-    /// Looks at all replicas, and tells what is known then.
-    async fn look_now(&self, service: &Service, record: &Versioned<ServiceRecord>) -> Sightings {
+    /// Probes all replicas, and tells what is known then.
+    async fn probe_now(
+        &self,
+        service: &Service,
+        record: &Versioned<ServiceRecord>,
+    ) -> ReplicaObservations {
         lock(&service.observer).follow(&record.value, Instant::now());
-        let looks = record.value.replicas.iter().map(|replica| {
+        let probes = record.value.replicas.iter().map(|replica| {
             let order = self.order(service, record, replica);
-            async move { (replica, self.host.look(&order).await) }
+            async move { (replica, self.host.probe(&order).await) }
         });
-        let looks = join_all(looks).await;
+        let probes = join_all(probes).await;
         let now = Instant::now();
         let to = record.value.under_way().map(|rollout| rollout.to.as_str());
         let mut observer = lock(&service.observer);
-        for (replica, look) in looks {
+        for (replica, probe) in probes {
             let new = to == Some(replica.version.as_str());
-            match look {
-                Ok(look) => observer.looked(replica.number, look, new, now),
+            match probe {
+                Ok(probe) => observer.record_probe(replica.number, probe, new, now),
                 Err(error) => debug!(service = service.name, %error, "look"),
             }
         }
-        observer.sightings(now)
+        observer.observations(now)
     }
 }
 
--- a/crates/stonewheel-rollout/src/host.rs
+++ b/crates/stonewheel-rollout/src/host.rs
@@ -22,9 +22,9 @@
     pub fence: Condition,
 }
 
-/// What a look at a replica shows.
+/// What a probe of a replica shows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum ProbeResult {
     /// It waits for room.
     NoRoom,
     /// It has a place, and doesn't answer.
@@ -63,8 +63,8 @@
     /// Asks for a replica.
     fn start(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), HostError>>;
 
-    /// Looks at it.
-    fn look(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Look, HostError>>;
+    /// Probes it.
+    fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<ProbeResult, HostError>>;
 
     /// Stops it; afterwards no start of it has any effect.
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), HostError>>;
--- a/crates/stonewheel-rollout/src/lib.rs
+++ b/crates/stonewheel-rollout/src/lib.rs
@@ -19,6 +19,6 @@
 
 pub use condition::{ConditionError, PromotionCondition, StepFigures};
 pub use executor::{CommandFailure, Executor};
-pub use host::{HostError, Look, ReplicaHost, ReplicaOrder};
+pub use host::{HostError, ProbeResult, ReplicaHost, ReplicaOrder};
 pub use routes::serve;
 pub use settings::{RolloutSettings, Rollouts, ServiceSettings, is_section, parse_sections};
--- a/crates/stonewheel-rollout/src/observer.rs
+++ b/crates/stonewheel-rollout/src/observer.rs
@@ -6,21 +6,21 @@
 
 use crate::{
     condition::StepFigures,
-    host::Look,
-    planner::{Seen, Sighting, Sightings, Verdict},
+    host::ProbeResult,
+    planner::{ReplicaHealth, ReplicaObservation, ReplicaObservations, Verdict},
     record::{Phase, ReplicaStage, ServiceRecord},
     settings::RolloutSettings,
 };
 
-/// A look that is older than so many intervals says nothing any more.
-const STALE_LOOKS: u32 = 3;
-/// Looks at a replica before its share of failures says anything.
-const LEAST_LOOKS: u32 = 10;
+/// A probe that is older than so many intervals says nothing any more.
+const STALE_PROBES: u32 = 3;
+/// Probes of a replica before its share of failures says anything.
+const MIN_PROBES: u32 = 10;
 
 /// What was seen of one replica.
 #[derive(Clone, Debug, Default)]
-struct Seeing {
-    seen: Seen,
+struct ObservedReplica {
+    health: ReplicaHealth,
     machine: Option<String>,
     endpoint: Option<String>,
     at: Option<Instant>,
@@ -29,8 +29,8 @@
     stopped: bool,
     silent_since: Option<Instant>,
     draining_since: Option<Instant>,
-    /// Looks since it first answered, and how many went unanswered.
-    looks: u32,
+    /// Probes since it first answered, and how many went unanswered.
+    probes: u32,
     failures: u32,
 }
 
@@ -46,10 +46,10 @@
 pub(crate) struct Observer {
     settings: RolloutSettings,
     epoch: u64,
-    replicas: BTreeMap<u32, Seeing>,
+    replicas: BTreeMap<u32, ObservedReplica>,
     soaking: Option<(Watched, Instant)>,
-    /// Looks at new replicas within the present soak, and how many went unanswered.
-    soak_looks: u32,
+    /// Probes of new replicas within the present soak, and how many went unanswered.
+    soak_probes: u32,
     soak_failures: u32,
 }
 
@@ -60,7 +60,7 @@
             epoch: 0,
             replicas: BTreeMap::new(),
             soaking: None,
-            soak_looks: 0,
+            soak_probes: 0,
             soak_failures: 0,
         }
     }
@@ -74,107 +74,110 @@
         }
         self.replicas.retain(|number, _| record.replicas.iter().any(|r| r.number == *number));
         for replica in &record.replicas {
-            let seeing = self.replicas.entry(replica.number).or_default();
+            let observed = self.replicas.entry(replica.number).or_default();
             if replica.stage == ReplicaStage::Draining {
-                seeing.draining_since.get_or_insert(now);
+                observed.draining_since.get_or_insert(now);
             }
         }
         let rollout = record.under_way().filter(|rollout| rollout.phase == Phase::Soaking);
         let watched = rollout.map(|r| Watched { epoch: record.epoch, step: r.step });
         if self.soaking.map(|(held, _)| held) != watched {
             self.soaking = watched.map(|watched| (watched, now));
-            (self.soak_looks, self.soak_failures) = (0, 0);
+            (self.soak_probes, self.soak_failures) = (0, 0);
         }
     }
 
     pub fn requested(&mut self, number: u32, rejected: Option<String>) {
-        let seeing = self.replicas.entry(number).or_default();
-        seeing.requested = true;
-        seeing.rejected = rejected;
+        let observed = self.replicas.entry(number).or_default();
+        observed.requested = true;
+        observed.rejected = rejected;
     }
 
     pub fn stopped(&mut self, number: u32) {
         self.replicas.entry(number).or_default().stopped = true;
     }
 
-    /// Notes a look. `new`: the replica is of the version that is rolled out.
-    pub fn looked(&mut self, number: u32, look: Look, new: bool, now: Instant) {
-        let seeing = self.replicas.entry(number).or_default();
-        seeing.at = Some(now);
-        let (seen, machine) = match look {
-            Look::NoRoom => (Seen::NoRoom, None),
-            Look::Silent { machine } => (Seen::Silent, Some(machine)),
-            Look::Answering { machine, endpoint } => {
-                seeing.endpoint = Some(endpoint);
-                (Seen::Answering, Some(machine))
+    /// Notes a probe. `new`: the replica is of the version that is rolled out.
+    pub fn record_probe(&mut self, number: u32, probe: ProbeResult, new: bool, now: Instant) {
+        let observed = self.replicas.entry(number).or_default();
+        observed.at = Some(now);
+        let (health, machine) = match probe {
+            ProbeResult::NoRoom => (ReplicaHealth::NoRoom, None),
+            ProbeResult::Silent { machine } => (ReplicaHealth::Silent, Some(machine)),
+            ProbeResult::Answering { machine, endpoint } => {
+                observed.endpoint = Some(endpoint);
+                (ReplicaHealth::Answering, Some(machine))
             }
-            Look::Gone => (Seen::Gone, None),
+            ProbeResult::Gone => (ReplicaHealth::Gone, None),
         };
-        if machine != seeing.machine {
+        if machine != observed.machine {
             // Its machine was lost, and it loads anew: that says nothing of its version.
-            (seeing.looks, seeing.failures, seeing.silent_since) = (0, 0, None);
+            (observed.probes, observed.failures, observed.silent_since) = (0, 0, None);
         }
-        (seeing.seen, seeing.machine) = (seen, machine);
-        let (answers, silent) = (seeing.seen == Seen::Answering, seeing.seen == Seen::Silent);
-        seeing.silent_since = if silent { seeing.silent_since.or(Some(now)) } else { None };
+        (observed.health, observed.machine) = (health, machine);
+        let (answers, silent) =
+            (observed.health == ReplicaHealth::Answering, observed.health == ReplicaHealth::Silent);
+        observed.silent_since = if silent { observed.silent_since.or(Some(now)) } else { None };
         // Before the first answer it loads; while it has no place its machine was lost.
-        if answers || (silent && seeing.looks > 0) {
-            seeing.looks += 1;
-            seeing.failures += u32::from(silent);
+        if answers || (silent && observed.probes > 0) {
+            observed.probes += 1;
+            observed.failures += u32::from(silent);
             if new && self.soaking.is_some() {
-                self.soak_looks += 1;
+                self.soak_probes += 1;
                 self.soak_failures += u32::from(silent);
             }
         }
     }
 
     /// What is known now.
-    pub fn sightings(&self, now: Instant) -> Sightings {
-        let stale = self.settings.look() * STALE_LOOKS;
-        let sighting = |seeing: &Seeing| {
-            let fresh = seeing.at.is_some_and(|at| now < at + stale);
-            Sighting {
-                seen: if fresh { seeing.seen } else { Seen::Unknown },
-                machine: seeing.machine.clone(),
-                requested: seeing.requested,
-                failed: self.failure(seeing, now),
-                drained: seeing
+    pub fn observations(&self, now: Instant) -> ReplicaObservations {
+        let stale = self.settings.probe() * STALE_PROBES;
+        let observation = |observed: &ObservedReplica| {
+            let fresh = observed.at.is_some_and(|at| now < at + stale);
+            ReplicaObservation {
+                health: if fresh { observed.health } else { ReplicaHealth::Unknown },
+                machine: observed.machine.clone(),
+                requested: observed.requested,
+                failed: self.failure(observed, now),
+                drained: observed
                     .draining_since
                     .is_some_and(|since| now >= since + self.settings.drain()),
-                stopped: seeing.stopped,
+                stopped: observed.stopped,
             }
         };
-        Sightings(self.replicas.iter().map(|(number, s)| (*number, sighting(s))).collect())
+        ReplicaObservations(
+            self.replicas.iter().map(|(number, s)| (*number, observation(s))).collect(),
+        )
     }
 
-    fn failure(&self, seeing: &Seeing, now: Instant) -> Option<String> {
-        if let Some(reason) = &seeing.rejected {
+    fn failure(&self, observed: &ObservedReplica, now: Instant) -> Option<String> {
+        if let Some(reason) = &observed.rejected {
             return Some(format!("a replica can't be started: {reason}"));
         }
-        if seeing.silent_since.is_some_and(|since| now >= since + self.settings.start()) {
+        if observed.silent_since.is_some_and(|since| now >= since + self.settings.start()) {
             return Some(format!("a replica did not answer for {} s", self.settings.start_s));
         }
-        let most = f64::from(seeing.looks) * self.settings.most_failures;
-        (seeing.looks >= LEAST_LOOKS && f64::from(seeing.failures) > most)
+        let most = f64::from(observed.probes) * self.settings.most_failures;
+        (observed.probes >= MIN_PROBES && f64::from(observed.failures) > most)
             .then(|| "a replica answers now and then".to_owned())
     }
 
     /// Where the replicas that take requests answer.
     pub fn endpoints(&self, record: &ServiceRecord, now: Instant) -> Vec<String> {
-        let sightings = self.sightings(now);
-        let answering = sightings.answering(record).into_iter();
+        let observations = self.observations(now);
+        let answering = observations.answering(record).into_iter();
         answering.filter_map(|number| self.replicas.get(&number)?.endpoint.clone()).collect()
     }
 
     /// What the health gate says of the step that is watched.
     pub fn verdict(&self, now: Instant) -> Verdict {
         let Some((_, since)) = self.soaking else { return Verdict::Undecided };
-        let most = f64::from(self.soak_looks) * self.settings.most_failures;
-        if now < since + self.settings.soak() || self.soak_looks == 0 {
+        let most = f64::from(self.soak_probes) * self.settings.most_failures;
+        if now < since + self.settings.soak() || self.soak_probes == 0 {
             Verdict::Undecided
         } else if f64::from(self.soak_failures) > most {
-            let (failures, looks) = (self.soak_failures, self.soak_looks);
-            Verdict::Unhealthy(format!("{failures} of {looks} looks went unanswered"))
+            let (failures, probes) = (self.soak_failures, self.soak_probes);
+            Verdict::Unhealthy(format!("{failures} of {probes} looks went unanswered"))
         } else {
             Verdict::Healthy
         }
@@ -184,9 +187,9 @@
     pub fn step_figures(&self, record: &ServiceRecord, now: Instant) -> StepFigures {
         let Some(rollout) = record.under_way() else { return StepFigures::default() };
         StepFigures {
-            looks: self.soak_looks,
+            probes: self.soak_probes,
             failures: self.soak_failures,
-            answering: self.sightings(now).answering(record).len() as u32,
+            answering: self.observations(now).answering(record).len() as u32,
             level: rollout.level,
             step: rollout.step + 1,
             steps: rollout.steps.len() as u32,
--- a/crates/stonewheel-rollout/src/planner.rs
+++ b/crates/stonewheel-rollout/src/planner.rs
@@ -18,7 +18,7 @@
 
 /// What a probe saw of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Seen {
+pub enum ReplicaHealth {
     /// Nothing lately.
     #[default]
     Unknown,
@@ -34,9 +34,9 @@
 
 /// What is known of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sighting {
+pub struct ReplicaObservation {
     /// What the last probe saw.
-    pub seen: Seen,
+    pub health: ReplicaHealth,
     /// The machine that it is on.
     pub machine: Option<String>,
     /// Its start was asked for, by this owner.
@@ -52,15 +52,17 @@
 
 /// What is known of the replicas, by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sightings(pub BTreeMap<u32, Sighting>);
+pub struct ReplicaObservations(pub BTreeMap<u32, ReplicaObservation>);
 
-impl Sightings {
-    fn of(&self, replica: &Replica) -> Sighting {
+impl ReplicaObservations {
+    fn of(&self, replica: &Replica) -> ReplicaObservation {
         self.0.get(&replica.number).cloned().unwrap_or_default()
     }
 
     fn answers(&self, replica: &Replica) -> bool {
-        self.0.get(&replica.number).is_some_and(|sighting| sighting.seen == Seen::Answering)
+        self.0
+            .get(&replica.number)
+            .is_some_and(|observation| observation.health == ReplicaHealth::Answering)
     }
 
     /// The replicas that take requests and answer.
@@ -70,10 +72,10 @@
     }
 
     /// A replica that takes requests and of which nothing is known.
-    pub fn unseen(&self, record: &ServiceRecord) -> Option<u32> {
+    pub fn unobserved(&self, record: &ServiceRecord) -> Option<u32> {
         let serving = record.replicas.iter().filter(|r| r.stage == ReplicaStage::Serving);
-        let unseen = |replica: &&Replica| self.of(replica).seen == Seen::Unknown;
-        serving.filter(unseen).map(|replica| replica.number).next()
+        let unobserved = |replica: &&Replica| self.of(replica).health == ReplicaHealth::Unknown;
+        serving.filter(unobserved).map(|replica| replica.number).next()
     }
 
     /// How many of these are on the machine that holds most of them. Those whose machine
@@ -81,7 +83,7 @@
     pub fn fullest_machine(&self, replicas: &[u32]) -> u32 {
         let mut held: BTreeMap<Option<&str>, u32> = BTreeMap::new();
         for number in replicas {
-            let machine = self.0.get(number).and_then(|sighting| sighting.machine.as_deref());
+            let machine = self.0.get(number).and_then(|observation| observation.machine.as_deref());
             *held.entry(machine).or_default() += 1;
         }
         held.into_values().max().unwrap_or(0)
@@ -134,7 +136,7 @@
     /// The time that this controller leaves to others before it adopts is over.
     pub may_adopt: bool,
     /// What was lately seen.
-    pub sightings: &'a Sightings,
+    pub observations: &'a ReplicaObservations,
     /// What the health gate says.
     pub verdict: &'a Verdict,
     /// New jobs are named from here on.
@@ -211,16 +213,20 @@
     let record = facts.record;
     let mut next = record.clone();
     next.replicas.retain(|replica| {
-        let over = facts.sightings.of(replica).stopped;
+        let over = facts.observations.of(replica).stopped;
         replica.stage != ReplicaStage::Stopping || !over
     });
     for replica in &mut next.replicas {
-        let sighting = facts.sightings.of(replica);
+        let observation = facts.observations.of(replica);
         replica.stage = match replica.stage {
-            ReplicaStage::Starting if sighting.seen == Seen::Answering => ReplicaStage::Serving,
-            ReplicaStage::Draining if sighting.drained => ReplicaStage::Stopping,
+            ReplicaStage::Starting if observation.health == ReplicaHealth::Answering => {
+                ReplicaStage::Serving
+            }
+            ReplicaStage::Draining if observation.drained => ReplicaStage::Stopping,
             // A job that ended by itself is cleaned up like one that was stopped.
-            ReplicaStage::Starting | ReplicaStage::Serving if sighting.seen == Seen::Gone => {
+            ReplicaStage::Starting | ReplicaStage::Serving
+                if observation.health == ReplicaHealth::Gone =>
+            {
                 ReplicaStage::Stopping
             }
             stage => stage,
@@ -229,10 +235,10 @@
     if next.replicas != record.replicas {
         return Some(Step::Write(Box::new(next)));
     }
-    let sighting = |replica: &&Replica| facts.sightings.of(replica);
+    let observation = |replica: &&Replica| facts.observations.of(replica);
     let in_stage = |stage| record.replicas.iter().filter(move |replica| replica.stage == stage);
     let to_stop = in_stage(ReplicaStage::Stopping).next();
-    let to_start = in_stage(ReplicaStage::Starting).find(|replica| !sighting(replica).requested);
+    let to_start = in_stage(ReplicaStage::Starting).find(|replica| !observation(replica).requested);
     to_stop.map(|r| Step::Stop(r.number)).or(to_start.map(|r| Step::Start(r.number)))
 }
 
@@ -242,7 +248,7 @@
         return None;
     }
     let new = of_version(facts.record, &rollout.to);
-    let failed = new.into_iter().find_map(|replica| facts.sightings.of(replica).failed);
+    let failed = new.into_iter().find_map(|replica| facts.observations.of(replica).failed);
     match (failed, facts.verdict) {
         (Some(why), _) => Some(why),
         (None, Verdict::Unhealthy(why)) if rollout.phase == Phase::Soaking => Some(why.clone()),
@@ -270,13 +276,13 @@
 /// Whether the level and a spare answer without this replica. One that doesn't answer
 /// takes nothing away.
 fn may_drain(facts: &Facts<'_>, rollout: &Rollout, replica: &Replica, spare: bool) -> bool {
-    let answering = facts.sightings.answering(facts.record);
+    let answering = facts.observations.answering(facts.record);
     if !answering.contains(&replica.number) {
         return true;
     }
     let rest: Vec<u32> = answering.into_iter().filter(|n| *n != replica.number).collect();
     let most = rollout.surge.saturating_sub(1);
-    let spare = if spare { facts.sightings.fullest_machine(&rest).min(most) } else { 0 };
+    let spare = if spare { facts.observations.fullest_machine(&rest).min(most) } else { 0 };
     rest.len() as u32 >= rollout.level + spare
 }
 
@@ -287,7 +293,7 @@
     candidates: &[&Replica],
     spare: bool,
 ) -> Option<Step> {
-    let silent = candidates.iter().find(|replica| !facts.sightings.answers(replica));
+    let silent = candidates.iter().find(|replica| !facts.observations.answers(replica));
     let chosen = silent.or(candidates.first())?;
     if !may_drain(facts, rollout, chosen, spare) {
         return None;
@@ -331,7 +337,7 @@
         facts.record.replicas.len() > old.len() + of_version(facts.record, &rollout.to).len();
     let answering = of_version(facts.record, &rollout.to)
         .into_iter()
-        .filter(|replica| facts.sightings.answers(replica))
+        .filter(|replica| facts.observations.answers(replica))
         .count() as u32;
     if leaving || answering < new {
         return Step::Wait(why_waiting(facts));
@@ -374,7 +380,7 @@
     if facts.record.replicas.len() as u32 > size {
         return Step::Wait(Reason::Draining);
     }
-    if (facts.sightings.answering(facts.record).len() as u32) < size {
+    if (facts.observations.answering(facts.record).len() as u32) < size {
         return Step::Wait(Reason::NotAnswering);
     }
     change(facts.record, |next| {
@@ -400,9 +406,9 @@
 
 fn why_waiting(facts: &Facts<'_>) -> Reason {
     let starting = |r: &&Replica| r.stage == ReplicaStage::Starting;
-    let seen = |r: &Replica| facts.sightings.of(r).seen;
+    let health = |r: &Replica| facts.observations.of(r).health;
     let mut waiting = facts.record.replicas.iter().filter(starting);
-    if waiting.clone().any(|replica| seen(replica) == Seen::NoRoom) {
+    if waiting.clone().any(|replica| health(replica) == ReplicaHealth::NoRoom) {
         Reason::NoRoom
     } else if waiting.next().is_some() {
         Reason::NotAnswering
--- a/crates/stonewheel-rollout/src/settings.rs
+++ b/crates/stonewheel-rollout/src/settings.rs
@@ -12,7 +12,7 @@
 /// The sections of services are called this and the service's name.
 const SERVICE_SECTION: &str = "service ";
 
-/// Of the time between two looks, a promotion condition may take one in so many parts.
+/// Of the time between two probes, a promotion condition may take one in so many parts.
 /// Its operations are limited too, and mostly end it far earlier; a process that
 /// stands still for a moment must not turn a rollout back.
 const CONDITION_PARTS: u32 = 4;
@@ -24,32 +24,32 @@
 /// The times of a rollout, and what its health gate allows.
 #[derive(Clone, Copy, Debug, PartialEq, Validate)]
 pub struct RolloutSettings {
-    /// How often replicas are looked at.
+    /// How often replicas are probed.
     #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
     pub look_s: f64,
     /// A replica that has a place and doesn't answer for so long has failed.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(more_looks(self.look_s)))]
+    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(spans_several_probes(self.look_s)))]
     pub start_s: f64,
     /// How long a step is watched before the next one.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(more_looks(self.look_s)))]
+    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(spans_several_probes(self.look_s)))]
     pub soak_s: f64,
     /// How long a replica drains: longer than balancers and clients may lag, and than
     /// the longest request.
     #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
     pub drain_s: f64,
-    /// Looks at new replicas that may go unanswered, as a share of all within a step.
+    /// Probes of new replicas that may go unanswered, as a share of all within a step.
     #[garde(range(min = 0.0, max = 1.0))]
     pub most_failures: f64,
 }
 
-/// A wait that is shorter than a few looks says nothing.
-fn more_looks(look_s: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
-    const LEAST_LOOKS: f64 = 3.0;
+/// A wait that is shorter than a few probes says nothing.
+fn spans_several_probes(look_s: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
+    const MIN_PROBES: f64 = 3.0;
     move |value, &()| {
-        if *value >= look_s * LEAST_LOOKS {
+        if *value >= look_s * MIN_PROBES {
             return Ok(());
         }
-        Err(garde::Error::new(format!("must be at least {LEAST_LOOKS} times look_s")))
+        Err(garde::Error::new(format!("must be at least {MIN_PROBES} times look_s")))
     }
 }
 
@@ -205,11 +205,11 @@
 impl RolloutSettings {
     /// How long an evaluation of a promotion condition may take.
     pub fn condition_limit(&self) -> Duration {
-        self.look() / CONDITION_PARTS
+        self.probe() / CONDITION_PARTS
     }
 
-    /// How often replicas are looked at.
-    pub fn look(&self) -> Duration {
+    /// How often replicas are probed.
+    pub fn probe(&self) -> Duration {
         Duration::from_secs_f64(self.look_s)
     }
 
--- a/crates/stonewheel-rollout/tests/common/mod.rs
+++ b/crates/stonewheel-rollout/tests/common/mod.rs
@@ -9,7 +9,9 @@
 use stonewheel_coordination::Owner;
 use stonewheel_rollout::{
     command::{Command, CommandError, CommandKind, apply},
-    planner::{Facts, Seen, Sighting, Sightings, Step, Verdict, decide},
+    planner::{
+        Facts, ReplicaHealth, ReplicaObservation, ReplicaObservations, Step, Verdict, decide,
+    },
     record::{Phase, Replica, ReplicaStage, ServiceRecord},
 };
 
@@ -109,20 +111,20 @@
         serving.filter(|replica| self.answers(replica)).count() as u32
     }
 
-    pub fn sightings(&self) -> Sightings {
-        let sighting = |replica: &Replica| {
+    pub fn observations(&self) -> ReplicaObservations {
+        let observation = |replica: &Replica| {
             let running = self.replicas.get(&replica.number);
             let machine = running.and_then(|running| running.machine);
-            let seen = match (running, machine) {
-                (None, _) => Seen::Unknown,
-                _ if self.answers(replica) => Seen::Answering,
-                (_, Some(_)) => Seen::Silent,
-                (_, None) => Seen::NoRoom,
+            let health = match (running, machine) {
+                (None, _) => ReplicaHealth::Unknown,
+                _ if self.answers(replica) => ReplicaHealth::Answering,
+                (_, Some(_)) => ReplicaHealth::Silent,
+                (_, None) => ReplicaHealth::NoRoom,
             };
             let overdue = self.silent.get(&replica.number).is_some_and(|n| *n > OVERDUE);
             let flaps = self.missed.get(&replica.number).is_some_and(|n| *n > 3);
-            Sighting {
-                seen,
+            ReplicaObservation {
+                health,
                 machine: machine.map(|machine| format!("n-{machine}")),
                 requested: self.requested.contains(&replica.number),
                 failed: (overdue || flaps).then(|| "it does not answer".into()),
@@ -130,14 +132,16 @@
                 stopped: running.is_some_and(|running| running.stopped),
             }
         };
-        Sightings(self.record.replicas.iter().map(|r| (r.number, sighting(r))).collect())
+        ReplicaObservations(
+            self.record.replicas.iter().map(|r| (r.number, observation(r))).collect(),
+        )
     }
 
     /// A command, as any controller may take it.
     pub fn command(&mut self, kind: CommandKind) -> Result<(), CommandError> {
         self.commands += 1;
         let command = Command { id: format!("c-{}", self.commands), kind };
-        if let Some(next) = apply(&self.record, &command, &self.sightings())? {
+        if let Some(next) = apply(&self.record, &command, &self.observations())? {
             self.record = next;
         }
         Ok(())
@@ -182,7 +186,7 @@
     pub fn tick(&mut self) {
         self.ticks += 1;
         self.place();
-        self.look();
+        self.probe();
         for _ in 0..50 {
             if !self.act() {
                 return;
@@ -202,7 +206,7 @@
         }
     }
 
-    fn look(&mut self) {
+    fn probe(&mut self) {
         let replicas = self.record.replicas.clone();
         for replica in &replicas {
             let answers = self.answers(replica);
@@ -226,7 +230,7 @@
     /// One step of the owner; false if it waits.
     fn act(&mut self) -> bool {
         let me = Owner { member: format!("m-{}", self.owner), incarnation: self.owner };
-        let sightings = self.sightings();
+        let observations = self.observations();
         let verdict = if self.soaked >= SOAK { Verdict::Healthy } else { Verdict::Undecided };
         let step = (self.planner)(&Facts {
             me: &me,
@@ -234,7 +238,7 @@
             session_valid: true,
             owner_alive: self.record.owner.as_ref() == Some(&me),
             may_adopt: true,
-            sightings: &sightings,
+            observations: &observations,
             verdict: &verdict,
             job_base: 1000,
         });
--- a/crates/stonewheel-rollout/tests/common/servers.rs
+++ b/crates/stonewheel-rollout/tests/common/servers.rs
@@ -8,7 +8,7 @@
 };
 
 use futures_util::future::BoxFuture;
-use stonewheel_rollout::{HostError, Look, ReplicaHost, ReplicaOrder};
+use stonewheel_rollout::{HostError, ProbeResult, ReplicaHost, ReplicaOrder};
 use stonewheel_testing::Callers;
 use tokio::time::{Instant, sleep};
 
@@ -188,16 +188,16 @@
         Ok(())
     }
 
-    fn look(&mut self, order: &ReplicaOrder) -> Result<Look, HostError> {
-        let Some(server) = self.servers.get(&order.job) else { return Ok(Look::NoRoom) };
+    fn probe(&mut self, order: &ReplicaOrder) -> Result<ProbeResult, HostError> {
+        let Some(server) = self.servers.get(&order.job) else { return Ok(ProbeResult::NoRoom) };
         let Some(machine) = server.machine.filter(|_| !server.stopped) else {
-            return Ok(if server.stopped { Look::Gone } else { Look::NoRoom });
+            return Ok(if server.stopped { ProbeResult::Gone } else { ProbeResult::NoRoom });
         };
         let machine = format!("n-{machine}");
         Ok(if self.answers(server) {
-            Look::Answering { machine, endpoint: order.job.clone() }
+            ProbeResult::Answering { machine, endpoint: order.job.clone() }
         } else {
-            Look::Silent { machine }
+            ProbeResult::Silent { machine }
         })
     }
 
@@ -241,9 +241,9 @@
         Box::pin(async move { self.call(|state| state.start(&order)).await })
     }
 
-    fn look(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Look, HostError>> {
+    fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<ProbeResult, HostError>> {
         let order = order.clone();
-        Box::pin(async move { self.call(|state| state.look(&order)).await })
+        Box::pin(async move { self.call(|state| state.probe(&order)).await })
     }
 
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), HostError>> {
--- a/crates/stonewheel-rollout/tests/condition.rs
+++ b/crates/stonewheel-rollout/tests/condition.rs
@@ -5,7 +5,7 @@
 use stonewheel_rollout::{ConditionError, PromotionCondition, StepFigures};
 
 const FIGURES: StepFigures =
-    StepFigures { looks: 100, failures: 2, answering: 12, level: 10, step: 2, steps: 3 };
+    StepFigures { probes: 100, failures: 2, answering: 12, level: 10, step: 2, steps: 3 };
 
 /// Longer than any of these takes.
 const PATIENCE: Duration = Duration::from_secs(60);
--- a/crates/stonewheel-rollout/tests/planner.rs
+++ b/crates/stonewheel-rollout/tests/planner.rs
@@ -192,19 +192,19 @@
     let fleet = Fleet::new(4, 4, real);
     let command = |id: &str, kind| Command { id: id.into(), kind };
     let start = CommandKind::Start { to: "two".into(), steps: vec![100], surge: 2 };
-    let sightings = fleet.sightings();
-    let started = apply(&fleet.record, &command("c", start.clone()), &sightings);
+    let observations = fleet.observations();
+    let started = apply(&fleet.record, &command("c", start.clone()), &observations);
     let mut started = started.expect("accepted").expect("changed");
-    assert_eq!(apply(&started, &command("c", start), &sightings), Ok(None));
-    let other = apply(&started, &command("c", CommandKind::Pause), &sightings);
+    assert_eq!(apply(&started, &command("c", start), &observations), Ok(None));
+    let other = apply(&started, &command("c", CommandKind::Pause), &observations);
     assert_eq!(other, Err(CommandError::IdUsed("c".into())));
     for id in ["", &"x".repeat(65)] {
-        let refused = apply(&started, &command(id, CommandKind::Pause), &sightings);
+        let refused = apply(&started, &command(id, CommandKind::Pause), &observations);
         assert_eq!(refused, Err(CommandError::Id));
     }
     for number in 0..100 {
         let kind = if number % 2 == 0 { CommandKind::Pause } else { CommandKind::Resume };
-        let next = apply(&started, &command(&format!("p-{number}"), kind), &sightings);
+        let next = apply(&started, &command(&format!("p-{number}"), kind), &observations);
         started = next.expect("accepted").expect("changed");
     }
     assert_eq!(started.commands.len(), REMEMBERED_COMMANDS);
--- a/src/activation.rs
+++ b/src/activation.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     node::{InternalJobReply, Node, Unavailable},
-    replica_jobs::{JobLook, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
+    replica_jobs::{JobProbe, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
 };
 
 /// Replicas as tasks of service jobs.
@@ -43,12 +43,12 @@
         outcome(self.jobs.node.withdraw_owned(&order.job, &order.fence, &marker).await)
     }
 
-    async fn look_at(&self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
+    async fn probe_at(&self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
         let model = self.model(order)?;
-        let placed = match self.jobs.look(&order.job, model.port as u16, &model.health).await {
-            JobLook::Gone => return Ok(Replicas::Gone),
-            JobLook::Pending => return Ok(Replicas::Pending),
-            JobLook::Placed(placed) => placed,
+        let placed = match self.jobs.probe(&order.job, model.port as u16, &model.health).await {
+            JobProbe::Gone => return Ok(Replicas::Gone),
+            JobProbe::Pending => return Ok(Replicas::Pending),
+            JobProbe::Placed(placed) => placed,
         };
         let answering = placed.iter().filter(|replica| replica.answers);
         let endpoints: Vec<String> = answering
@@ -72,9 +72,9 @@
         Box::pin(async move { self.start_job(&order).await })
     }
 
-    fn look(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>> {
+    fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>> {
         let order = order.clone();
-        Box::pin(async move { self.look_at(&order).await })
+        Box::pin(async move { self.probe_at(&order).await })
     }
 
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), StarterError>> {
--- a/src/replica_jobs.rs
+++ b/src/replica_jobs.rs
@@ -1,5 +1,5 @@
 //! Replicas as tasks of service jobs of our own: submitted and withdrawn under a fence,
-//! and looked at through the records and by asking them. Scale to zero and rollouts
+//! and probed through the records and by asking them. Scale to zero and rollouts
 //! share this.
 
 use std::{
@@ -20,7 +20,7 @@
     state::lock,
 };
 
-/// Connections kept to each replica for looks at it.
+/// Connections kept to each replica for probes.
 const IDLE_CONNECTIONS: usize = 1;
 
 /// Asks a replica whether it can take requests.
@@ -64,9 +64,9 @@
     pub answers: bool,
 }
 
-/// What a look at a job shows.
+/// What a probe of a job shows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobLook {
+pub enum JobProbe {
     /// It is over.
     Gone,
     /// No task has a place, as far as the records are known here.
@@ -98,7 +98,7 @@
     pub replicas: u32,
 }
 
-/// Looks at replicas of service jobs.
+/// Probes replicas of service jobs.
 pub struct ReplicaJobs {
     /// The controller that they are submitted through.
     pub node: Arc<Node>,
@@ -115,12 +115,12 @@
 
     /// What the records and the replicas themselves say; the state service is not
     /// asked.
-    pub async fn look(&self, job: &str, port: u16, health: &str) -> JobLook {
+    pub async fn probe(&self, job: &str, port: u16, health: &str) -> JobProbe {
         let state = lock(&self.node.watch_cache).status(job).map(|status| status.state);
         match state {
-            Some(JobState::Done | JobState::Cancelled) => return JobLook::Gone,
+            Some(JobState::Done | JobState::Cancelled) => return JobProbe::Gone,
             // The watch may not have brought it yet.
-            None | Some(JobState::Pending) => return JobLook::Pending,
+            None | Some(JobState::Pending) => return JobProbe::Pending,
             Some(JobState::Running) => {}
         }
         let mut places = Vec::new();
@@ -132,7 +132,7 @@
         let asked = places.iter().map(|(_, endpoint)| self.probe.answers(*endpoint, health));
         let answers = join_all(asked).await;
         let placed = places.into_iter().zip(answers);
-        JobLook::Placed(
+        JobProbe::Placed(
             placed
                 .map(|((machine, endpoint), answers)| PlacedReplica { machine, endpoint, answers })
                 .collect(),
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -6,12 +6,12 @@
 use futures_util::future::BoxFuture;
 use stonewheel_coordination::Coordinator;
 use stonewheel_rollout::{
-    Executor, HostError, Look, ReplicaHost, ReplicaOrder, ServiceSettings, record::job_key,
+    Executor, HostError, ProbeResult, ReplicaHost, ReplicaOrder, ServiceSettings, record::job_key,
 };
 
 use crate::{
     node::{InternalJobReply, Node, Unavailable},
-    replica_jobs::{JobLook, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
+    replica_jobs::{JobProbe, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
 };
 
 /// Replicas as service jobs of one task each.
@@ -33,20 +33,20 @@
         outcome(self.jobs.node.submit_owned(&spec, &order.fence, &marker).await)
     }
 
-    async fn look_at(&self, order: &ReplicaOrder) -> Result<Look, HostError> {
+    async fn probe_at(&self, order: &ReplicaOrder) -> Result<ProbeResult, HostError> {
         let service = self.service(order)?;
-        let placed = match self.jobs.look(&order.job, service.port as u16, &service.health).await {
-            JobLook::Gone => return Ok(Look::Gone),
-            JobLook::Pending => return Ok(Look::NoRoom),
-            JobLook::Placed(placed) => placed,
+        let placed = match self.jobs.probe(&order.job, service.port as u16, &service.health).await {
+            JobProbe::Gone => return Ok(ProbeResult::Gone),
+            JobProbe::Pending => return Ok(ProbeResult::NoRoom),
+            JobProbe::Placed(placed) => placed,
         };
-        let Some(replica) = placed.into_iter().next() else { return Ok(Look::NoRoom) };
+        let Some(replica) = placed.into_iter().next() else { return Ok(ProbeResult::NoRoom) };
         let machine = replica.machine.to_string();
         let endpoint = replica.endpoint.to_string();
         Ok(if replica.answers {
-            Look::Answering { machine, endpoint }
+            ProbeResult::Answering { machine, endpoint }
         } else {
-            Look::Silent { machine }
+            ProbeResult::Silent { machine }
         })
     }
 
@@ -62,9 +62,9 @@
         Box::pin(async move { self.start_job(&order).await })
     }
 
-    fn look(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Look, HostError>> {
+    fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<ProbeResult, HostError>> {
         let order = order.clone();
-        Box::pin(async move { self.look_at(&order).await })
+        Box::pin(async move { self.probe_at(&order).await })
     }
 
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), HostError>> {
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -18,7 +18,7 @@
 use stonewheel_coordination::{Owner, Session, session_key};
 use stonewheel_rollout::{
     command::{Command, CommandKind, apply},
-    planner::{Seen, Sighting, Sightings},
+    planner::{ReplicaHealth, ReplicaObservation, ReplicaObservations},
     record as rollout,
 };
 
@@ -156,7 +156,7 @@
     is_stored(&UseMarker { lease: 9 }, r#"{"lease":9}"#);
     let record = |state| ActivationRecord { generation: 4, epoch: 6, state };
     let asleep = r#"{"generation":4,"epoch":6,"state":"asleep"}"#;
-    is_stored(&record(ModelState::Asleep), asleep);
+    is_stored(&record(ModelState::ScaledToZero), asleep);
     is_stored(&ActivationRecord::default(), r#"{"generation":0,"epoch":0,"state":"asleep"}"#);
     let failed = r#"{"generation":4,"epoch":6,"state":{"failed":{"reason":"no room"}}}"#;
     is_stored(&record(ModelState::Failed { reason: "no room".into() }), failed);
@@ -171,7 +171,7 @@
             Stage::Draining { endpoints: endpoints() },
             r#"{"draining":{"endpoints":["10.0.0.7:8000","10.0.0.8:8000"]}}"#,
         ),
-        (Stage::Stopping { then: AfterStop::Sleep }, r#"{"stopping":{"then":"sleep"}}"#),
+        (Stage::Stopping { then: AfterStop::ScaleToZero }, r#"{"stopping":{"then":"sleep"}}"#),
         (Stage::Stopping { then: AfterStop::Retry }, r#"{"stopping":{"then":"retry"}}"#),
         (Stage::Stopping { then: AfterStop::GiveUp }, r#"{"stopping":{"then":"give_up"}}"#),
     ] {
@@ -257,9 +257,12 @@
 
 #[test]
 fn rollout_commands_are_remembered_as_before() {
-    let seen =
-        Sighting { seen: Seen::Answering, machine: Some("n-000231".into()), ..Sighting::default() };
-    let sightings = Sightings(BTreeMap::from([(2, seen)]));
+    let seen = ReplicaObservation {
+        health: ReplicaHealth::Answering,
+        machine: Some("n-000231".into()),
+        ..ReplicaObservation::default()
+    };
+    let observations = ReplicaObservations(BTreeMap::from([(2, seen)]));
     let start = CommandKind::Start { to: "v2".into(), steps: vec![25, 100], surge: 2 };
     let under_way = service();
     let mut before = service();
@@ -272,7 +275,7 @@
         (&under_way, CommandKind::Abort, r#"{"id":"c-1","kind":"abort"}"#),
     ] {
         let command = Command { id: "c-1".into(), kind };
-        let after = apply(record, &command, &sightings).expect("taken").expect("new");
+        let after = apply(record, &command, &observations).expect("taken").expect("new");
         let remembered = after.commands.last().expect("it is remembered");
         is_stored(remembered, text);
     }
