--- a/src/store/ended_jobs.rs
+++ b/src/store/ended_jobs.rs
@@ -4,14 +4,14 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::JobEnd;
+use super::records::JobEnd;
 use crate::protocol::{JobId, JobState};
 
 /// Ids with more digits are held as they are.
-const MOST_PACKED_DIGITS: usize = 17;
+const MAX_PACKED_DIGITS: usize = 17;
 
 /// One more than the largest packed number.
-const PACKED_RANGE: u64 = 10_u64.pow(MOST_PACKED_DIGITS as u32);
+const PACKED_RANGE: u64 = 10_u64.pow(MAX_PACKED_DIGITS as u32);
 
 /// A job id as a number: its digits' value and, above that, how many there are,
 /// so that `j-1` and `j-01` differ.
@@ -22,7 +22,7 @@
     pub(super) fn of(id: &str) -> Option<Self> {
         let digits = id.strip_prefix("j-")?;
         let plain = digits.bytes().all(|byte| byte.is_ascii_digit());
-        if !plain || digits.len() > MOST_PACKED_DIGITS {
+        if !plain || digits.len() > MAX_PACKED_DIGITS {
             return None;
         }
         let number: u64 = digits.parse().ok()?;
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,8 +1,10 @@
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
+use serde_json::value::RawValue;
 
 use super::*;
+use crate::protocol::{Event, Events, Item, JobId, JobState};
 
 fn raw(text: &str) -> Box<RawValue> {
     RawValue::from_string(text.into()).expect("json")
--- /dev/null
+++ b/src/store/watch_cache.rs
@@ -0,0 +1,239 @@
+//! The records in memory, kept current by a watch.
+
+use std::{
+    collections::{BTreeMap, HashMap, HashSet},
+    sync::Arc,
+};
+
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use super::{
+    changes::{Change, changes_of},
+    ended_jobs::EndedJobs,
+    entries::{JobEntry, PageEntry},
+    keys::RecordKey,
+    recent_cancellations::RecentCancellations,
+    records::{JobEnd, LeaderRecord},
+};
+use crate::{
+    dependencies::DependencyGraph,
+    protocol::{Event, JobId, JobSpec, JobState, MachineType, is_job_id},
+};
+
+/// The records as of one revision, and what this node committed since.
+///
+/// A record is replaced only by a later version of itself: the node's own writes
+/// are recorded as soon as they are committed, and the watch brings them again.
+#[derive(Default)]
+pub struct WatchCache {
+    /// The revision up to which the watch has been applied.
+    pub revision: u64,
+    /// Whether all records have been read, and the watch goes on from there.
+    pub loaded: bool,
+    /// The leader record and its version, while a controller leads.
+    pub lead: Option<(u64, LeaderRecord)>,
+    /// The record of the last fencing token: its version and the token.
+    pub token: (u64, u64),
+    /// The record of the machine types: its version and the types.
+    pub types: Option<(u64, Arc<Vec<MachineType>>)>,
+    /// Jobs whose submission is still recorded. It outlives the job's end until
+    /// the leader has dropped its records.
+    pub jobs: HashMap<JobId, JobEntry>,
+    /// Pages of each job by their number.
+    pub pages: HashMap<JobId, BTreeMap<u32, PageEntry>>,
+    /// How each ended job ended.
+    pub ends: EndedJobs,
+    /// What the jobs that have not ended depend on.
+    pub dependencies: DependencyGraph,
+    /// Accepted jobs whose records can't be read: they are neither run nor
+    /// called unknown.
+    pub unreadable: HashSet<JobId>,
+    /// The latest cancellations, by the revision of their end.
+    pub cancelled: RecentCancellations,
+}
+
+impl WatchCache {
+    /// An empty watch cache, for heartbeats that carry up to `cancellations`
+    /// cancelled jobs.
+    pub fn with_notice_limit(cancellations: usize) -> Self {
+        Self { cancelled: RecentCancellations::with_notice_limit(cancellations), ..Self::default() }
+    }
+
+    /// Applies what a watch brought. Changes up to the revision that is reached
+    /// are passed over, so several watches may bring the same ones.
+    pub fn apply(&mut self, events: Vec<Event>, revision: u64) -> Vec<Change> {
+        let mut changes = Vec::new();
+        for event in events {
+            if event.version <= self.revision {
+                continue;
+            }
+            if let (Some(key), Some(value)) = (&event.put, event.value) {
+                changes.extend(self.put(key, value, event.version));
+            } else if let Some(key) = &event.delete {
+                changes.extend(self.delete(key, event.version));
+            }
+        }
+        self.revision = self.revision.max(revision);
+        changes
+    }
+
+    /// Records a written value, unless a newer version is held already (a
+    /// committed write is recorded at once, before the watch brings it). A value
+    /// that cannot be decoded changes nothing.
+    pub fn put(&mut self, key: &str, raw: Box<RawValue>, version: u64) -> Vec<Change> {
+        match RecordKey::parse(key) {
+            Some(RecordKey::Leader) => self.put_leader(key, &raw, version),
+            Some(RecordKey::Token) => {
+                self.put_token(key, &raw, version);
+                Vec::new()
+            }
+            Some(RecordKey::MachineTypes) => {
+                self.put_machine_types(key, &raw, version);
+                Vec::new()
+            }
+            Some(RecordKey::RejectedHeartbeats) => vec![Change::HeartbeatsRejected],
+            Some(RecordKey::Job(name)) if is_job_id(name) => self.put_job(key, name, &raw, version),
+            Some(RecordKey::JobEnd(name)) if is_job_id(name) => {
+                self.put_end(key, name, &raw, version)
+            }
+            Some(RecordKey::Page { job, page }) => {
+                self.put_page(job, page, raw, version);
+                Vec::new()
+            }
+            Some(RecordKey::Job(_) | RecordKey::JobEnd(_)) | None => Vec::new(),
+        }
+    }
+
+    fn put_leader(&mut self, key: &str, raw: &RawValue, version: u64) -> Vec<Change> {
+        if !is_newer(version, self.lead.as_ref()) {
+            return Vec::new();
+        }
+        self.lead = decode(key, raw).map(|lead| (version, lead));
+        vec![Change::Leader]
+    }
+
+    fn put_token(&mut self, key: &str, raw: &RawValue, version: u64) {
+        if version > self.token.0
+            && let Some(token) = decode(key, raw)
+        {
+            self.token = (version, token);
+        }
+    }
+
+    fn put_machine_types(&mut self, key: &str, raw: &RawValue, version: u64) {
+        if is_newer(version, self.types.as_ref())
+            && let Some(types) = decode(key, raw)
+        {
+            self.types = Some((version, Arc::new(types)));
+        }
+    }
+
+    fn put_job(&mut self, key: &str, name: &str, raw: &RawValue, version: u64) -> Vec<Change> {
+        if self.jobs.contains_key(name) {
+            return Vec::new();
+        }
+        let Some(spec) = decode::<JobSpec>(key, raw) else {
+            self.unreadable.insert(name.into());
+            return Vec::new();
+        };
+        self.insert_job(JobEntry { version, spec: Arc::new(spec) })
+    }
+
+    fn put_end(&mut self, key: &str, name: &str, raw: &RawValue, version: u64) -> Vec<Change> {
+        if self.ends.contains(name) {
+            return Vec::new();
+        }
+        let Some(end) = decode::<JobEnd>(key, raw) else { return Vec::new() };
+        let id: JobId = name.into();
+        if end.state == JobState::Cancelled {
+            self.cancelled.insert(version, id.clone());
+        }
+        self.insert_end(id, end)
+    }
+
+    fn put_page(&mut self, job: &str, page: u32, raw: Box<RawValue>, version: u64) {
+        let pages = self.pages.entry(job.into()).or_default();
+        if pages.get(&page).is_none_or(|held| held.version < version) {
+            pages.insert(page, PageEntry::new(version, raw));
+        }
+    }
+
+    pub(super) fn insert_job(&mut self, job: JobEntry) -> Vec<Change> {
+        let id = job.spec.id.clone();
+        if self.jobs.contains_key(&id) {
+            return Vec::new();
+        }
+        let mut changes = vec![Change::Arrived(id.clone())];
+        if !self.ends.contains(&id) {
+            let outcome = |needed: &JobId| self.ends.get(needed).and_then(|end| end.outcome());
+            let spec = &job.spec;
+            let effects = self.dependencies.insert(&id, spec.priority, &spec.dependencies, outcome);
+            changes.extend(changes_of(effects));
+        }
+        self.jobs.insert(id, job);
+        changes
+    }
+
+    fn insert_end(&mut self, id: JobId, end: JobEnd) -> Vec<Change> {
+        if self.ends.contains(&id) {
+            return Vec::new();
+        }
+        self.ends.insert(&id, end);
+        let effects = end.outcome().map(|outcome| self.dependencies.end(&id, outcome));
+        let mut changes = vec![Change::Ended(id)];
+        changes.extend(changes_of(effects.unwrap_or_default()));
+        changes
+    }
+
+    /// Records that a key was deleted, unless a newer version of it is held.
+    /// Ends, the token and the machine types are never deleted.
+    pub fn delete(&mut self, key: &str, version: u64) -> Option<Change> {
+        match RecordKey::parse(key)? {
+            RecordKey::Leader => {
+                // Our own taking of the key may have been recorded before the watch
+                // brings the end of the former one.
+                if self.lead.as_ref().is_some_and(|(held, _)| *held < version) {
+                    self.lead = None;
+                }
+                return Some(Change::Leader);
+            }
+            RecordKey::Job(name) => self.delete_job(name, version),
+            RecordKey::Page { job, page } => self.delete_page(job, page, version),
+            RecordKey::Token
+            | RecordKey::MachineTypes
+            | RecordKey::RejectedHeartbeats
+            | RecordKey::JobEnd(_) => {}
+        }
+        None
+    }
+
+    fn delete_job(&mut self, name: &str, version: u64) {
+        if self.jobs.get(name).is_some_and(|job| job.version < version) {
+            self.jobs.remove(name);
+        } else {
+            self.unreadable.remove(name);
+        }
+    }
+
+    fn delete_page(&mut self, job: &str, page: u32, version: u64) {
+        let Some(pages) = self.pages.get_mut(job) else { return };
+        if pages.get(&page).is_some_and(|held| held.version < version) {
+            pages.remove(&page);
+        }
+        if pages.is_empty() {
+            self.pages.remove(job);
+        }
+    }
+}
+
+/// Whether a version is later than that of the record that is held, if any.
+pub(super) fn is_newer<T>(version: u64, held: Option<&(u64, T)>) -> bool {
+    held.is_none_or(|(held, _)| *held < version)
+}
+
+fn decode<'a, T: Deserialize<'a>>(key: &str, raw: &'a RawValue) -> Option<T> {
+    serde_json::from_str(raw.get())
+        .inspect_err(|error| tracing::error!(key, %error, "record unreadable"))
+        .ok()
+}
