--- a/crates/stonewheel-coordination/src/lib.rs
+++ b/crates/stonewheel-coordination/src/lib.rs
@@ -17,8 +17,9 @@
 mod succession;
 
 pub use coordinator::Coordinator;
-pub use records::{Records, Versioned};
+pub use records::Records;
 pub use session::{HeldSession, Owner, Session, Timing, session_key};
+pub use stonewheel_state::Versioned;
 pub use store::{Store, put};
 pub use succession::{ADOPTION_PARTS, Succession};
 
--- a/crates/stonewheel-coordination/src/records.rs
+++ b/crates/stonewheel-coordination/src/records.rs
@@ -5,19 +5,11 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 use stonewheel_protocol::{Events, Item, Write};
+use stonewheel_state::Versioned;
 use tracing::error;
 
 use crate::session::{Owner, Session, session_key};
 
-/// A value and its version; 0: it doesn't exist.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Versioned<T> {
-    /// The revision of its last change.
-    pub version: u64,
-    /// The value.
-    pub value: T,
-}
-
 /// The records, as of `revision`, and what this process committed since.
 #[derive(Debug, Default)]
 pub struct Records {
--- a/crates/stonewheel-protocol/src/controllers.rs
+++ b/crates/stonewheel-protocol/src/controllers.rs
@@ -48,7 +48,18 @@
     /// The receiver's revision, as its latest heartbeat as a leader had it.
     pub since: u64,
     /// False if there are more than one heartbeat carries.
-    pub all: bool,
-    /// Job, revision of its end record, tasks done: the oldest first.
-    pub jobs: Vec<(String, u64, u32)>,
+    pub complete: bool,
+    /// The cancelled jobs, the oldest end first.
+    pub jobs: Vec<CancelledJob>,
+}
+
+/// A job that was cancelled. It is part of a frame: its fields never change.
+#[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
+pub struct CancelledJob {
+    /// The job's id.
+    pub id: String,
+    /// The revision of its end record.
+    pub version: u64,
+    /// How many of its tasks were done.
+    pub done: u32,
 }
--- a/crates/stonewheel-state/src/lib.rs
+++ b/crates/stonewheel-state/src/lib.rs
@@ -4,6 +4,7 @@
 mod api;
 mod budget;
 mod http;
+mod versioned;
 mod writer;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,6 +12,7 @@
 pub use api::{StateApi, StateError};
 pub use budget::{Budget, Reserve};
 pub use http::HttpState;
+pub use versioned::Versioned;
 pub use writer::{IN_FLIGHT, Writer, WriterLimits};
 
 /// A lock is only poisoned when a holder panicked, and the process then ends.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -45,7 +45,7 @@
     protocol::{JobId, JobSpec, MachineId, MachineType, ProvisionRequest, Shape},
     scheduler::{Reservation, TeamUse},
     settings::Settings,
-    store::{BoundTask, Change, Page, WatchCache},
+    store::{BoundTask, Change, Page, TaskRange, WatchCache},
 };
 
 /// A pass may take up to one in so many parts of the time: the rest is for
@@ -158,8 +158,8 @@
             started: now,
             unpaused: None,
         };
-        if let Some((_, types)) = &watch_cache.types {
-            leader.types = types.clone();
+        if let Some(types) = &watch_cache.types {
+            leader.types = types.value.clone();
         }
         for id in watch_cache.jobs.keys() {
             leader.add_job(id, watch_cache, now);
@@ -197,8 +197,8 @@
             job.page_tasks = page.tasks.filter(|tasks| *tasks > 0).unwrap_or(job.page_tasks);
             job.attempt = job.attempt.max(page.attempt);
             job.width = job.width.max(page.width.unwrap_or(0));
-            for (first, n) in page.done {
-                job.done.extend(first..first.saturating_add(n).min(job.spec.tasks));
+            for TaskRange { first, count } in page.done {
+                job.done.extend(first..first.saturating_add(count).min(job.spec.tasks));
             }
             for BoundTask { task, attempt, machine, incarnation, zone } in page.bound {
                 let known = self.fleet.machines.entry(machine.clone()).or_insert_with(|| {
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -28,7 +28,7 @@
     fleet::TaskKey,
     protocol::{JobId, JobSpec, Shape},
     settings::{LARGEST_BINDING_BYTES, Settings},
-    store::{self, Page},
+    store::{self, Page, TaskRange},
 };
 
 /// A page's record without any task: its keys, the attempt and the width.
@@ -88,11 +88,11 @@
         let range = self.tasks_of_page(page);
         let bound =
             self.bound.range(range.clone()).map(|(task, binding)| binding.record(*task)).collect();
-        let mut done: Vec<(u32, u32)> = Vec::new();
+        let mut done: Vec<TaskRange> = Vec::new();
         for task in range.filter(|t| self.done.contains(t)) {
             match done.last_mut() {
-                Some((first, n)) if *first + *n == task => *n += 1,
-                _ => done.push((task, 1)),
+                Some(range) if range.first + range.count == task => range.count += 1,
+                _ => done.push(TaskRange { first: task, count: 1 }),
             }
         }
         let width = (page == 0 && self.width > 0).then_some(self.width);
@@ -111,9 +111,10 @@
                 bound.zone,
             )
         });
-        let done = content.done.iter().map(|(first, count)| {
-            digits((*first).into()) + digits((*count).into()) + RUN_PUNCTUATION
-        });
+        let done = content
+            .done
+            .iter()
+            .map(|range| digits(range.first.into()) + digits(range.count.into()) + RUN_PUNCTUATION);
         EMPTY_PAGE_BYTES + bound.sum::<usize>() + done.sum::<usize>()
     }
 
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -56,7 +56,7 @@
         }
         if !self.types_stored && !self.types.is_empty() {
             self.types_stored = true;
-            let version = watch_cache.types.as_ref().map_or(0, |(v, _)| *v);
+            let version = watch_cache.types.as_ref().map_or(0, |types| types.version);
             if let Ok(value) = store::value(&*self.types) {
                 let key = store::MACHINE_TYPES_KEY.to_owned();
                 commits.push(Commit {
--- a/src/election.rs
+++ b/src/election.rs
@@ -14,7 +14,7 @@
     fencing::TermTokens,
     node::Node,
     protocol::{Condition, Transaction, Write},
-    state::{StateError, lock},
+    state::{StateError, Versioned, lock},
     store::{self, LEADER_KEY, LeaderRecord, TOKEN_KEY},
 };
 
@@ -35,13 +35,15 @@
             watch_cache.loaded.then(|| watch_cache.lead.clone())
         };
         match seen {
-            Some(Some((version, lead))) if node.is_me(&lead) => {
+            Some(Some(Versioned { version, value: lead })) if node.is_me(&lead) => {
                 let lost_workers = lead_on(node, version, &lead, stop).await;
                 // Another node may hear the workers better.
                 hold_off = lost_workers.then(|| Instant::now() + node.settings.worker_lease());
             }
             // Our former self held it: nobody else can be using that lease.
-            Some(Some((version, lead))) if lead.member == node.settings.member => {
+            Some(Some(Versioned { version, value: lead }))
+                if lead.member == node.settings.member =>
+            {
                 attempt(node, version, ttl).await;
             }
             Some(None) if hold_off.is_none_or(|until| until <= Instant::now()) => {
@@ -72,7 +74,7 @@
 
 /// One try to take the key from `version` (0: free).
 async fn attempt(node: &Arc<Node>, version: u64, ttl: Duration) {
-    let (token_version, token) = lock(&node.watch_cache).token;
+    let Versioned { version: token_version, value: token } = lock(&node.watch_cache).token;
     node.requests.take(1.0).await;
     let lease = match node.state.lease(ttl).await {
         Ok(lease) => lease,
@@ -166,7 +168,7 @@
     // frees nothing that is still ours.
     let _ = node.state.drop_lease(lead.lease).await;
     // The key must not look held by us when standing again.
-    while lock(&node.watch_cache).lead.as_ref().is_some_and(|(v, _)| *v == version) {
+    while lock(&node.watch_cache).lead.as_ref().is_some_and(|lead| lead.version == version) {
         if node.fresh().await.is_err() {
             tokio::time::sleep(ttl / 8).await;
             if node.state.touch(lead.lease).await.is_ok() {
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -47,15 +47,14 @@
             // More than the receiver can hear would cost the whole frame.
             let most = self.settings.noticed_cancellations();
             let most = most.min(noticed_cancellations_of(self.peers.frame_limit(to)));
-            let (jobs, all) = watch_cache.cancelled_since(since, most);
-            CancellationNotice { since, all, jobs }
+            watch_cache.cancelled_since(since, most)
         });
         ControllerHeartbeat {
             member: self.settings.member.clone(),
             id,
             acknowledged: acknowledged.map(|(id, _)| id),
             leads,
-            token: watch_cache.token.1,
+            token: watch_cache.token.value,
             state_ok,
             // Said to every member alike: counted once for whoever was told
             // first, it never reached the leader that needed it.
@@ -139,10 +138,11 @@
     /// durable, though the state service may not let this one see them.
     fn take_cancellation_notice(&self, told: Option<&CancellationNotice>) {
         let mut changes = Vec::new();
-        for (id, version, done) in told.into_iter().flat_map(|told| &told.jobs) {
-            let end = JobEnd { state: JobState::Cancelled, done: *done };
+        for job in told.into_iter().flat_map(|told| &told.jobs) {
+            let end = JobEnd { state: JobState::Cancelled, done: job.done };
             if let Ok(value) = store::value(&end) {
-                changes.extend(lock(&self.watch_cache).put(&store::end_key(id), value, *version));
+                let key = store::end_key(&job.id);
+                changes.extend(lock(&self.watch_cache).put(&key, value, job.version));
             }
         }
         self.dispatch(&changes);
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -154,7 +154,7 @@
         let Some(team) = self.settings.team(&spec.team) else {
             return Ok(Some("no such team".into()));
         };
-        let types = lock(&self.watch_cache).types.clone().ok_or(Unavailable::Types)?.1;
+        let types = lock(&self.watch_cache).types.clone().ok_or(Unavailable::Types)?.value;
         let zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
         if !types.iter().any(|t| placement::allows(spec, t, false) && zone(t)) {
             return Ok(Some("a task fits no allowed machine type".into()));
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -67,7 +67,7 @@
     /// The leader to which a worker is sent, if that is of use to it.
     fn leader_for(&self, heartbeat: &WorkerHeartbeat) -> Option<String> {
         let watch_cache = lock(&self.watch_cache);
-        let (_, lead) = watch_cache.lead.as_ref()?;
+        let lead = &watch_cache.lead.as_ref()?.value;
         // A worker that has heard this leader and comes here could not reach it.
         // Sent back to one that says itself that it hears hardly any worker, it
         // would wait for a whole time-out there while its lease runs out. It
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -187,8 +187,10 @@
             heartbeat.acknowledged,
             now,
         );
-        let all =
-            heartbeat.cancellations.as_ref().is_some_and(|told| told.all && told.since <= revision);
+        let all = heartbeat
+            .cancellations
+            .as_ref()
+            .is_some_and(|told| told.complete && told.since <= revision);
         if let Some(sent) = sent.filter(|_| all) {
             lock(&self.known_cancellations).heard_all(&heartbeat.member, sent);
         }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
-use crate::{protocol::CancellationNotice, settings::MIN_NOTICED_CANCELLATIONS};
+use crate::{
+    protocol::{CancellationNotice, CancelledJob},
+    settings::MIN_NOTICED_CANCELLATIONS,
+};
 
 fn heartbeat() -> ControllerHeartbeat {
     ControllerHeartbeat {
@@ -13,8 +16,8 @@
         revision: 40,
         cancellations: Some(CancellationNotice {
             since: 30,
-            all: true,
-            jobs: vec![("j-000001".into(), 35, 2)],
+            complete: true,
+            jobs: vec![CancelledJob { id: "j-000001".into(), version: 35, done: 2 }],
         }),
     }
 }
@@ -53,8 +56,9 @@
 fn the_most_that_is_told_fits_a_frame() {
     let longest = "j-99999999999999999999".to_owned();
     for noticed in [MIN_NOTICED_CANCELLATIONS, 4_400, 100_000] {
-        let jobs = vec![(longest.clone(), u64::MAX, u32::MAX); noticed];
-        let told = CancellationNotice { since: u64::MAX, all: false, jobs };
+        let job = CancelledJob { id: longest.clone(), version: u64::MAX, done: u32::MAX };
+        let jobs = vec![job; noticed];
+        let told = CancellationNotice { since: u64::MAX, complete: false, jobs };
         let limit = frame_limit_for(noticed);
         let heartbeat = ControllerHeartbeat { cancellations: Some(told), ..heartbeat() };
         let frame = encode(Message::new(heartbeat, limit));
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 pub use stonewheel_state::{
-    Budget, HttpState, IN_FLIGHT, Reserve, StateApi, StateError, Writer, WriterLimits, lock,
+    Budget, HttpState, IN_FLIGHT, Reserve, StateApi, StateError, Versioned, Writer, WriterLimits,
+    lock,
 };
 
 use crate::settings::Settings;
--- a/src/store.rs
+++ b/src/store.rs
@@ -29,8 +29,8 @@
     KEY_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY, REJECTED_HEARTBEATS_KEY, TOKEN_KEY, end_key,
     job_key, page_key,
 };
-pub use recent_cancellations::RecentCancellations;
-pub use records::{BoundTask, JobEnd, LeaderRecord, Page, value};
+pub use recent_cancellations::{Cancellation, CancellationsSince, RecentCancellations};
+pub use records::{BoundTask, JobEnd, LeaderRecord, Page, TaskRange, value};
 pub use watch_cache::WatchCache;
 
 #[cfg(test)]
--- a/src/store/full_reading.rs
+++ b/src/store/full_reading.rs
@@ -66,10 +66,10 @@
                 }
             }
         }
-        if let Some((version, lead)) = old.lead.as_ref().filter(|(v, _)| *v > revision)
-            && is_newer(*version, self.lead.as_ref())
+        if let Some(lead) = old.lead.as_ref().filter(|lead| lead.version > revision)
+            && is_newer(lead.version, self.lead.as_ref())
         {
-            self.lead = Some((*version, lead.clone()));
+            self.lead = Some(lead.clone());
         }
         self.token = self.token.max(old.token);
     }
--- a/src/store/queries.rs
+++ b/src/store/queries.rs
@@ -2,16 +2,23 @@
 
 use std::collections::BTreeMap;
 
-use super::{entries::PageEntry, records::Page, watch_cache::WatchCache};
-use crate::protocol::{JobId, JobState, JobStatus, MachineId};
+use super::{
+    entries::PageEntry, recent_cancellations::Cancellation, records::Page, watch_cache::WatchCache,
+};
+use crate::protocol::{CancellationNotice, CancelledJob, JobId, JobState, JobStatus, MachineId};
 
 impl WatchCache {
-    /// Jobs that were cancelled after `revision`, the first `limit` of them, and
-    /// whether these are all.
-    pub fn cancelled_since(&self, revision: u64, limit: usize) -> (Vec<(String, u64, u32)>, bool) {
-        let (later, all) = self.cancelled.since(revision, limit);
-        let done = |id: &JobId| self.ends.get(id).map_or(0, |end| end.done);
-        (later.into_iter().map(|(at, id)| (id.to_string(), at, done(id))).collect(), all)
+    /// Jobs that were cancelled after `revision`, the first `limit` of them, as
+    /// another controller is notified of them.
+    pub fn cancelled_since(&self, revision: u64, limit: usize) -> CancellationNotice {
+        let recent = self.cancelled.since(revision, limit);
+        let cancelled_job = |cancellation: &Cancellation| CancelledJob {
+            id: cancellation.job.to_string(),
+            version: cancellation.revision,
+            done: self.ends.get(&cancellation.job).map_or(0, |end| end.done),
+        };
+        let jobs = recent.cancellations.into_iter().map(cancelled_job).collect();
+        CancellationNotice { since: revision, complete: recent.complete, jobs }
     }
 
     /// The machines that hold tasks of a job.
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -63,6 +63,31 @@
     }
 }
 
+/// Tasks with consecutive numbers. It is stored as an array of its fields, as
+/// [`BoundTask`] is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "TaskRangeFields", into = "TaskRangeFields")]
+pub struct TaskRange {
+    /// The lowest number.
+    pub first: u32,
+    /// How many tasks.
+    pub count: u32,
+}
+
+type TaskRangeFields = (u32, u32);
+
+impl From<TaskRangeFields> for TaskRange {
+    fn from((first, count): TaskRangeFields) -> Self {
+        Self { first, count }
+    }
+}
+
+impl From<TaskRange> for TaskRangeFields {
+    fn from(range: TaskRange) -> Self {
+        (range.first, range.count)
+    }
+}
+
 /// Placements and progress of the tasks of one page. Its field names are short,
 /// because the size of a value limits how many tasks fit a page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -76,9 +101,9 @@
     /// Tasks that are bound to a machine.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub bound: Vec<BoundTask>,
-    /// Completed tasks as (first, how many).
+    /// Completed tasks, in ascending order.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
-    pub done: Vec<(u32, u32)>,
+    pub done: Vec<TaskRange>,
     /// Tasks that each page of this job covers, if not the usual number.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub tasks: Option<u32>,
@@ -87,7 +112,7 @@
 impl Page {
     /// How many tasks of the page are completed.
     pub fn done_count(&self) -> u32 {
-        self.done.iter().map(|(_, n)| n).sum()
+        self.done.iter().map(|range| range.count).sum()
     }
 }
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -4,7 +4,10 @@
 use serde_json::value::RawValue;
 
 use super::*;
-use crate::protocol::{Event, Events, Item, JobId, JobState};
+use crate::{
+    protocol::{CancelledJob, Event, Events, Item, JobId, JobState},
+    state::Versioned,
+};
 
 fn raw(text: &str) -> Box<RawValue> {
     RawValue::from_string(text.into()).expect("json")
@@ -32,8 +35,8 @@
     assert!(watch_cache.jobs.contains_key("j-000001"));
     assert_eq!(watch_cache.status("j-000002").map(|s| s.state), Some(JobState::Cancelled));
     assert_eq!(watch_cache.pages["j-000001"][&0].version, 23);
-    assert_eq!(watch_cache.token, (24, 4));
-    assert!(watch_cache.cancelled_since(20, 9).0.iter().any(|(id, ..)| id == "j-000002"));
+    assert_eq!(watch_cache.token, Versioned { version: 24, value: 4 });
+    assert!(watch_cache.cancelled_since(20, 9).jobs.iter().any(|job| job.id == "j-000002"));
     // A later reading that lacks them shows that they are gone.
     let changes = watch_cache.replace(Vec::new(), 30, nothing_since(30));
     assert!(changes.contains(&Change::Ended("j-000001".into())));
@@ -48,8 +51,8 @@
     }
     watch_cache.put("sw/e/j-000004", raw(r#"{"s":"done","d":2}"#), 25);
     let ids = |since, most| {
-        let (jobs, all) = watch_cache.cancelled_since(since, most);
-        (jobs.into_iter().map(|(id, ..)| id).collect::<Vec<_>>(), all)
+        let notice = watch_cache.cancelled_since(since, most);
+        (notice.jobs.into_iter().map(|job| job.id).collect::<Vec<_>>(), notice.complete)
     };
     assert_eq!(ids(10, 9), (vec!["j-000002".into(), "j-000003".into()], true));
     assert_eq!(ids(0, 2), (vec!["j-000001".into(), "j-000002".into()], false));
@@ -313,12 +316,13 @@
     for revision in 1..=many {
         watch_cache.put(&end_key(&format!("j-{revision:06}")), raw(CANCELLED), revision);
     }
-    let (jobs, all) = watch_cache.cancelled_since(many - 3, 9);
-    let latest = [many - 2, many - 1, many].map(|n| (format!("j-{n:06}"), n, 1));
-    assert_eq!((jobs.as_slice(), all), (latest.as_slice(), true));
-    let (jobs, all) = watch_cache.cancelled_since(10, usize::MAX);
-    assert!(!all, "what was cancelled right after revision 10 is not among them");
-    assert!(jobs.len() >= crate::settings::MIN_NOTICED_CANCELLATIONS);
+    let notice = watch_cache.cancelled_since(many - 3, 9);
+    let cancelled = |n| CancelledJob { id: format!("j-{n:06}"), version: n, done: 1 };
+    let latest = [many - 2, many - 1, many].map(cancelled);
+    assert_eq!((notice.jobs.as_slice(), notice.complete), (latest.as_slice(), true));
+    let notice = watch_cache.cancelled_since(10, usize::MAX);
+    assert!(!notice.complete, "what was cancelled right after revision 10 is not among them");
+    assert!(notice.jobs.len() >= crate::settings::MIN_NOTICED_CANCELLATIONS);
     // Read once more, in the order of keys.
     let mut read = WatchCache::default();
     for revision in (1..=many).rev() {
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -19,6 +19,7 @@
 use crate::{
     dependencies::DependencyGraph,
     protocol::{Event, JobId, JobSpec, JobState, MachineType, is_job_id},
+    state::Versioned,
 };
 
 /// The records as of one revision, and what this node committed since.
@@ -31,12 +32,12 @@
     pub revision: u64,
     /// Whether all records have been read, and the watch goes on from there.
     pub loaded: bool,
-    /// The leader record and its version, while a controller leads.
-    pub lead: Option<(u64, LeaderRecord)>,
-    /// The record of the last fencing token: its version and the token.
-    pub token: (u64, u64),
-    /// The record of the machine types: its version and the types.
-    pub types: Option<(u64, Arc<Vec<MachineType>>)>,
+    /// The leader record, while a controller leads.
+    pub lead: Option<Versioned<LeaderRecord>>,
+    /// The last fencing token that any term may use.
+    pub token: Versioned<u64>,
+    /// The machine types that the cloud offered last.
+    pub types: Option<Versioned<Arc<Vec<MachineType>>>>,
     /// Jobs whose submission is still recorded. It outlives the job's end until
     /// the leader has dropped its records.
     pub jobs: HashMap<JobId, JobEntry>,
@@ -109,15 +110,15 @@
         if !is_newer(version, self.lead.as_ref()) {
             return Vec::new();
         }
-        self.lead = decode(key, raw).map(|lead| (version, lead));
+        self.lead = decode(key, raw).map(|value| Versioned { version, value });
         vec![Change::Leader]
     }
 
     fn put_token(&mut self, key: &str, raw: &RawValue, version: u64) {
-        if version > self.token.0
-            && let Some(token) = decode(key, raw)
+        if version > self.token.version
+            && let Some(value) = decode(key, raw)
         {
-            self.token = (version, token);
+            self.token = Versioned { version, value };
         }
     }
 
@@ -125,7 +126,7 @@
         if is_newer(version, self.types.as_ref())
             && let Some(types) = decode(key, raw)
         {
-            self.types = Some((version, Arc::new(types)));
+            self.types = Some(Versioned { version, value: Arc::new(types) });
         }
     }
 
@@ -193,7 +194,7 @@
             RecordKey::Leader => {
                 // Our own taking of the key may have been recorded before the watch
                 // brings the end of the former one.
-                if self.lead.as_ref().is_some_and(|(held, _)| *held < version) {
+                if self.lead.as_ref().is_some_and(|held| held.version < version) {
                     self.lead = None;
                 }
                 return Some(Change::Leader);
@@ -228,8 +229,8 @@
 }
 
 /// Whether a version is later than that of the record that is held, if any.
-pub(super) fn is_newer<T>(version: u64, held: Option<&(u64, T)>) -> bool {
-    held.is_none_or(|(held, _)| *held < version)
+pub(super) fn is_newer<T>(version: u64, held: Option<&Versioned<T>>) -> bool {
+    held.is_none_or(|held| held.version < version)
 }
 
 fn decode<'a, T: Deserialize<'a>>(key: &str, raw: &'a RawValue) -> Option<T> {
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -11,6 +11,7 @@
         CommandKind, ExitCause, JobSpec, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat, Write,
     },
     settings::{Objective, Settings},
+    state::Versioned,
     store::{self, Change, Page, WatchCache},
 };
 use tokio::time::Instant;
@@ -35,7 +36,7 @@
 
     pub fn with(mut settings: Settings, tokens: TermTokens) -> Self {
         let mut watch_cache = WatchCache { loaded: true, ..WatchCache::default() };
-        watch_cache.types = Some((1, Arc::new(vec![machine_type()])));
+        watch_cache.types = Some(Versioned { version: 1, value: Arc::new(vec![machine_type()]) });
         // Returning idle machines is no part of these stories.
         settings.operator.idle_boots = 1e3;
         Self::over(settings, watch_cache, tokens)
--- a/tests/leader.rs
+++ b/tests/leader.rs
@@ -18,6 +18,7 @@
         CommandKind, ExitCause, MachineId, MachineType, TaskCommand, TaskState, TaskStatus,
         WorkerHeartbeat,
     },
+    state::Versioned,
     store::{self, WatchCache},
 };
 
@@ -757,7 +758,7 @@
     // machines were returned and rented again and nothing ever ran.
     let mut harness = LeaderHarness::new(5);
     let quick = MachineType { boot_s: 1.0, ..machine_type() };
-    harness.watch_cache.types = Some((1, Arc::new(vec![quick])));
+    harness.watch_cache.types = Some(Versioned { version: 1, value: Arc::new(vec![quick]) });
     harness.leader = Leader::new(
         Arc::new(settings("m-0")),
         1,
@@ -925,7 +926,7 @@
     }
     assert!((1..80).contains(&stopped), "{stopped} tasks were stopped");
     harness.settle();
-    assert_eq!(harness.page("j-000001").done, [(0, 1)]);
+    assert_eq!(harness.page("j-000001").done, [store::TaskRange { first: 0, count: 1 }]);
     assert!(largest_page(&harness.watch_cache) <= VALUE_BYTES);
     let commands = harness.heartbeat("n-000000", 1, &first[..1]);
     assert_eq!(ops(&commands, CommandKind::Forget).len(), 1);
--- a/tests/link_samples.rs
+++ b/tests/link_samples.rs
@@ -3,7 +3,7 @@
 
 use stonewheel::{
     peers::{MIN_FRAME_LIMIT, Message, decode, encode},
-    protocol::{CancellationNotice, ControllerHeartbeat, Features, WorkerContact},
+    protocol::{CancellationNotice, CancelledJob, ControllerHeartbeat, Features, WorkerContact},
 };
 
 /// Sections 1 to 5: heartbeat, cancellations, features, frame limit, worker contact.
@@ -27,8 +27,11 @@
             revision: 70_000,
             cancellations: Some(CancellationNotice {
                 since: 300,
-                all: false,
-                jobs: vec![("j-000001".into(), 350, 2), ("j-000007".into(), 69_999, 1_024)],
+                complete: false,
+                jobs: vec![
+                    CancelledJob { id: "j-000001".into(), version: 350, done: 2 },
+                    CancelledJob { id: "j-000007".into(), version: 69_999, done: 1_024 },
+                ],
             }),
         },
         features: Features { small_pages: true },
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -11,7 +11,8 @@
 use serde_json::value::RawValue;
 use stonewheel::{
     node::InternalJobReply,
-    protocol::{Condition, JobSpec, JobState, MachineType},
+    protocol::{CancellationNotice, CancelledJob, Condition, JobSpec, JobState, MachineType},
+    state::Versioned,
     store::{self, Change, JobEnd, LeaderRecord, WatchCache},
 };
 use stonewheel_activation::record as activation;
@@ -112,14 +113,16 @@
     assert_eq!(put("sw/p/j-000007/12", PAGE), []);
     assert_eq!(put("sw/e/j-8", r#"{"s":"aborted","d":3}"#), [Change::Ended("j-8".into())]);
     let lead = LeaderRecord { member: "m-1".into(), incarnation: 77, token: 2, lease: 9 };
-    assert_eq!(watch_cache.lead, Some((5, lead)));
-    assert_eq!(watch_cache.token, (5, 1_048_577));
-    assert_eq!(watch_cache.types.as_ref().map(|(_, held)| &**held), Some(&types()));
+    assert_eq!(watch_cache.lead, Some(Versioned { version: 5, value: lead }));
+    assert_eq!(watch_cache.token, Versioned { version: 5, value: 1_048_577 });
+    assert_eq!(watch_cache.types.as_ref().map(|held| &*held.value), Some(&types()));
     let status = watch_cache.status("j-000007").expect("known");
     assert_eq!((status.done, status.running), (2, 1));
     assert_eq!(watch_cache.machines_of("j-000007"), ["n-000231".into()]);
     assert!(watch_cache.pages["j-000007"].contains_key(&12));
-    assert_eq!(watch_cache.cancelled_since(0, 9), (vec![("j-8".into(), 5, 3)], true));
+    let cancelled = CancelledJob { id: "j-8".into(), version: 5, done: 3 };
+    let notice = CancellationNotice { since: 0, complete: true, jobs: vec![cancelled] };
+    assert_eq!(watch_cache.cancelled_since(0, 9), notice);
 }
 
 #[tokio::test(start_paused = true)]
