--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -158,7 +158,7 @@
             started: now,
             unpaused: None,
         };
-        if let Some(types) = &watch_cache.types {
+        if let Some(types) = &watch_cache.machine_types {
             leader.types = types.value.clone();
         }
         for id in watch_cache.jobs.keys() {
@@ -181,7 +181,8 @@
             // Pages written before keep their layout.
             job.page_tasks = self.settings.page_tasks();
         }
-        let ended = watch_cache.ends.contains(id) || watch_cache.dependencies.is_cancelled(id);
+        let ended =
+            watch_cache.ended_jobs.contains(id) || watch_cache.dependencies.is_cancelled(id);
         job.ended = ended.then(|| Ended::learned(now));
         job.waits_for_others = watch_cache.dependencies.waits(id);
         job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -56,7 +56,7 @@
         }
         if !self.types_stored && !self.types.is_empty() {
             self.types_stored = true;
-            let version = watch_cache.types.as_ref().map_or(0, |types| types.version);
+            let version = watch_cache.machine_types.as_ref().map_or(0, |types| types.version);
             if let Ok(value) = store::value(&*self.types) {
                 let key = store::MACHINE_TYPES_KEY.to_owned();
                 commits.push(Commit {
@@ -163,7 +163,7 @@
         }
         let mut conditions = vec![lead.clone()];
         let mut writes = Vec::new();
-        if !watch_cache.ends.contains(id) {
+        if !watch_cache.ended_jobs.contains(id) {
             // Nothing is dropped before the end is in the records: without it the
             // job would be forgotten, and what depends on it would wait for ever.
             let end = self.end_of(id, watch_cache)?;
@@ -212,7 +212,7 @@
                 self.cancelling.remove(id);
                 let Some(job) = self.jobs.get_mut(id) else { return };
                 job.ending = false;
-                if watch_cache.ends.contains(id) {
+                if watch_cache.ended_jobs.contains(id) {
                     job.ended.get_or_insert(Ended::learned(now));
                 }
                 if watch_cache.jobs.contains_key(id) {
@@ -244,7 +244,7 @@
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.ending = false;
                     // Cancelled in the meantime: the first end wins.
-                    if watch_cache.ends.contains(&id) {
+                    if watch_cache.ended_jobs.contains(&id) {
                         job.ended.get_or_insert(Ended::learned(now));
                     }
                     self.ending.insert(id);
--- a/src/election.rs
+++ b/src/election.rs
@@ -32,7 +32,7 @@
     loop {
         let seen = {
             let watch_cache = lock(&node.watch_cache);
-            watch_cache.loaded.then(|| watch_cache.lead.clone())
+            watch_cache.loaded.then(|| watch_cache.leader.clone())
         };
         match seen {
             Some(Some(Versioned { version, value: lead })) if node.is_me(&lead) => {
@@ -49,7 +49,7 @@
             Some(None) if hold_off.is_none_or(|until| until <= Instant::now()) => {
                 // Not all at the same instant: the first to ask wins.
                 tokio::time::sleep(defers_for(node, ttl) + node.jitter(ttl / 32)).await;
-                if lock(&node.watch_cache).lead.is_none() {
+                if lock(&node.watch_cache).leader.is_none() {
                     attempt(node, 0, ttl).await;
                 }
             }
@@ -168,7 +168,7 @@
     // frees nothing that is still ours.
     let _ = node.state.drop_lease(lead.lease).await;
     // The key must not look held by us when standing again.
-    while lock(&node.watch_cache).lead.as_ref().is_some_and(|lead| lead.version == version) {
+    while lock(&node.watch_cache).leader.as_ref().is_some_and(|lead| lead.version == version) {
         if node.fresh().await.is_err() {
             tokio::time::sleep(ttl / 8).await;
             if node.state.touch(lead.lease).await.is_ok() {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -261,7 +261,7 @@
     /// Whether this term still stands, as far as this node knows.
     pub fn leads(&self, version: u64) -> bool {
         let held =
-            lock(&self.watch_cache).lead.as_ref().is_some_and(|lead| lead.version == version);
+            lock(&self.watch_cache).leader.as_ref().is_some_and(|lead| lead.version == version);
         held && lock(&self.term).as_ref().is_some_and(|t| t.version == version)
     }
 
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -111,7 +111,7 @@
                 since.clone_from(&last.key);
             }
             let more = page.more && !page.items.is_empty();
-            let (changes, others) = lock(&self.watch_cache).note_ends(page.items);
+            let (changes, others) = lock(&self.watch_cache).record_ends(page.items);
             self.dispatch(&changes);
             items.extend(others);
             if !more {
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -107,7 +107,7 @@
             self.fresh().await?;
         }
         let watch_cache = lock(&self.watch_cache);
-        if spec.dependencies.iter().any(|id| watch_cache.unreadable.contains(id)) {
+        if spec.dependencies.iter().any(|id| watch_cache.unreadable_jobs.contains(id)) {
             return Err(Unavailable::Record);
         }
         if let Some(id) = watch_cache.first_unknown(&spec.dependencies) {
@@ -130,7 +130,8 @@
             Condition { key: store::end_key(&spec.id), version: 0 },
         ];
         let watch_cache = lock(&self.watch_cache);
-        let mut unfinished = spec.dependencies.iter().filter(|id| !watch_cache.ends.contains(id));
+        let mut unfinished =
+            spec.dependencies.iter().filter(|id| !watch_cache.ended_jobs.contains(id));
         let room = self.settings.state_limits().transaction_conditions() - conditions.len();
         let covered = unfinished.by_ref().take(room);
         conditions.extend(covered.map(|id| Condition { key: store::end_key(id), version: 0 }));
@@ -154,7 +155,7 @@
         let Some(team) = self.settings.team(&spec.team) else {
             return Ok(Some("no such team".into()));
         };
-        let types = lock(&self.watch_cache).types.clone().ok_or(Unavailable::Types)?.value;
+        let types = lock(&self.watch_cache).machine_types.clone().ok_or(Unavailable::Types)?.value;
         let zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
         if !types.iter().any(|t| placement::allows(spec, t, false) && zone(t)) {
             return Ok(Some("a task fits no allowed machine type".into()));
@@ -180,7 +181,7 @@
         let watch_cache = lock(&self.watch_cache);
         match watch_cache.status(id) {
             Some(status) => Ok(UserReply::Known(status)),
-            None if watch_cache.unreadable.contains(id) => Err(Unavailable::Record),
+            None if watch_cache.unreadable_jobs.contains(id) => Err(Unavailable::Record),
             None => Ok(UserReply::Unknown),
         }
     }
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -43,7 +43,7 @@
     /// away, for then nobody can be elected.
     fn expects_successor(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let leads = lock(&self.term).is_some();
-        let elected = lock(&self.watch_cache).lead.is_some();
+        let elected = lock(&self.watch_cache).leader.is_some();
         heartbeat.token > 0
             && !leads
             && self.state_ok()
@@ -67,7 +67,7 @@
     /// The leader to which a worker is sent, if that is of use to it.
     fn leader_for(&self, heartbeat: &WorkerHeartbeat) -> Option<String> {
         let watch_cache = lock(&self.watch_cache);
-        let lead = &watch_cache.lead.as_ref()?.value;
+        let lead = &watch_cache.leader.as_ref()?.value;
         // A worker that has heard this leader and comes here could not reach it.
         // Sent back to one that says itself that it hears hardly any worker, it
         // would wait for a whole time-out there while its lease runs out. It
@@ -157,7 +157,7 @@
         // A job whose end is known is stopped: that is right under any token.
         let watch_cache = lock(&self.watch_cache);
         let ended = |t: &&TaskStatus| {
-            let job = parse_task(&t.task).and_then(|(job, _)| watch_cache.ends.get(&job));
+            let job = parse_task(&t.task).and_then(|(job, _)| watch_cache.ended_jobs.get(&job));
             t.state != TaskState::Exited && job.is_some_and(|e| e.state == JobState::Cancelled)
         };
         let stop = |t: &TaskStatus| TaskCommand {
--- a/src/store/ended_jobs.rs
+++ b/src/store/ended_jobs.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PackedEnd(u32);
 
-/// Tasks are fewer than that.
+/// Bits of a packed end that hold the number of completed tasks.
 const STATE_SHIFT: u32 = 30;
 
 impl PackedEnd {
@@ -62,12 +62,14 @@
 /// The end of each job that has one. The first end of a job stays.
 #[derive(Debug, Default)]
 pub struct EndedJobs {
+    /// Nearly all: ids and ends that fit the packed form.
     packed: BTreeMap<PackedId, PackedEnd>,
-    /// What can't be packed.
+    /// Ids and ends that don't fit it.
     others: HashMap<JobId, JobEnd>,
 }
 
 impl EndedJobs {
+    /// Records how a job ended, unless an end of it is recorded already.
     pub fn insert(&mut self, id: &str, end: JobEnd) {
         if self.contains(id) {
             return;
@@ -82,15 +84,18 @@
         }
     }
 
+    /// How a job ended, if it did.
     pub fn get(&self, id: &str) -> Option<JobEnd> {
         let packed = PackedId::of(id).and_then(|id| self.packed.get(&id));
         packed.map(|end| end.end()).or_else(|| self.others.get(id).copied())
     }
 
+    /// Whether a job ended.
     pub fn contains(&self, id: &str) -> bool {
         self.get(id).is_some()
     }
 
+    /// Whether no job ended.
     pub fn is_empty(&self) -> bool {
         self.packed.is_empty() && self.others.is_empty()
     }
--- a/src/store/full_reading.rs
+++ b/src/store/full_reading.rs
@@ -13,7 +13,7 @@
     /// what changed and the other records. An end is final, so it need not wait
     /// for the rest of the reading, and what a reading holds until it is whole
     /// doesn't grow with the jobs of the past.
-    pub fn note_ends(&mut self, mut items: Vec<Item>) -> (Vec<Change>, Vec<Item>) {
+    pub fn record_ends(&mut self, mut items: Vec<Item>) -> (Vec<Change>, Vec<Item>) {
         let is_end = |item: &mut Item| keys::is_end_key(&item.key);
         let ends: Vec<Item> = items.extract_if(.., is_end).collect();
         let record = |item: Item| self.put(&item.key, item.value, item.version);
@@ -29,8 +29,8 @@
     pub fn replace(&mut self, items: Vec<Item>, began: u64, since: Events) -> Vec<Change> {
         let mut old = std::mem::take(self);
         // An end is final: none is ever read again as something else.
-        self.ends = std::mem::take(&mut old.ends);
-        self.cancelled = std::mem::take(&mut old.cancelled);
+        self.ended_jobs = std::mem::take(&mut old.ended_jobs);
+        self.recent_cancellations = std::mem::take(&mut old.recent_cancellations);
         let mut changes = vec![Change::Leader];
         for item in items {
             changes.extend(self.put(&item.key, item.value, item.version));
@@ -43,7 +43,7 @@
             changes.push(Change::Ended(id.clone()));
         }
         // Their ends may have been recorded before the jobs were known.
-        for id in self.jobs.keys().filter(|id| self.ends.contains(id)) {
+        for id in self.jobs.keys().filter(|id| self.ended_jobs.contains(id)) {
             changes.push(Change::Ended(id.clone()));
         }
         self.loaded = true;
@@ -66,10 +66,10 @@
                 }
             }
         }
-        if let Some(lead) = old.lead.as_ref().filter(|lead| lead.version > revision)
-            && is_newer(lead.version, self.lead.as_ref())
+        if let Some(lead) = old.leader.as_ref().filter(|lead| lead.version > revision)
+            && is_newer(lead.version, self.leader.as_ref())
         {
-            self.lead = Some(lead.clone());
+            self.leader = Some(lead.clone());
         }
         self.token = self.token.max(old.token);
     }
--- a/src/store/queries.rs
+++ b/src/store/queries.rs
@@ -11,11 +11,11 @@
     /// Jobs that were cancelled after `revision`, the first `limit` of them, as
     /// another controller is notified of them.
     pub fn cancelled_since(&self, revision: u64, limit: usize) -> CancellationNotice {
-        let recent = self.cancelled.since(revision, limit);
+        let recent = self.recent_cancellations.since(revision, limit);
         let cancelled_job = |cancellation: &Cancellation| CancelledJob {
             id: cancellation.job.to_string(),
             version: cancellation.revision,
-            done: self.ends.get(&cancellation.job).map_or(0, |end| end.done),
+            done: self.ended_jobs.get(&cancellation.job).map_or(0, |end| end.done),
         };
         let jobs = recent.cancellations.into_iter().map(cancelled_job).collect();
         CancellationNotice { since: revision, complete: recent.complete, jobs }
@@ -32,7 +32,9 @@
     /// The first of these jobs that this watch cache doesn't know as accepted.
     pub fn first_unknown<'a>(&self, jobs: &'a [JobId]) -> Option<&'a JobId> {
         let known = |id: &JobId| {
-            self.jobs.contains_key(id) || self.ends.contains(id) || self.unreadable.contains(id)
+            self.jobs.contains_key(id)
+                || self.ended_jobs.contains(id)
+                || self.unreadable_jobs.contains(id)
         };
         jobs.iter().find(|id| !known(id))
     }
@@ -40,7 +42,7 @@
     /// A job's state as this watch cache has it, or none for one never accepted.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
         let ended = |state, done| JobStatus { id: id.into(), state, done, running: 0 };
-        if let Some(end) = self.ends.get(id) {
+        if let Some(end) = self.ended_jobs.get(id) {
             return Some(ended(end.state, end.done));
         }
         let (id, _) = self.jobs.get_key_value(id)?;
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -50,8 +50,8 @@
         watch_cache.put(&end_key(id), raw(CANCELLED), at);
     }
     watch_cache.put("sw/e/j-000004", raw(r#"{"s":"done","d":2}"#), 25);
-    let ids = |since, most| {
-        let notice = watch_cache.cancelled_since(since, most);
+    let ids = |since, limit| {
+        let notice = watch_cache.cancelled_since(since, limit);
         (notice.jobs.into_iter().map(|job| job.id).collect::<Vec<_>>(), notice.complete)
     };
     assert_eq!(ids(10, 9), (vec!["j-000002".into(), "j-000003".into()], true));
@@ -193,7 +193,7 @@
         let of_job = |number: &u32| {
             let id = Self::id(*number);
             let graph = &watch_cache.dependencies;
-            let unfinished = !watch_cache.ends.contains(id.as_str());
+            let unfinished = !watch_cache.ended_jobs.contains(id.as_str());
             let live = unfinished.then(|| {
                 (graph.waits(&id), graph.is_cancelled(&id), graph.effective_priority(&id))
             });
@@ -219,7 +219,9 @@
                     if known.is_some() {
                         continue;
                     }
-                    if watch_cache.ends.contains(id) || watch_cache.dependencies.is_cancelled(id) {
+                    if watch_cache.ended_jobs.contains(id)
+                        || watch_cache.dependencies.is_cancelled(id)
+                    {
                         self.ended.insert(id.clone());
                     }
                 }
@@ -231,7 +233,7 @@
         }
         for id in watch_cache.jobs.keys() {
             let graph = &watch_cache.dependencies;
-            let ended = watch_cache.ends.contains(id) || graph.is_cancelled(id);
+            let ended = watch_cache.ended_jobs.contains(id) || graph.is_cancelled(id);
             assert_eq!(self.ended.contains(id), ended, "{id} ended");
             assert!(ended || self.waits[id] == graph.waits(id), "{id} waits");
         }
@@ -259,7 +261,7 @@
             if history.rng.random_bool(0.5) {
                 if history.rng.random_bool(0.5) {
                     // Ends count as soon as they are read.
-                    let (changes, others) = read.note_ends(parts);
+                    let (changes, others) = read.record_ends(parts);
                     follower.follow(&changes, &read);
                     parts = others;
                 }
@@ -342,7 +344,7 @@
         item(job_key("j-000001"), SPEC, 5),
         item(page_key("j-000001", 0), r#"{"a":1}"#, 6),
     ];
-    let (changes, others) = watch_cache.note_ends(part);
+    let (changes, others) = watch_cache.record_ends(part);
     assert_eq!(changes, [Change::Ended("j-000001".into())]);
     assert_eq!(others.len(), 2);
     let changes = watch_cache.replace(others, 8, nothing_since(8));
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -33,32 +33,35 @@
     /// Whether all records have been read, and the watch goes on from there.
     pub loaded: bool,
     /// The leader record, while a controller leads.
-    pub lead: Option<Versioned<LeaderRecord>>,
+    pub leader: Option<Versioned<LeaderRecord>>,
     /// The last fencing token that any term may use.
     pub token: Versioned<u64>,
     /// The machine types that the cloud offered last.
-    pub types: Option<Versioned<Arc<Vec<MachineType>>>>,
+    pub machine_types: Option<Versioned<Arc<Vec<MachineType>>>>,
     /// Jobs whose submission is still recorded. It outlives the job's end until
     /// the leader has dropped its records.
     pub jobs: HashMap<JobId, JobEntry>,
     /// Pages of each job by their number.
     pub pages: HashMap<JobId, BTreeMap<u32, PageEntry>>,
     /// How each ended job ended.
-    pub ends: EndedJobs,
+    pub ended_jobs: EndedJobs,
     /// What the jobs that have not ended depend on.
     pub dependencies: DependencyGraph,
     /// Accepted jobs whose records can't be read: they are neither run nor
     /// called unknown.
-    pub unreadable: HashSet<JobId>,
+    pub unreadable_jobs: HashSet<JobId>,
     /// The latest cancellations, by the revision of their end.
-    pub cancelled: RecentCancellations,
+    pub recent_cancellations: RecentCancellations,
 }
 
 impl WatchCache {
     /// An empty watch cache, for heartbeats that carry up to `cancellations`
     /// cancelled jobs.
     pub fn with_notice_limit(cancellations: usize) -> Self {
-        Self { cancelled: RecentCancellations::with_notice_limit(cancellations), ..Self::default() }
+        Self {
+            recent_cancellations: RecentCancellations::with_notice_limit(cancellations),
+            ..Self::default()
+        }
     }
 
     /// Applies what a watch brought. Changes up to the revision that is reached
@@ -107,10 +110,10 @@
     }
 
     fn put_leader(&mut self, key: &str, raw: &RawValue, version: u64) -> Vec<Change> {
-        if !is_newer(version, self.lead.as_ref()) {
+        if !is_newer(version, self.leader.as_ref()) {
             return Vec::new();
         }
-        self.lead = decode(key, raw).map(|value| Versioned { version, value });
+        self.leader = decode(key, raw).map(|value| Versioned { version, value });
         vec![Change::Leader]
     }
 
@@ -123,10 +126,10 @@
     }
 
     fn put_machine_types(&mut self, key: &str, raw: &RawValue, version: u64) {
-        if is_newer(version, self.types.as_ref())
+        if is_newer(version, self.machine_types.as_ref())
             && let Some(types) = decode(key, raw)
         {
-            self.types = Some(Versioned { version, value: Arc::new(types) });
+            self.machine_types = Some(Versioned { version, value: Arc::new(types) });
         }
     }
 
@@ -135,20 +138,20 @@
             return Vec::new();
         }
         let Some(spec) = decode::<JobSpec>(key, raw) else {
-            self.unreadable.insert(name.into());
+            self.unreadable_jobs.insert(name.into());
             return Vec::new();
         };
         self.insert_job(JobEntry { version, spec: Arc::new(spec) })
     }
 
     fn put_end(&mut self, key: &str, name: &str, raw: &RawValue, version: u64) -> Vec<Change> {
-        if self.ends.contains(name) {
+        if self.ended_jobs.contains(name) {
             return Vec::new();
         }
         let Some(end) = decode::<JobEnd>(key, raw) else { return Vec::new() };
         let id: JobId = name.into();
         if end.state == JobState::Cancelled {
-            self.cancelled.insert(version, id.clone());
+            self.recent_cancellations.insert(version, id.clone());
         }
         self.insert_end(id, end)
     }
@@ -166,8 +169,9 @@
             return Vec::new();
         }
         let mut changes = vec![Change::Arrived(id.clone())];
-        if !self.ends.contains(&id) {
-            let outcome = |needed: &JobId| self.ends.get(needed).and_then(|end| end.outcome());
+        if !self.ended_jobs.contains(&id) {
+            let outcome =
+                |needed: &JobId| self.ended_jobs.get(needed).and_then(|end| end.outcome());
             let spec = &job.spec;
             let effects = self.dependencies.insert(&id, spec.priority, &spec.dependencies, outcome);
             changes.extend(changes_of(effects));
@@ -177,10 +181,10 @@
     }
 
     fn insert_end(&mut self, id: JobId, end: JobEnd) -> Vec<Change> {
-        if self.ends.contains(&id) {
+        if self.ended_jobs.contains(&id) {
             return Vec::new();
         }
-        self.ends.insert(&id, end);
+        self.ended_jobs.insert(&id, end);
         let effects = end.outcome().map(|outcome| self.dependencies.end(&id, outcome));
         let mut changes = vec![Change::Ended(id)];
         changes.extend(changes_of(effects.unwrap_or_default()));
@@ -194,8 +198,8 @@
             RecordKey::Leader => {
                 // Our own taking of the key may have been recorded before the watch
                 // brings the end of the former one.
-                if self.lead.as_ref().is_some_and(|held| held.version < version) {
-                    self.lead = None;
+                if self.leader.as_ref().is_some_and(|held| held.version < version) {
+                    self.leader = None;
                 }
                 return Some(Change::Leader);
             }
@@ -213,7 +217,7 @@
         if self.jobs.get(name).is_some_and(|job| job.version < version) {
             self.jobs.remove(name);
         } else {
-            self.unreadable.remove(name);
+            self.unreadable_jobs.remove(name);
         }
     }
 
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -36,7 +36,8 @@
 
     pub fn with(mut settings: Settings, tokens: TermTokens) -> Self {
         let mut watch_cache = WatchCache { loaded: true, ..WatchCache::default() };
-        watch_cache.types = Some(Versioned { version: 1, value: Arc::new(vec![machine_type()]) });
+        watch_cache.machine_types =
+            Some(Versioned { version: 1, value: Arc::new(vec![machine_type()]) });
         // Returning idle machines is no part of these stories.
         settings.operator.idle_boots = 1e3;
         Self::over(settings, watch_cache, tokens)
--- a/tests/late_orders.rs
+++ b/tests/late_orders.rs
@@ -459,7 +459,7 @@
         }
         assert_eq!(deleted as u32, pages, "a page stays without its job");
         assert!(harness.watch_cache.pages.is_empty() && harness.watch_cache.jobs.is_empty());
-        assert!(harness.watch_cache.ends.contains("j-000001"));
+        assert!(harness.watch_cache.ended_jobs.contains("j-000001"));
     }
 }
 
--- a/tests/leader.rs
+++ b/tests/leader.rs
@@ -758,7 +758,8 @@
     // machines were returned and rented again and nothing ever ran.
     let mut harness = LeaderHarness::new(5);
     let quick = MachineType { boot_s: 1.0, ..machine_type() };
-    harness.watch_cache.types = Some(Versioned { version: 1, value: Arc::new(vec![quick]) });
+    harness.watch_cache.machine_types =
+        Some(Versioned { version: 1, value: Arc::new(vec![quick]) });
     harness.leader = Leader::new(
         Arc::new(settings("m-0")),
         1,
@@ -869,7 +870,7 @@
         harness.settle();
         assert!(largest_page(&harness.watch_cache) <= VALUE_BYTES);
     }
-    assert!(harness.watch_cache.ends.contains("j-000001"));
+    assert!(harness.watch_cache.ended_jobs.contains("j-000001"));
 }
 
 /// A page that a version without the coming limits filled with `tasks` places.
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -37,14 +37,14 @@
     let before = resident_bytes();
     let mut watch_cache = WatchCache::default();
     for first in (0..ENDED).step_by(PART as usize) {
-        let (_, others) = watch_cache.note_ends(part(first, PART));
+        let (_, others) = watch_cache.record_ends(part(first, PART));
         assert!(others.is_empty(), "an end need not wait for the rest of the reading");
     }
     let nothing = Events { revision: ENDED, events: Vec::new() };
     watch_cache.replace(Vec::new(), ENDED, nothing.clone());
     // The records are read again when the watch was left behind.
     for first in (0..ENDED).step_by(PART as usize) {
-        watch_cache.note_ends(part(first, PART));
+        watch_cache.record_ends(part(first, PART));
     }
     watch_cache.replace(Vec::new(), ENDED, nothing);
     let held = resident_bytes().saturating_sub(before);
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -113,9 +113,9 @@
     assert_eq!(put("sw/p/j-000007/12", PAGE), []);
     assert_eq!(put("sw/e/j-8", r#"{"s":"aborted","d":3}"#), [Change::Ended("j-8".into())]);
     let lead = LeaderRecord { member: "m-1".into(), incarnation: 77, token: 2, lease: 9 };
-    assert_eq!(watch_cache.lead, Some(Versioned { version: 5, value: lead }));
+    assert_eq!(watch_cache.leader, Some(Versioned { version: 5, value: lead }));
     assert_eq!(watch_cache.token, Versioned { version: 5, value: 1_048_577 });
-    assert_eq!(watch_cache.types.as_ref().map(|held| &*held.value), Some(&types()));
+    assert_eq!(watch_cache.machine_types.as_ref().map(|held| &*held.value), Some(&types()));
     let status = watch_cache.status("j-000007").expect("known");
     assert_eq!((status.done, status.running), (2, 1));
     assert_eq!(watch_cache.machines_of("j-000007"), ["n-000231".into()]);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -64,8 +64,8 @@
     }
     assert!(
         watch_cache.jobs.is_empty()
-            && watch_cache.ends.is_empty()
-            && watch_cache.unreadable.is_empty()
+            && watch_cache.ended_jobs.is_empty()
+            && watch_cache.unreadable_jobs.is_empty()
     );
 }
 
