--- a/crates/stonewheel-coordination/src/coordinator.rs
+++ b/crates/stonewheel-coordination/src/coordinator.rs
@@ -101,7 +101,8 @@
         duties.wait().await;
         let held = lock(&self.session).take();
         if let Some(session) = held {
-            let _ = timeout(self.timing.state_timeout, self.store.drop_lease(session.lease)).await;
+            let _ =
+                timeout(self.timing.state_timeout, self.store.revoke_lease(session.lease)).await;
         }
     }
 
@@ -114,7 +115,7 @@
 
     async fn load(&self) -> Result<(), StateError> {
         let (items, began) = self.store.read_all().await?;
-        let since = self.store.follow(began, Duration::ZERO).await?;
+        let since = self.store.watch(began, Duration::ZERO).await?;
         lock(&self.records).replace(items, began, since);
         self.check_session();
         self.tell_change();
@@ -123,7 +124,7 @@
 
     async fn follow(&self, wait: Duration) -> Result<(), StateError> {
         let revision = lock(&self.records).revision;
-        let events = self.store.follow(revision, wait).await?;
+        let events = self.store.watch(revision, wait).await?;
         if lock(&self.records).apply(events) {
             self.check_session();
             self.tell_change();
@@ -138,7 +139,7 @@
                 if loaded { self.follow(self.timing.session).await } else { self.load().await };
             match result {
                 Ok(()) => {}
-                Err(StateError::TooOld) => lock(&self.records).loaded = false,
+                Err(StateError::RevisionTooOld) => lock(&self.records).loaded = false,
                 Err(error) => {
                     debug!(%error, "shared records can't be read");
                     sleep(self.pause()).await;
@@ -149,7 +150,7 @@
 
     /// Reads what changed, if that can be had, and pauses.
     pub async fn refresh(&self) {
-        if let Err(StateError::TooOld) = self.follow(Duration::ZERO).await {
+        if let Err(StateError::RevisionTooOld) = self.follow(Duration::ZERO).await {
             lock(&self.records).loaded = false;
         }
         sleep(self.pause()).await;
@@ -178,7 +179,7 @@
         let key = session_key(&self.me.member);
         conditions.push(Condition { key, version: session.version });
         let result = self.commit(conditions, writes).await;
-        if matches!(result, Err(StateError::NoLease)) {
+        if matches!(result, Err(StateError::LeaseExpired)) {
             self.lose_session(session.lease);
         }
         result
@@ -228,7 +229,7 @@
             sleep(self.pause()).await;
         }
         let asked = Instant::now();
-        let lease = self.store.lease(self.timing.session).await?;
+        let lease = self.store.grant_lease(self.timing.session).await?;
         let key = session_key(&self.me.member);
         let version = lock(&self.records).version(&key);
         let value = Session { incarnation: self.me.incarnation };
@@ -236,7 +237,7 @@
         let version = match self.commit(vec![Condition { key, version }], writes).await {
             Ok(version) => version,
             Err(error) => {
-                self.store.drop_lease(lease).await;
+                self.store.revoke_lease(lease).await;
                 return Err(error);
             }
         };
@@ -258,14 +259,14 @@
             }
             let asked = Instant::now();
             wait = every;
-            match self.store.touch(session.lease).await {
+            match self.store.renew_lease(session.lease).await {
                 Ok(()) => {
                     if let Some(held) = lock(&self.session).as_mut() {
                         held.valid_until = valid_until(asked, self.timing.session);
                     }
                     self.tell_change();
                 }
-                Err(StateError::NoLease) => {
+                Err(StateError::LeaseExpired) => {
                     *lock(&self.session) = None;
                     return;
                 }
--- a/crates/stonewheel-coordination/src/store.rs
+++ b/crates/stonewheel-coordination/src/store.rs
@@ -46,10 +46,10 @@
     }
 
     /// What changed after a revision; waits for it up to `wait`.
-    pub(crate) async fn follow(&self, since: u64, wait: Duration) -> Result<Events, StateError> {
+    pub(crate) async fn watch(&self, since: u64, wait: Duration) -> Result<Events, StateError> {
         let reserve = if wait.is_zero() { Reserve::Quarter } else { Reserve::Half };
         self.requests.take_leaving(1.0, reserve).await;
-        self.api.follow(PREFIX, since, wait).await
+        self.api.watch(PREFIX, since, wait).await
     }
 
     /// Commits a change, and returns its revision.
@@ -61,26 +61,26 @@
         self.writer.commit(conditions, writes).await
     }
 
-    pub(crate) async fn lease(&self, ttl: Duration) -> Result<u64, StateError> {
+    pub(crate) async fn grant_lease(&self, ttl: Duration) -> Result<u64, StateError> {
         self.requests.take(1.0).await;
-        self.api.lease(ttl).await
+        self.api.grant_lease(ttl).await
     }
 
-    pub(crate) async fn touch(&self, lease: u64) -> Result<(), StateError> {
+    pub(crate) async fn renew_lease(&self, lease: u64) -> Result<(), StateError> {
         self.requests.take(1.0).await;
-        self.api.touch(lease).await
+        self.api.renew_lease(lease).await
     }
 
-    pub(crate) async fn drop_lease(&self, lease: u64) {
+    pub(crate) async fn revoke_lease(&self, lease: u64) {
         self.requests.take(1.0).await;
         // If it can't be given back it ends by itself.
-        let _ = self.api.drop_lease(lease).await;
+        let _ = self.api.revoke_lease(lease).await;
     }
 }
 
 /// A write of a value, attached to a lease or to none.
 pub fn put<T: Serialize>(key: String, value: &T, lease: Option<u64>) -> Result<Write, StateError> {
     let value = serde_json::value::to_raw_value(value)
-        .map_err(|error| StateError::Unsure(CallError::Malformed(error.to_string())))?;
+        .map_err(|error| StateError::OutcomeUnknown(CallError::Malformed(error.to_string())))?;
     Ok(Write::Put { key, value, lease })
 }
--- a/crates/stonewheel-http-client/src/tests.rs
+++ b/crates/stonewheel-http-client/src/tests.rs
@@ -10,7 +10,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_came_while_the_process_stood_still_is_read() {
     let (answer, answered) = oneshot::channel();
-    let call = tokio::spawn(despite_own_delay(WITHIN, answered));
+    let call = tokio::spawn(timeout_despite_own_delay(WITHIN, answered));
     tokio::task::yield_now().await;
     // Nothing runs for longer than the call may take, and then its timer runs
     // before what would have read the answer.
@@ -25,11 +25,11 @@
 #[tokio::test(start_paused = true)]
 async fn silence_ends_a_call_in_time_and_a_delay_puts_that_off_by_no_more_than_itself() {
     let begin = Instant::now();
-    assert!(despite_own_delay(WITHIN, std::future::pending::<()>()).await.is_none());
+    assert!(timeout_despite_own_delay(WITHIN, std::future::pending::<()>()).await.is_none());
     assert!(begin.elapsed() < WITHIN * 9 / 8, "{:?}", begin.elapsed());
     for delay in [WITHIN / 2, WITHIN * 20] {
         let begin = Instant::now();
-        let call = tokio::spawn(despite_own_delay(WITHIN, std::future::pending::<()>()));
+        let call = tokio::spawn(timeout_despite_own_delay(WITHIN, std::future::pending::<()>()));
         tokio::task::yield_now().await;
         advance(WITHIN + delay).await;
         assert!(call.await.expect("ran").is_none());
--- a/crates/stonewheel-lending/src/executor.rs
+++ b/crates/stonewheel-lending/src/executor.rs
@@ -250,7 +250,9 @@
         conditions: Vec<Condition>,
         writes: Vec<Write>,
     ) -> Result<u64, StateError> {
-        let Some(session) = self.coordinator.session() else { return Err(StateError::NoLease) };
+        let Some(session) = self.coordinator.session() else {
+            return Err(StateError::LeaseExpired);
+        };
         self.coordinator.commit_under(session, conditions, writes).await
     }
 
--- a/crates/stonewheel-protocol/src/state_service.rs
+++ b/crates/stonewheel-protocol/src/state_service.rs
@@ -79,7 +79,7 @@
 
 /// The keys whose conditions failed.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Refused {
+pub struct FailedConditions {
     #[serde(default)]
     pub failed: Vec<String>,
 }
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -328,7 +328,9 @@
         from: &Versioned<ServiceRecord>,
         to: &ServiceRecord,
     ) -> Result<(), StateError> {
-        let Some(session) = self.coordinator.session() else { return Err(StateError::NoLease) };
+        let Some(session) = self.coordinator.session() else {
+            return Err(StateError::LeaseExpired);
+        };
         let key = service_key(service);
         let condition = Condition { key: key.clone(), version: from.version };
         let write = put(key, to, None)?;
--- a/crates/stonewheel-state/src/http.rs
+++ b/crates/stonewheel-state/src/http.rs
@@ -4,42 +4,48 @@
 
 use futures_util::future::BoxFuture;
 use hyper::{Method, StatusCode};
-use stonewheel_http_client::{Answer, CallError, HttpClient};
+use stonewheel_http_client::{CallError, HttpClient, Response};
 use stonewheel_protocol::{
-    Committed, Events, ItemPage, LeaseGrant, LeaseRequest, Refused, Transaction,
+    Committed, Events, FailedConditions, ItemPage, LeaseGrant, LeaseRequest, Transaction,
 };
 
 use crate::{StateApi, StateError};
 
 /// Connections that are kept for later calls.
-const IDLE_CONNECTIONS: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// Items that one call lists at most.
+const LIST_LIMIT: usize = 500;
+/// What the body of a 400 says if the lease of a transaction has expired.
+const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
 /// The state service over HTTP.
 pub struct HttpState {
     client: HttpClient,
-    addr: SocketAddr,
+    address: SocketAddr,
     timeout: Duration,
 }
 
 impl HttpState {
-    /// `timeout`: how long one call may take. `keep`: how long an unused
+    /// `timeout`: how long one call may take. `idle_timeout`: how long an unused
     /// connection is kept.
-    pub fn new(addr: SocketAddr, timeout: Duration, keep: Duration) -> Self {
-        Self { client: HttpClient::new(IDLE_CONNECTIONS, keep, timeout), addr, timeout }
+    pub fn new(address: SocketAddr, timeout: Duration, idle_timeout: Duration) -> Self {
+        let client = HttpClient::new(MAX_IDLE_CONNECTIONS, idle_timeout, timeout);
+        Self { client, address, timeout }
     }
 
-    fn refused(answer: &Answer) -> StateError {
-        match answer.status.as_u16() {
-            503 | 429 => StateError::Refused(answer.status),
-            410 => StateError::TooOld,
-            404 => StateError::NoLease,
-            409 => match answer.parse::<Refused>() {
-                Ok(refused) => StateError::Conflict(refused.failed),
-                Err(e) => StateError::Unsure(e),
+    /// What a response that is not 200 means.
+    fn error_of(response: &Response) -> StateError {
+        match response.status.as_u16() {
+            503 | 429 => StateError::Refused(response.status),
+            410 => StateError::RevisionTooOld,
+            404 => StateError::LeaseExpired,
+            409 => match response.parse::<FailedConditions>() {
+                Ok(conditions) => StateError::Conflict(conditions.failed),
+                Err(e) => StateError::OutcomeUnknown(e),
             },
-            400 if answer.body.windows(13).any(|w| w == b"no such lease") => StateError::NoLease,
-            400 => StateError::Rejected(String::from_utf8_lossy(&answer.body).into_owned()),
-            other => StateError::Unsure(CallError::Malformed(format!("status {other}"))),
+            400 if contains(&response.body, NO_SUCH_LEASE) => StateError::LeaseExpired,
+            400 => StateError::Rejected(String::from_utf8_lossy(&response.body).into_owned()),
+            other => StateError::OutcomeUnknown(CallError::Malformed(format!("status {other}"))),
         }
     }
 
@@ -48,45 +54,50 @@
         method: Method,
         path: String,
         body: Option<&B>,
-        within: Duration,
-    ) -> Result<Answer, StateError> {
-        let answer = self.client.call(method, self.addr, &path, body, within).await?;
-        if answer.status == StatusCode::OK { Ok(answer) } else { Err(Self::refused(&answer)) }
+        timeout: Duration,
+    ) -> Result<Response, StateError> {
+        let response = self.client.call(method, self.address, &path, body, timeout).await?;
+        if response.status == StatusCode::OK {
+            Ok(response)
+        } else {
+            Err(Self::error_of(&response))
+        }
     }
 }
 
 impl StateApi for HttpState {
     fn list(&self, prefix: &str, since: &str) -> BoxFuture<'_, Result<ItemPage, StateError>> {
-        let mut path = format!("/kv?Prefix={prefix}&Limit=500");
+        let mut path = format!("/kv?Prefix={prefix}&Limit={LIST_LIMIT}");
         if !since.is_empty() {
             path.push_str("&Since=");
             path.push_str(since);
         }
         Box::pin(async move {
-            // A page may hold half a megabyte; the answer takes its time.
-            let answer = self.call::<()>(Method::GET, path, None, self.timeout * 2).await?;
-            Ok(answer.parse()?)
+            // A page may hold half a megabyte; the response takes its time.
+            let response = self.call::<()>(Method::GET, path, None, self.timeout * 2).await?;
+            Ok(response.parse()?)
         })
     }
 
-    fn multi(&self, txn: &Transaction) -> BoxFuture<'_, Result<u64, StateError>> {
-        let txn = txn.clone();
+    fn transact(&self, transaction: &Transaction) -> BoxFuture<'_, Result<u64, StateError>> {
+        let transaction = transaction.clone();
         Box::pin(async move {
-            let answer = self.call(Method::POST, "/multi".into(), Some(&txn), self.timeout).await?;
-            Ok(answer.parse::<Committed>()?.revision)
+            let response =
+                self.call(Method::POST, "/multi".into(), Some(&transaction), self.timeout).await?;
+            Ok(response.parse::<Committed>()?.revision)
         })
     }
 
-    fn lease(&self, ttl: Duration) -> BoxFuture<'_, Result<u64, StateError>> {
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<u64, StateError>> {
         let body = LeaseRequest { ttl_ms: ttl.as_millis() as u64 };
         Box::pin(async move {
-            let answer =
+            let response =
                 self.call(Method::POST, "/leases".into(), Some(&body), self.timeout).await?;
-            Ok(answer.parse::<LeaseGrant>()?.lease)
+            Ok(response.parse::<LeaseGrant>()?.lease)
         })
     }
 
-    fn touch(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
+    fn renew_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
         Box::pin(async move {
             let path = format!("/leases/{lease}/touch");
             self.call::<()>(Method::POST, path, None, self.timeout).await?;
@@ -94,7 +105,7 @@
         })
     }
 
-    fn drop_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
+    fn revoke_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
         Box::pin(async move {
             let path = format!("/leases/{lease}");
             self.call::<()>(Method::DELETE, path, None, self.timeout).await?;
@@ -102,7 +113,7 @@
         })
     }
 
-    fn follow(
+    fn watch(
         &self,
         prefix: &str,
         since: u64,
@@ -110,8 +121,12 @@
     ) -> BoxFuture<'_, Result<Events, StateError>> {
         let path = format!("/follow?Prefix={prefix}&Since={since}&BlockMs={}", wait.as_millis());
         Box::pin(async move {
-            let answer = self.call::<()>(Method::GET, path, None, wait + self.timeout).await?;
-            Ok(answer.parse()?)
+            let response = self.call::<()>(Method::GET, path, None, wait + self.timeout).await?;
+            Ok(response.parse()?)
         })
     }
 }
+
+fn contains(body: &[u8], text: &[u8]) -> bool {
+    body.windows(text.len()).any(|window| window == text)
+}
--- a/crates/stonewheel-state/src/lib.rs
+++ b/crates/stonewheel-state/src/lib.rs
@@ -1,21 +1,19 @@
-//! The state service: its client behind a trait, the budget of requests and
-//! writes, and the writer that packs changes into transactions.
+//! The state service, a consensus-backed key-value store: its client behind a
+//! trait, the budget of requests and writes, and the writer that packs changes
+//! into transactions.
+
+#![warn(missing_docs)]
 
 mod api;
 mod budget;
 mod http;
+mod locks;
 mod versioned;
 mod writer;
 
-use std::sync::{Mutex, MutexGuard, PoisonError};
-
 pub use api::{StateApi, StateError};
 pub use budget::{Budget, Reserve};
 pub use http::HttpState;
+pub use locks::lock;
 pub use versioned::Versioned;
-pub use writer::{IN_FLIGHT, Writer, WriterLimits};
-
-/// A lock is only poisoned when a holder panicked, and the process then ends.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
+pub use writer::{MAX_IN_FLIGHT, Writer, WriterLimits};
--- a/crates/stonewheel-testing/src/state.rs
+++ b/crates/stonewheel-testing/src/state.rs
@@ -120,7 +120,7 @@
             _ => false,
         };
         if txn.writes.iter().any(over) {
-            return Err(StateError::NoLease);
+            return Err(StateError::LeaseExpired);
         }
         let version = |key: &String| self.kv.get(key).map_or(0, |(_, v, _)| *v);
         let failed: Vec<String> = txn
@@ -336,7 +336,7 @@
         })
     }
 
-    fn multi(&self, txn: &Transaction) -> BoxFuture<'_, Result<u64, StateError>> {
+    fn transact(&self, txn: &Transaction) -> BoxFuture<'_, Result<u64, StateError>> {
         let txn = txn.clone();
         Box::pin(async move {
             self.pass_time().await;
@@ -370,11 +370,11 @@
             };
             assert!(silent);
             sleep(Duration::from_secs(1)).await;
-            Err(StateError::Unsure(CallError::Timeout))
+            Err(StateError::OutcomeUnknown(CallError::Timeout))
         })
     }
 
-    fn lease(&self, ttl: Duration) -> BoxFuture<'_, Result<u64, StateError>> {
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<u64, StateError>> {
         Box::pin(async move {
             self.pass_time().await;
             let mut store = self.open()?;
@@ -385,17 +385,17 @@
         })
     }
 
-    fn touch(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
+    fn renew_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
         Box::pin(async move {
             self.pass_time().await;
             let mut store = self.open()?;
-            let (ttl, at) = store.leases.get_mut(&lease).ok_or(StateError::NoLease)?;
+            let (ttl, at) = store.leases.get_mut(&lease).ok_or(StateError::LeaseExpired)?;
             *at = Instant::now() + *ttl;
             Ok(())
         })
     }
 
-    fn drop_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
+    fn revoke_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
         Box::pin(async move {
             self.pass_time().await;
             self.open()?.end_lease(lease);
@@ -403,7 +403,7 @@
         })
     }
 
-    fn follow(
+    fn watch(
         &self,
         prefix: &str,
         since: u64,
@@ -423,7 +423,7 @@
                     let first = store.log.partition_point(|(r, ..)| *r <= since);
                     if first < oldest {
                         store.too_old += 1;
-                        return Err(StateError::TooOld);
+                        return Err(StateError::RevisionTooOld);
                     }
                     let events: Vec<Event> = store.log[first..]
                         .iter()
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::{
-    http::client::{Answer, CallError, HttpClient},
+    http::client::{CallError, HttpClient, Response},
     protocol::{MachineId, MachineList, MachineNames, MachineType, MachineTypes, ProvisionRequest},
     settings::Settings,
     state::Budget,
@@ -59,7 +59,7 @@
         method: Method,
         path: String,
         body: Option<&B>,
-    ) -> Result<Answer, CloudError> {
+    ) -> Result<Response, CloudError> {
         self.budget.take(1.0).await;
         let answer = self.client.call(method, self.address, &path, body, self.timeout).await?;
         match answer.status {
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -6,7 +6,7 @@
 use super::{Ended, Leader};
 use crate::{
     protocol::{Condition, JobId, JobState, Write},
-    state::IN_FLIGHT,
+    state::MAX_IN_FLIGHT,
     store::{self, JobEnd, Page, WatchCache},
 };
 
@@ -84,7 +84,7 @@
     }
 
     fn writes_under_way(&self) -> usize {
-        self.settings.state_limits().transaction_writes * IN_FLIGHT
+        self.settings.state_limits().transaction_writes * MAX_IN_FLIGHT
     }
 
     /// The pages that should be written next.
--- a/src/election.rs
+++ b/src/election.rs
@@ -76,7 +76,7 @@
 async fn attempt(node: &Arc<Node>, version: u64, ttl: Duration) {
     let Versioned { version: token_version, value: token } = lock(&node.watch_cache).token;
     node.requests.take(1.0).await;
-    let lease = match node.state.lease(ttl).await {
+    let lease = match node.state.grant_lease(ttl).await {
         Ok(lease) => lease,
         Err(_) => return tokio::time::sleep(ttl / 8).await,
     };
@@ -102,7 +102,7 @@
         ],
     };
     node.requests.take(1.0).await;
-    match node.state.multi(&txn).await {
+    match node.state.transact(&txn).await {
         Ok(revision) => node.note_writes(&txn.writes, revision),
         Err(error) => {
             // Lost, or unsure: the watch cache tells who leads. An unsure try of
@@ -134,9 +134,9 @@
     loop {
         let asked = Instant::now();
         node.requests.take(1.0).await;
-        match node.state.touch(lead.lease).await {
+        match node.state.renew_lease(lead.lease).await {
             Ok(()) => node.renewed(version, asked),
-            Err(StateError::NoLease) => {
+            Err(StateError::LeaseExpired) => {
                 warn!(token = lead.token, "the leader's lease has ended");
                 break;
             }
@@ -166,13 +166,13 @@
     let _ = duty.await;
     // Giving the lease back lets a successor start at once. After a loss this
     // frees nothing that is still ours.
-    let _ = node.state.drop_lease(lead.lease).await;
+    let _ = node.state.revoke_lease(lead.lease).await;
     // The key must not look held by us when standing again.
     while lock(&node.watch_cache).leader.as_ref().is_some_and(|lead| lead.version == version) {
         if node.fresh().await.is_err() {
             tokio::time::sleep(ttl / 8).await;
-            if node.state.touch(lead.lease).await.is_ok() {
-                let _ = node.state.drop_lease(lead.lease).await;
+            if node.state.renew_lease(lead.lease).await.is_ok() {
+                let _ = node.state.revoke_lease(lead.lease).await;
             }
         }
     }
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -90,7 +90,7 @@
     let paused = node.in_doubt();
     let alone = lock(&node.peers.abstentions).alone_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
-    let spare = node.writer.spare();
+    let spare = node.writer.available_writes();
     let small_pages = node.peers.all_know_small_pages(&node.settings.members);
     let watch_cache = lock(&node.watch_cache);
     node.with_leader(version, |leader| {
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -120,7 +120,7 @@
         }
         let began = began.unwrap_or(0);
         self.requests.take(1.0).await;
-        let changed = self.state.follow(KEY_PREFIX, began, Duration::ZERO).await?;
+        let changed = self.state.watch(KEY_PREFIX, began, Duration::ZERO).await?;
         let changes = lock(&self.watch_cache).replace(items, began, changed);
         self.dispatch(&changes);
         Ok(())
@@ -160,13 +160,13 @@
         node.requests.take_leaving(1.0, Reserve::Half).await;
         let revision = lock(&node.watch_cache).revision;
         let asked = Instant::now();
-        match node.state.follow(KEY_PREFIX, revision, wait).await {
+        match node.state.watch(KEY_PREFIX, revision, wait).await {
             Ok(events) => {
                 node.take_events(events);
                 lock(&node.peers.known_cancellations).read(asked);
                 tokio::time::sleep(spacing.saturating_sub(asked.elapsed())).await;
             }
-            Err(StateError::TooOld) => lock(&node.watch_cache).loaded = false,
+            Err(StateError::RevisionTooOld) => lock(&node.watch_cache).loaded = false,
             Err(error) => {
                 debug!(%error, "watch");
                 tokio::time::sleep(pause).await;
@@ -193,14 +193,14 @@
         let revision = lock(&node.watch_cache).revision;
         let result = if loaded {
             let asked = Instant::now();
-            let answer = node.state.follow(KEY_PREFIX, revision, Duration::ZERO).await;
+            let answer = node.state.watch(KEY_PREFIX, revision, Duration::ZERO).await;
             let ok = answer.is_ok();
             let result = match answer {
                 Ok(events) => {
                     node.take_events(events);
                     Ok(())
                 }
-                Err(StateError::TooOld) => {
+                Err(StateError::RevisionTooOld) => {
                     lock(&node.watch_cache).loaded = false;
                     Err(Unavailable::State)
                 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 pub use stonewheel_state::{
-    Budget, HttpState, IN_FLIGHT, Reserve, StateApi, StateError, Versioned, Writer, WriterLimits,
-    lock,
+    Budget, HttpState, MAX_IN_FLIGHT, Reserve, StateApi, StateError, Versioned, Writer,
+    WriterLimits, lock,
 };
 
 use crate::settings::Settings;
--- a/tests/leader/page_records.rs
+++ b/tests/leader/page_records.rs
@@ -48,7 +48,7 @@
     }
     harness.pass(0.2);
     let commits = harness.commits();
-    let under_way = 24 * stonewheel::state::IN_FLIGHT;
+    let under_way = 24 * stonewheel::state::MAX_IN_FLIGHT;
     assert_eq!(commits.len(), under_way, "no more at once than the transactions hold");
     let production = commits.iter().take_while(|c| match &c.kind {
         CommitKind::Page { job, .. } => job[2..].parse::<u32>().expect("a number") % 4 == 3,
--- a/tests/wire_samples.rs
+++ b/tests/wire_samples.rs
@@ -7,9 +7,9 @@
 use serde_json::value::RawValue;
 use stonewheel::protocol::{
     BODY_LIMIT, CommandKind, Committed, Condition, DirectCommands, ErrorBody, Event, Events,
-    ExitCause, HeartbeatResponse, Item, ItemPage, JobSpec, JobState, JobStatus, LeaseGrant,
-    LeaseRequest, ListedMachine, MAX_TASKS, MachineList, MachineNames, MachineState, MachineType,
-    MachineTypes, Priority, ProvisionRequest, Redirect, Refused, Shape, TaskCommand, TaskState,
+    ExitCause, FailedConditions, HeartbeatResponse, Item, ItemPage, JobSpec, JobState, JobStatus,
+    LeaseGrant, LeaseRequest, ListedMachine, MAX_TASKS, MachineList, MachineNames, MachineState,
+    MachineType, MachineTypes, Priority, ProvisionRequest, Redirect, Shape, TaskCommand, TaskState,
     TaskStatus, Transaction, WorkerHeartbeat, Write, is_job_id,
 };
 
@@ -329,8 +329,8 @@
     assert_eq!(written(&transaction), TRANSACTION);
     assert_eq!(written(&Transaction::default()), r#"{"When":[],"Writes":[]}"#);
     is_read(COMMITTED, &Committed { revision: 9 });
-    is_read(REFUSED, &Refused { failed: vec!["sw/lead".into(), "sw/token".into()] });
-    is_read("{}", &Refused { failed: Vec::new() });
+    is_read(REFUSED, &FailedConditions { failed: vec!["sw/lead".into(), "sw/token".into()] });
+    is_read("{}", &FailedConditions { failed: Vec::new() });
     both_ways(&LeaseGrant { lease: 3 }, LEASE_GRANT);
     assert_eq!(written(&LeaseRequest { ttl_ms: 3667 }), LEASE_REQUEST);
     let put =
