--- a/src/election.rs
+++ b/src/election.rs
@@ -14,7 +14,7 @@
     fencing::TermTokens,
     node::Node,
     protocol::{Condition, Transaction, Write},
-    state::{StateError, lock},
+    state::{StateError, Versioned, lock},
     store::{self, LEADER_KEY, LeaderRecord, TOKEN_KEY},
 };
 
@@ -32,22 +32,24 @@
     loop {
         let seen = {
             let watch_cache = lock(&node.watch_cache);
-            watch_cache.loaded.then(|| watch_cache.lead.clone())
+            watch_cache.loaded.then(|| watch_cache.leader.clone())
         };
         match seen {
-            Some(Some((version, lead))) if node.is_me(&lead) => {
+            Some(Some(Versioned { version, value: lead })) if node.is_me(&lead) => {
                 let lost_workers = lead_on(node, version, &lead, stop).await;
                 // Another node may hear the workers better.
                 hold_off = lost_workers.then(|| Instant::now() + node.settings.worker_lease());
             }
             // Our former self held it: nobody else can be using that lease.
-            Some(Some((version, lead))) if lead.member == node.settings.member => {
+            Some(Some(Versioned { version, value: lead }))
+                if lead.member == node.settings.member =>
+            {
                 attempt(node, version, ttl).await;
             }
             Some(None) if hold_off.is_none_or(|until| until <= Instant::now()) => {
                 // Not all at the same instant: the first to ask wins.
                 tokio::time::sleep(defers_for(node, ttl) + node.jitter(ttl / 32)).await;
-                if lock(&node.watch_cache).lead.is_none() {
+                if lock(&node.watch_cache).leader.is_none() {
                     attempt(node, 0, ttl).await;
                 }
             }
@@ -72,9 +74,9 @@
 
 /// One try to take the key from `version` (0: free).
 async fn attempt(node: &Arc<Node>, version: u64, ttl: Duration) {
-    let (token_version, token) = lock(&node.watch_cache).token;
+    let Versioned { version: token_version, value: token } = lock(&node.watch_cache).token;
     node.requests.take(1.0).await;
-    let lease = match node.state.lease(ttl).await {
+    let lease = match node.state.grant_lease(ttl).await {
         Ok(lease) => lease,
         Err(_) => return tokio::time::sleep(ttl / 8).await,
     };
@@ -100,7 +102,7 @@
         ],
     };
     node.requests.take(1.0).await;
-    match node.state.multi(&txn).await {
+    match node.state.transact(&txn).await {
         Ok(revision) => node.note_writes(&txn.writes, revision),
         Err(error) => {
             // Lost, or unsure: the watch cache tells who leads. An unsure try of
@@ -132,9 +134,9 @@
     loop {
         let asked = Instant::now();
         node.requests.take(1.0).await;
-        match node.state.touch(lead.lease).await {
+        match node.state.renew_lease(lead.lease).await {
             Ok(()) => node.renewed(version, asked),
-            Err(StateError::NoLease) => {
+            Err(StateError::LeaseExpired) => {
                 warn!(token = lead.token, "the leader's lease has ended");
                 break;
             }
@@ -164,13 +166,13 @@
     let _ = duty.await;
     // Giving the lease back lets a successor start at once. After a loss this
     // frees nothing that is still ours.
-    let _ = node.state.drop_lease(lead.lease).await;
+    let _ = node.state.revoke_lease(lead.lease).await;
     // The key must not look held by us when standing again.
-    while lock(&node.watch_cache).lead.as_ref().is_some_and(|(v, _)| *v == version) {
+    while lock(&node.watch_cache).leader.as_ref().is_some_and(|lead| lead.version == version) {
         if node.fresh().await.is_err() {
             tokio::time::sleep(ttl / 8).await;
-            if node.state.touch(lead.lease).await.is_ok() {
-                let _ = node.state.drop_lease(lead.lease).await;
+            if node.state.renew_lease(lead.lease).await.is_ok() {
+                let _ = node.state.revoke_lease(lead.lease).await;
             }
         }
     }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,8 +1,13 @@
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
+use serde_json::value::RawValue;
 
 use super::*;
+use crate::{
+    protocol::{CancelledJob, Event, Events, Item, JobId, JobState},
+    state::Versioned,
+};
 
 fn raw(text: &str) -> Box<RawValue> {
     RawValue::from_string(text.into()).expect("json")
@@ -30,8 +35,8 @@
     assert!(watch_cache.jobs.contains_key("j-000001"));
     assert_eq!(watch_cache.status("j-000002").map(|s| s.state), Some(JobState::Cancelled));
     assert_eq!(watch_cache.pages["j-000001"][&0].version, 23);
-    assert_eq!(watch_cache.token, (24, 4));
-    assert!(watch_cache.cancelled_since(20, 9).0.iter().any(|(id, ..)| id == "j-000002"));
+    assert_eq!(watch_cache.token, Versioned { version: 24, value: 4 });
+    assert!(watch_cache.cancelled_since(20, 9).jobs.iter().any(|job| job.id == "j-000002"));
     // A later reading that lacks them shows that they are gone.
     let changes = watch_cache.replace(Vec::new(), 30, nothing_since(30));
     assert!(changes.contains(&Change::Ended("j-000001".into())));
@@ -45,9 +50,9 @@
         watch_cache.put(&end_key(id), raw(CANCELLED), at);
     }
     watch_cache.put("sw/e/j-000004", raw(r#"{"s":"done","d":2}"#), 25);
-    let ids = |since, most| {
-        let (jobs, all) = watch_cache.cancelled_since(since, most);
-        (jobs.into_iter().map(|(id, ..)| id).collect::<Vec<_>>(), all)
+    let ids = |since, limit| {
+        let notice = watch_cache.cancelled_since(since, limit);
+        (notice.jobs.into_iter().map(|job| job.id).collect::<Vec<_>>(), notice.complete)
     };
     assert_eq!(ids(10, 9), (vec!["j-000002".into(), "j-000003".into()], true));
     assert_eq!(ids(0, 2), (vec!["j-000001".into(), "j-000002".into()], false));
@@ -188,7 +193,7 @@
         let of_job = |number: &u32| {
             let id = Self::id(*number);
             let graph = &watch_cache.dependencies;
-            let unfinished = !watch_cache.ends.contains(id.as_str());
+            let unfinished = !watch_cache.ended_jobs.contains(id.as_str());
             let live = unfinished.then(|| {
                 (graph.waits(&id), graph.is_cancelled(&id), graph.effective_priority(&id))
             });
@@ -214,7 +219,9 @@
                     if known.is_some() {
                         continue;
                     }
-                    if watch_cache.ends.contains(id) || watch_cache.dependencies.is_cancelled(id) {
+                    if watch_cache.ended_jobs.contains(id)
+                        || watch_cache.dependencies.is_cancelled(id)
+                    {
                         self.ended.insert(id.clone());
                     }
                 }
@@ -226,7 +233,7 @@
         }
         for id in watch_cache.jobs.keys() {
             let graph = &watch_cache.dependencies;
-            let ended = watch_cache.ends.contains(id) || graph.is_cancelled(id);
+            let ended = watch_cache.ended_jobs.contains(id) || graph.is_cancelled(id);
             assert_eq!(self.ended.contains(id), ended, "{id} ended");
             assert!(ended || self.waits[id] == graph.waits(id), "{id} waits");
         }
@@ -254,7 +261,7 @@
             if history.rng.random_bool(0.5) {
                 if history.rng.random_bool(0.5) {
                     // Ends count as soon as they are read.
-                    let (changes, others) = read.note_ends(parts);
+                    let (changes, others) = read.record_ends(parts);
                     follower.follow(&changes, &read);
                     parts = others;
                 }
@@ -311,12 +318,13 @@
     for revision in 1..=many {
         watch_cache.put(&end_key(&format!("j-{revision:06}")), raw(CANCELLED), revision);
     }
-    let (jobs, all) = watch_cache.cancelled_since(many - 3, 9);
-    let latest = [many - 2, many - 1, many].map(|n| (format!("j-{n:06}"), n, 1));
-    assert_eq!((jobs.as_slice(), all), (latest.as_slice(), true));
-    let (jobs, all) = watch_cache.cancelled_since(10, usize::MAX);
-    assert!(!all, "what was cancelled right after revision 10 is not among them");
-    assert!(jobs.len() >= crate::settings::MIN_NOTICED_CANCELLATIONS);
+    let notice = watch_cache.cancelled_since(many - 3, 9);
+    let cancelled = |n| CancelledJob { id: format!("j-{n:06}"), version: n, done: 1 };
+    let latest = [many - 2, many - 1, many].map(cancelled);
+    assert_eq!((notice.jobs.as_slice(), notice.complete), (latest.as_slice(), true));
+    let notice = watch_cache.cancelled_since(10, usize::MAX);
+    assert!(!notice.complete, "what was cancelled right after revision 10 is not among them");
+    assert!(notice.jobs.len() >= crate::settings::MIN_NOTICED_CANCELLATIONS);
     // Read once more, in the order of keys.
     let mut read = WatchCache::default();
     for revision in (1..=many).rev() {
@@ -336,7 +344,7 @@
         item(job_key("j-000001"), SPEC, 5),
         item(page_key("j-000001", 0), r#"{"a":1}"#, 6),
     ];
-    let (changes, others) = watch_cache.note_ends(part);
+    let (changes, others) = watch_cache.record_ends(part);
     assert_eq!(changes, [Change::Ended("j-000001".into())]);
     assert_eq!(others.len(), 2);
     let changes = watch_cache.replace(others, 8, nothing_since(8));
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -10,6 +10,7 @@
     controller::Leader,
     fencing::TermTokens,
     protocol::{CommandKind, MachineType, TaskStatus},
+    state::Versioned,
 };
 
 #[tokio::test(start_paused = true)]
@@ -164,7 +165,8 @@
     // machines were returned and rented again and nothing ever ran.
     let mut harness = LeaderHarness::new(5);
     let quick = MachineType { boot_s: 1.0, ..machine_type() };
-    harness.watch_cache.types = Some((1, Arc::new(vec![quick])));
+    harness.watch_cache.machine_types =
+        Some(Versioned { version: 1, value: Arc::new(vec![quick]) });
     harness.leader = Leader::new(
         Arc::new(settings("m-0")),
         1,
