--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -91,7 +91,7 @@
     let alone = lock(&node.peers.abstentions).alone_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
     let spare = node.writer.spare();
-    let small_pages = node.peers.all_know_small_pages(&node.settings.members);
+    let small_pages = node.peers.all_support_small_pages(node.other_members());
     let watch_cache = lock(&node.watch_cache);
     node.with_leader(version, |leader| {
         if small_pages {
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -1,16 +1,39 @@
 //! What this node tells the other controllers and learns from them.
 
-use tokio::time::Instant;
+use tokio::{sync::watch, time::Instant};
 use tracing::warn;
 
 use super::Node;
 use crate::{
-    peers::{Message, noticed_cancellations_of},
+    peers::{LinkTiming, Message, MessageHandler, max_cancellations_per_frame},
     protocol::{CancellationNotice, ControllerHeartbeat, JobState, WorkerContact, Write},
     state::lock,
     store::{self, JobEnd},
 };
 
+impl MessageHandler for Node {
+    fn link_timing(&self) -> LinkTiming {
+        LinkTiming {
+            members: self.settings.members.len(),
+            frame_limit: self.settings.frame_limit(),
+            receive_timeout: self.settings.worker_lease(),
+            heartbeat_interval: self.settings.leader_lease() / 4,
+        }
+    }
+
+    fn message(&self, receiver: &str) -> Message {
+        Node::message(self, receiver)
+    }
+
+    fn on_message(&self, message: Message) {
+        Node::on_message(self, message);
+    }
+
+    fn immediate_heartbeats(&self) -> watch::Receiver<()> {
+        self.peers.immediate_heartbeats()
+    }
+}
+
 impl Node {
     /// All that this node tells another controller now.
     pub fn message(&self, to: &str) -> Message {
@@ -33,7 +56,7 @@
         let told_already = self.rejected_heartbeats();
         *lock(&self.heartbeat_rejected_at) = Some(Instant::now());
         if !told_already {
-            self.peers.hasten_heartbeats();
+            self.peers.request_immediate_heartbeats();
         }
     }
 
@@ -46,7 +69,7 @@
         let told = acknowledged.filter(|_| watch_cache.loaded).map(|(_, since)| {
             // More than the receiver can hear would cost the whole frame.
             let most = self.settings.noticed_cancellations();
-            let most = most.min(noticed_cancellations_of(self.peers.frame_limit(to)));
+            let most = most.min(max_cancellations_per_frame(self.peers.frame_limit(to)));
             let (jobs, all) = watch_cache.cancelled_since(since, most);
             CancellationNotice { since, all, jobs }
         });
@@ -74,7 +97,7 @@
     /// Whether workers report to another controller, but not to this one.
     pub fn hears_less(&self) -> bool {
         !self.rejected_heartbeats()
-            && self.peers.any(self.settings.heartbeat_interval() * 2, |heartbeat| {
+            && self.peers.any_recent(self.settings.heartbeat_interval() * 2, |heartbeat| {
                 heartbeat.rejected_heartbeats
             })
     }
@@ -97,7 +120,8 @@
     /// heartbeat can: connections between the controllers may be refused while
     /// the leader loses its workers.
     pub async fn announce_rejected_heartbeats(&self) {
-        let heard = self.peers.any(self.settings.leader_lease(), |heartbeat| heartbeat.leads);
+        let heard =
+            self.peers.any_recent(self.settings.leader_lease(), |heartbeat| heartbeat.leads);
         if heard || !self.rejected_heartbeats() || !self.state_ok() {
             return;
         }
@@ -110,9 +134,9 @@
     /// Takes in what another controller says.
     pub fn on_message(&self, message: Message) {
         let member = &message.heartbeat.member;
-        self.peers.note_features(member, message.features);
-        self.peers.note_frame_limit(member, message.frame_limit);
-        self.peers.note_worker_contact(member, message.worker_contact);
+        self.peers.record_features(member, message.features);
+        self.peers.record_frame_limit(member, message.frame_limit);
+        self.peers.record_worker_contact(member, message.worker_contact);
         self.on_heartbeat(message.heartbeat);
     }
 
@@ -128,7 +152,7 @@
         let workers_live = heartbeat.rejected_heartbeats;
         self.take_cancellation_notice(heartbeat.cancellations.as_ref());
         let revision = lock(&self.watch_cache).revision;
-        self.peers.note(heartbeat, revision);
+        self.peers.record_heartbeat(heartbeat, revision);
         // Whether to give way is asked now, not with the next renewal.
         if leads && workers_live {
             self.lead_changed.notify_one();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -178,7 +178,8 @@
         duties.spawn(http::server::serve(self.clone(), public, stop.clone()));
         duties.spawn(peers::listen(self.clone(), internal, stop.clone()));
         for member in &self.settings.members {
-            duties.spawn(peers::beat(self.clone(), member.clone(), stop.clone()));
+            let (name, endpoint) = (member.member.clone(), member.endpoint);
+            duties.spawn(peers::send_heartbeats(self.clone(), name, endpoint, stop.clone()));
         }
         stop.cancelled().await;
         duties.close();
@@ -200,6 +201,11 @@
         self.writer.clone()
     }
 
+    /// The names of the other controllers.
+    fn other_members(&self) -> impl Iterator<Item = &str> {
+        self.settings.members.iter().map(|member| member.member.as_str())
+    }
+
     /// Healthy unless it never saw the records, or alone lost the state
     /// service: in an outage that all share, other nodes are no better.
     pub fn healthy(&self) -> bool {
@@ -207,7 +213,7 @@
             return false;
         }
         self.state_ok()
-            || !self.peers.any(self.settings.leader_lease(), |heartbeat| heartbeat.state_ok)
+            || !self.peers.any_recent(self.settings.leader_lease(), |heartbeat| heartbeat.state_ok)
     }
 
     fn state_ok(&self) -> bool {
@@ -272,7 +278,7 @@
         let lately = self.settings.heartbeat_interval() * 2;
         let told =
             lock(&self.heartbeat_rejected_elsewhere_at).is_some_and(|at| at.elapsed() < lately);
-        silent && (told || self.peers.any(lately, |heartbeat| heartbeat.rejected_heartbeats))
+        silent && (told || self.peers.any_recent(lately, |heartbeat| heartbeat.rejected_heartbeats))
     }
 
     fn with_leader<T>(&self, version: u64, work: impl FnOnce(&mut Leader) -> T) -> Option<T> {
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -74,7 +74,7 @@
         // goes on to the next controller, and finds the successor.
         let knows_leader = heartbeat.token >= lead.token;
         let lately = self.settings.leader_lease();
-        let unreachable = knows_leader && self.peers.lost_workers(&lead.member, lately);
+        let unreachable = knows_leader && self.peers.reported_lost_workers(&lead.member, lately);
         (!unreachable && lead.member != self.settings.member).then(|| lead.member.clone())
     }
 
@@ -188,8 +188,7 @@
 
     /// The moment up to which every cancellation that was told is known here.
     pub(super) fn cancellations_known_until(&self) -> Option<Instant> {
-        let members = self.settings.members.iter().map(|m| m.member.as_str());
-        lock(&self.peers.known_cancellations).of(members)
+        lock(&self.peers.known_cancellations).of(self.other_members())
     }
 
     fn step_down(&self, term: &mut Option<Term>) {
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -1,5 +1,13 @@
-use super::*;
-use crate::{protocol::CancellationNotice, settings::MIN_NOTICED_CANCELLATIONS};
+use std::time::Duration;
+
+use super::{
+    frames::{FEATURES_SECTION, WORKER_CONTACT_SECTION},
+    *,
+};
+use crate::{
+    protocol::{CancellationNotice, ControllerHeartbeat, Features, WorkerContact},
+    settings::MIN_NOTICED_CANCELLATIONS,
+};
 
 fn heartbeat() -> ControllerHeartbeat {
     ControllerHeartbeat {
@@ -59,7 +67,7 @@
         let heartbeat = ControllerHeartbeat { cancellations: Some(told), ..heartbeat() };
         let frame = encode(Message::new(heartbeat, limit));
         assert!(frame.len() < limit, "{} of {limit}", frame.len());
-        assert!(noticed_cancellations_of(limit) >= noticed);
+        assert!(max_cancellations_per_frame(limit) >= noticed);
     }
 }
 
@@ -70,13 +78,13 @@
     let limit = frame_limit_for(4_400);
     let read = decode(&encode(Message::new(heartbeat(), limit))).expect("a message");
     assert_eq!(read.frame_limit, limit);
-    peers.note_frame_limit("m-1", read.frame_limit);
+    peers.record_frame_limit("m-1", read.frame_limit);
     assert_eq!(peers.frame_limit("m-1"), limit);
     // It came back with other settings, or as an older version.
     let read = decode(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT))).expect("a message");
-    peers.note_frame_limit("m-1", read.frame_limit);
+    peers.record_frame_limit("m-1", read.frame_limit);
     assert_eq!(peers.frame_limit("m-1"), MIN_FRAME_LIMIT);
-    assert!(noticed_cancellations_of(MIN_FRAME_LIMIT) >= MIN_NOTICED_CANCELLATIONS);
+    assert!(max_cancellations_per_frame(MIN_FRAME_LIMIT) >= MIN_NOTICED_CANCELLATIONS);
 }
 
 /// Frames as the version before `Features` wrote them, byte for byte.
@@ -97,23 +105,19 @@
 #[test]
 fn the_version_before_finds_its_own_sections_unchanged() {
     let mut frame = sections(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT)));
-    frame.retain(|(kind, _)| *kind != FEATURES);
+    frame.retain(|(kind, _)| *kind != FEATURES_SECTION);
     assert_eq!(bitcode::encode(&frame), FRAME_OF_THE_VERSION_BEFORE);
 }
 
 #[test]
 fn only_a_word_from_every_member_ends_the_time_of_older_versions() {
-    let member = |name: &str| Member {
-        member: name.into(),
-        endpoint: "127.0.0.1:9".parse().expect("an address"),
-    };
-    let members = [member("m-1"), member("m-2")];
+    let members = ["m-1", "m-2"];
     let peers = Peers::new(Vec::new(), Duration::from_secs(3), 1);
-    peers.note_features("m-1", OWN_FEATURES);
-    peers.note_features("m-2", Features::default());
-    assert!(!peers.all_know_small_pages(&members));
-    peers.note_features("m-2", OWN_FEATURES);
-    assert!(peers.all_know_small_pages(&members));
+    peers.record_features("m-1", OWN_FEATURES);
+    peers.record_features("m-2", Features::default());
+    assert!(!peers.all_support_small_pages(members));
+    peers.record_features("m-2", OWN_FEATURES);
+    assert!(peers.all_support_small_pages(members));
 }
 
 #[test]
@@ -127,8 +131,8 @@
         };
         let read = decode(&encode(said.clone())).expect("a message");
         assert_eq!(read, said);
-        peers.note_worker_contact("m-1", read.worker_contact);
-        assert_eq!(peers.lost_workers("m-1", lately), lost);
+        peers.record_worker_contact("m-1", read.worker_contact);
+        assert_eq!(peers.reported_lost_workers("m-1", lately), lost);
     }
 }
 
@@ -138,6 +142,6 @@
     let plain = sections(&encode(said.clone()));
     let lost = Message { worker_contact: WorkerContact { lost: true }, ..said };
     let mut with_it = sections(&encode(lost));
-    assert_eq!(with_it.pop().map(|(kind, _)| kind), Some(WORKER_CONTACT));
+    assert_eq!(with_it.pop().map(|(kind, _)| kind), Some(WORKER_CONTACT_SECTION));
     assert_eq!(with_it, plain);
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -191,7 +191,7 @@
     let fast = settings("write_rps = 60.0", "write_rps = 600.0");
     // Two leader leases of 11 / 3 s, which others may use for cancellations alone.
     assert_eq!(fast.noticed_cancellations(), 4400);
-    assert!(crate::peers::noticed_cancellations_of(fast.frame_limit()) >= 4400);
+    assert!(crate::peers::max_cancellations_per_frame(fast.frame_limit()) >= 4400);
     let large = settings("fd_limit = 600", "fd_limit = 9000");
     assert!(large.listen_backlog() > 4000, "{}", large.listen_backlog());
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -136,7 +136,7 @@
 /// Waits until heartbeats are due, or a node wants them to leave at once.
 async fn wait_for_heartbeats(nodes: &[Option<(Arc<Node>, CancellationToken)>], most: Duration) {
     let urgent = nodes.iter().flatten().map(|(node, _)| {
-        let mut urgent = node.peers.urgent_heartbeats();
+        let mut urgent = node.peers.immediate_heartbeats();
         Box::pin(async move { urgent.changed().await })
     });
     let urgent: Vec<_> = urgent.collect();
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -614,7 +614,7 @@
     let stop = CancellationToken::new();
     let listening = tokio::spawn(peers::listen(node.clone(), listener, stop.clone()));
     let mut unfinished = Vec::new();
-    for _ in 0..peers::most_links(node.settings.members.len()) {
+    for _ in 0..peers::max_links(node.settings.members.len()) {
         let mut link = TcpStream::connect(address).await.expect("connected");
         // The length of a frame, and none of it.
         link.write_all(&1024_u32.to_be_bytes()).await.expect("sent");
@@ -626,7 +626,8 @@
     let mut link = TcpStream::connect(address).await.expect("the system takes it");
     link.write_all(&(frame.len() as u32).to_be_bytes()).await.expect("sent");
     link.write_all(&frame).await.expect("sent");
-    let heard = || node.peers.any(Duration::from_secs(60), |heartbeat| heartbeat.member == "m-9");
+    let heard =
+        || node.peers.any_recent(Duration::from_secs(60), |heartbeat| heartbeat.member == "m-9");
     sleep(Duration::from_millis(300)).await;
     assert!(!heard(), "one link too many is heard");
     unfinished.pop();
