--- a/crates/stonewheel-protocol/src/controllers.rs
+++ b/crates/stonewheel-protocol/src/controllers.rs
@@ -1,16 +1,25 @@
 //! Between controllers, in bitcode, which doesn't describe itself: a struct here
-//! never changes, and new facts get a section of their own (`peers.rs`).
+//! never changes, and new facts get a section of their own (`peers/frames.rs`).
+
+/// The identity of a controller heartbeat. The two integers are fixed on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
+pub struct HeartbeatId {
+    /// The process that sends it, drawn at each start.
+    pub incarnation: u64,
+    /// It only rises within an incarnation.
+    pub sequence: u64,
+}
 
 /// What a controller tells the others about itself, several times per worker
 /// lease. It carries no authority: only the state service does.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct ControllerHeartbeat {
     pub member: String,
-    /// Which process says this, and its how manieth heartbeat it is.
-    pub id: (u64, u64),
-    /// The latest heartbeat that this node heard from the receiver as a leader:
-    /// it answers no reports of workers for a while after that.
-    pub acknowledged: Option<(u64, u64)>,
+    /// The identity of this heartbeat.
+    pub id: HeartbeatId,
+    /// The latest heartbeat that this node received from the receiver as a leader:
+    /// it answers no worker heartbeats for a while after that.
+    pub acknowledged: Option<HeartbeatId>,
     pub leads: bool,
     /// The highest fencing token this node has seen anywhere.
     pub token: u64,
@@ -22,7 +31,7 @@
     /// The revision of this node's watch cache: it knows every cancellation up to it.
     pub revision: u64,
     /// What this node may have told users since the receiver's watch cache. It
-    /// travels in a section of its own (`peers.rs`).
+    /// travels in a section of its own (`peers/frames.rs`).
     pub cancellations: Option<CancellationNotice>,
 }
 
@@ -35,7 +44,7 @@
     pub small_pages: bool,
 }
 
-/// What a leader says of its workers, in a section of its own (`peers.rs`).
+/// What a leader says of its workers, in a section of its own (`peers/frames.rs`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct WorkerContact {
     /// The sender leads and has lately heard hardly any of its workers.
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -88,7 +88,7 @@
 fn tick(node: &Node, version: u64) -> Option<Due> {
     let now = Instant::now();
     let paused = node.in_doubt();
-    let alone = lock(&node.peers.abstentions).alone_since(now);
+    let alone = lock(&node.peers.abstentions).sole_renewer_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
     let spare = node.writer.spare();
     let small_pages = node.peers.all_support_small_pages(node.other_members());
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -5,6 +5,7 @@
 
 use super::Node;
 use crate::{
+    lease_renewal::OutgoingHeartbeat,
     peers::{LinkTiming, Message, MessageHandler, max_cancellations_per_frame},
     protocol::{CancellationNotice, ControllerHeartbeat, JobState, WorkerContact, Write},
     state::lock,
@@ -61,12 +62,14 @@
     }
 
     pub fn controller_heartbeat(&self, to: &str) -> ControllerHeartbeat {
-        let (id, acknowledged) = lock(&self.peers.abstentions).beat(to, Instant::now());
+        let OutgoingHeartbeat { id, acknowledged } =
+            lock(&self.peers.abstentions).next_heartbeat(to, Instant::now());
         let (leads, state_ok) = (lock(&self.term).is_some(), self.state_ok());
         let watch_cache = lock(&self.watch_cache);
         // A watch cache that was never read knows nothing of what a former process
         // of this member told.
-        let told = acknowledged.filter(|_| watch_cache.loaded).map(|(_, since)| {
+        let told = acknowledged.filter(|_| watch_cache.loaded).map(|acknowledged| {
+            let since = acknowledged.revision;
             // More than the receiver can hear would cost the whole frame.
             let most = self.settings.noticed_cancellations();
             let most = most.min(max_cancellations_per_frame(self.peers.frame_limit(to)));
@@ -76,7 +79,7 @@
         ControllerHeartbeat {
             member: self.settings.member.clone(),
             id,
-            acknowledged: acknowledged.map(|(id, _)| id),
+            acknowledged: acknowledged.map(|acknowledged| acknowledged.id),
             leads,
             token: watch_cache.token.1,
             state_ok,
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -82,7 +82,7 @@
     /// Notes how a reading went that was asked for at `asked`.
     fn note_state(&self, asked: Instant, ok: bool) {
         if ok {
-            lock(&self.peers.known_cancellations).read(asked);
+            lock(&self.peers.cancellation_watermarks).record_read(asked);
         }
         *lock(&self.state_seen) = (Instant::now(), ok);
     }
@@ -163,7 +163,7 @@
         match node.state.follow(KEY_PREFIX, revision, wait).await {
             Ok(events) => {
                 node.take_events(events);
-                lock(&node.peers.known_cancellations).read(asked);
+                lock(&node.peers.cancellation_watermarks).record_read(asked);
                 tokio::time::sleep(spacing.saturating_sub(asked.elapsed())).await;
             }
             Err(StateError::TooOld) => lock(&node.watch_cache).loaded = false,
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -131,7 +131,7 @@
         now: Instant,
     ) -> Option<HeartbeatReply> {
         let limit = self.settings.renewal_limit();
-        let until = match lock(&self.peers.known_cancellations).last_read() {
+        let until = match lock(&self.peers.cancellation_watermarks).last_read_at() {
             Some(at) => at + limit,
             // This process knows nothing of the time before it: half of the
             // limit is left for that.
@@ -142,7 +142,7 @@
             && now < until
             && heartbeat.token > 0
             && lock(&self.term).is_none()
-            && lock(&self.peers.abstentions).free(now);
+            && lock(&self.peers.abstentions).may_renew(now);
         if !may {
             renewed_workers.clear();
             return None;
@@ -188,7 +188,7 @@
 
     /// The moment up to which every cancellation that was told is known here.
     pub(super) fn cancellations_known_until(&self) -> Option<Instant> {
-        lock(&self.peers.known_cancellations).of(self.other_members())
+        lock(&self.peers.cancellation_watermarks).known_until(self.other_members())
     }
 
     fn step_down(&self, term: &mut Option<Term>) {
--- a/src/peers/peer_status.rs
+++ b/src/peers/peer_status.rs
@@ -9,7 +9,7 @@
 
 use super::frames::MIN_FRAME_LIMIT;
 use crate::{
-    lease_renewal::{KnownCancellations, RenewalAbstentions},
+    lease_renewal::{CancellationWatermarks, RenewalAbstentions},
     protocol::{ControllerHeartbeat, Features, WorkerContact},
     state::lock,
 };
@@ -50,7 +50,7 @@
     /// Who abstains from renewing workers' leases, this controller and the others.
     pub abstentions: Mutex<RenewalAbstentions>,
     /// Up to when the cancellations that each controller may have confirmed are known.
-    pub known_cancellations: Mutex<KnownCancellations>,
+    pub cancellation_watermarks: Mutex<CancellationWatermarks>,
     /// Changed when heartbeats are to be sent at once.
     immediate_heartbeats: watch::Sender<()>,
 }
@@ -64,7 +64,7 @@
         Self {
             statuses: Mutex::default(),
             abstentions: Mutex::new(abstentions),
-            known_cancellations: Mutex::default(),
+            cancellation_watermarks: Mutex::default(),
             immediate_heartbeats: watch::Sender::new(()),
         }
     }
@@ -74,7 +74,7 @@
     pub fn record_heartbeat(&self, heartbeat: ControllerHeartbeat, revision: u64) {
         let received_at = Instant::now();
         let leads = heartbeat.leads.then_some(heartbeat.revision);
-        let sent = lock(&self.abstentions).heard_from(
+        let sent = lock(&self.abstentions).receive(
             &heartbeat.member,
             heartbeat.id,
             leads,
@@ -84,7 +84,7 @@
         let notice = heartbeat.cancellations.as_ref();
         let is_complete = notice.is_some_and(|notice| notice.all && notice.since <= revision);
         if let Some(sent) = sent.filter(|_| is_complete) {
-            lock(&self.known_cancellations).heard_all(&heartbeat.member, sent);
+            lock(&self.cancellation_watermarks).record_complete_notice(&heartbeat.member, sent);
         }
         let member = heartbeat.member.clone();
         self.update(&member, |status| {
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -5,15 +5,15 @@
     *,
 };
 use crate::{
-    protocol::{CancellationNotice, ControllerHeartbeat, Features, WorkerContact},
+    protocol::{CancellationNotice, ControllerHeartbeat, Features, HeartbeatId, WorkerContact},
     settings::MIN_NOTICED_CANCELLATIONS,
 };
 
 fn heartbeat() -> ControllerHeartbeat {
     ControllerHeartbeat {
         member: "m-1".into(),
-        id: (7, 8),
-        acknowledged: Some((5, 6)),
+        id: HeartbeatId { incarnation: 7, sequence: 8 },
+        acknowledged: Some(HeartbeatId { incarnation: 5, sequence: 6 }),
         leads: false,
         token: 3,
         state_ok: true,
--- a/tests/link_samples.rs
+++ b/tests/link_samples.rs
@@ -3,7 +3,7 @@
 
 use stonewheel::{
     peers::{MIN_FRAME_LIMIT, Message, decode, encode},
-    protocol::{CancellationNotice, ControllerHeartbeat, Features, WorkerContact},
+    protocol::{CancellationNotice, ControllerHeartbeat, Features, HeartbeatId, WorkerContact},
 };
 
 /// Sections 1 to 5: heartbeat, cancellations, features, frame limit, worker contact.
@@ -18,8 +18,8 @@
     Message {
         heartbeat: ControllerHeartbeat {
             member: "m-1".into(),
-            id: (7, 8),
-            acknowledged: Some((5, 6)),
+            id: HeartbeatId { incarnation: 7, sequence: 8 },
+            acknowledged: Some(HeartbeatId { incarnation: 5, sequence: 6 }),
             leads: true,
             token: 1_048_577,
             state_ok: true,
