--- a/src/election.rs
+++ b/src/election.rs
@@ -1,178 +1,282 @@
-//! Who leads: a key attached to a state lease, and a counter that never is.
+//! Leader election: a key attached to a lease of the state service, and a counter
+//! that is never attached to one.
 //!
-//! One transaction conditioned on both takes the key and raises the counter,
-//! whose range of fencing tokens is the term's (`fencing.rs`). All writes of that leader are conditioned on
-//! the key's revision, so what a deposed leader left under way fails.
+//! One transaction conditioned on both takes the key and raises the counter, whose
+//! range of fencing tokens is the term's (`fencing.rs`). All writes of that leader
+//! are conditioned on the key's version, so what a superseded leader left under way
+//! fails.
 
-use std::sync::Arc;
+use std::sync::{Arc, Mutex};
 
-use tokio::time::{Duration, Instant};
+use tokio::{
+    sync::Notify,
+    time::{Duration, Instant, sleep, timeout, timeout_at},
+};
 use tokio_util::sync::CancellationToken;
 use tracing::{info, warn};
 
 use crate::{
     fencing::TermTokens,
-    node::Node,
     protocol::{Condition, Transaction, Write},
-    state::{StateError, lock},
-    store::{self, LEADER_KEY, LeaderRecord, TOKEN_KEY},
+    replies::Unavailable,
+    settings::Settings,
+    state::{Budget, StateApi, StateError, lock},
+    store::{self, LEADER_KEY, LeaderRecord, TOKEN_KEY, WatchCache},
 };
 
-/// Stands for election whenever nobody leads, and leads when elected.
-pub async fn run(node: Arc<Node>, stop: CancellationToken) {
+/// The version of a key that doesn't exist.
+const ABSENT: u64 = 0;
+
+/// What an election needs of the controller that stands in it. `version` is the
+/// version of the leader record, which identifies a term.
+pub trait Candidate: Send + Sync + 'static {
+    /// The controller's settings.
+    fn settings(&self) -> &Settings;
+    /// The incarnation of this process.
+    fn incarnation(&self) -> u64;
+    /// The client of the state service.
+    fn state(&self) -> &dyn StateApi;
+    /// The budget of requests to the state service.
+    fn requests(&self) -> &Budget;
+    /// The records in memory.
+    fn watch_cache(&self) -> &Mutex<WatchCache>;
+    /// Notified whenever the leader record or this controller's term may have changed.
+    fn leadership_changed(&self) -> &Notify;
+
+    /// A random share of `max`, so that candidates don't act at the same instant.
+    fn jitter(&self, max: Duration) -> Duration;
+    /// Applies committed writes to the watch cache.
+    fn apply_committed(&self, writes: &[Write], revision: u64);
+    /// Waits until the watch cache has reached a revision read after this call.
+    fn refresh(&self) -> impl Future<Output = Result<(), Unavailable>> + Send;
+
+    /// Whether workers reach other controllers, but not this one.
+    fn workers_reach_only_others(&self) -> bool;
+    /// Whether the controller that workers try after this one is silent.
+    fn next_controller_is_silent(&self) -> bool;
+    /// Lets an unreachable leader know through the state service that workers live.
+    fn announce_rejected_heartbeats(&self) -> impl Future<Output = ()> + Send;
+
+    /// A term begins.
+    fn begin_term(&self, version: u64, tokens: TermTokens);
+    /// Does a leader's work until the term ends or `stop` is cancelled.
+    fn run_term(
+        self: Arc<Self>,
+        version: u64,
+        stop: CancellationToken,
+    ) -> impl Future<Output = ()> + Send + 'static;
+    /// The leader lease was renewed by a request that was made at this moment.
+    fn record_renewal(&self, version: u64, requested_at: Instant);
+    /// Whether this controller still holds the term, as far as it knows.
+    fn holds_term(&self, version: u64) -> bool;
+    /// Whether the workers live, but their heartbeats don't reach this leader.
+    fn is_isolated_from_workers(&self, version: u64) -> bool;
+    /// The term is over.
+    fn end_term(&self, version: u64);
+}
+
+/// Why a term ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TermEnd {
+    LeaseExpired,
+    Superseded,
+    IsolatedFromWorkers,
+}
+
+/// Stands for election whenever nobody leads, and leads when elected, until `stop`
+/// is cancelled.
+pub async fn run<C: Candidate>(candidate: Arc<C>, stop: CancellationToken) {
     tokio::select! {
-        () = stand(&node, &stop) => {}
+        () = run_elections(&candidate, &stop) => {}
         () = stop.cancelled() => {}
     }
 }
 
-async fn stand(node: &Arc<Node>, stop: &CancellationToken) {
-    let ttl = node.settings.leader_lease();
+async fn run_elections<C: Candidate>(candidate: &Arc<C>, stop: &CancellationToken) {
+    let settings = candidate.settings();
+    let lease_duration = settings.leader_lease();
     let mut hold_off: Option<Instant> = None;
     loop {
-        let seen = {
-            let watch_cache = lock(&node.watch_cache);
+        let leader = {
+            let watch_cache = lock(candidate.watch_cache());
             watch_cache.loaded.then(|| watch_cache.lead.clone())
         };
-        match seen {
-            Some(Some((version, lead))) if node.is_me(&lead) => {
-                let lost_workers = lead_on(node, version, &lead, stop).await;
-                // Another node may hear the workers better.
-                hold_off = lost_workers.then(|| Instant::now() + node.settings.worker_lease());
+        match leader {
+            Some(Some((version, record))) if is_own(&**candidate, &record) => {
+                let end = lead(candidate, version, &record, stop).await;
+                // Workers may reach another controller better.
+                hold_off = (end == TermEnd::IsolatedFromWorkers)
+                    .then(|| Instant::now() + settings.worker_lease());
             }
-            // Our former self held it: nobody else can be using that lease.
-            Some(Some((version, lead))) if lead.member == node.settings.member => {
-                attempt(node, version, ttl).await;
+            // A former process of this member held it: nobody else can be using
+            // that lease.
+            Some(Some((version, record))) if record.member == settings.member => {
+                acquire(&**candidate, version).await;
             }
             Some(None) if hold_off.is_none_or(|until| until <= Instant::now()) => {
-                // Not all at the same instant: the first to ask wins.
-                tokio::time::sleep(defers_for(node, ttl) + node.jitter(ttl / 32)).await;
-                if lock(&node.watch_cache).lead.is_none() {
-                    attempt(node, 0, ttl).await;
+                // Not all at the same instant: the first request wins.
+                let jitter = candidate.jitter(lease_duration / 32);
+                sleep(deference(&**candidate) + jitter).await;
+                if lock(candidate.watch_cache()).lead.is_none() {
+                    acquire(&**candidate, ABSENT).await;
                 }
             }
-            // A change wakes us; the timer is for a hold-off that ends.
+            // A change wakes this task; the timer is for a hold-off that ends.
             _ => {
-                let _ = tokio::time::timeout(ttl / 4, node.lead_changed.notified()).await;
-                node.announce_rejected_heartbeats().await;
+                let _ =
+                    timeout(lease_duration / 4, candidate.leadership_changed().notified()).await;
+                candidate.announce_rejected_heartbeats().await;
             }
         }
     }
 }
 
+/// Whether this process wrote the leader record.
+fn is_own<C: Candidate>(candidate: &C, record: &LeaderRecord) -> bool {
+    record.member == candidate.settings().member && record.incarnation == candidate.incarnation()
+}
+
 /// For how long a candidate lets others go first.
-fn defers_for(node: &Node, ttl: Duration) -> Duration {
-    // Who hears no workers while others do may have lost them as its predecessor
-    // did.
-    let hears_less = if node.hears_less() { ttl / 4 } else { Duration::ZERO };
+fn deference<C: Candidate>(candidate: &C) -> Duration {
+    let lease_duration = candidate.settings().leader_lease();
+    // Workers that reach other controllers only may be lost to this one as they
+    // were to its predecessor.
+    let unreachable =
+        if candidate.workers_reach_only_others() { lease_duration / 4 } else { Duration::ZERO };
     // As a leader it could not hand the workers on in time.
-    let poor_successor = if node.next_controller_is_silent() { ttl / 8 } else { Duration::ZERO };
-    hears_less + poor_successor
+    let poor_successor =
+        if candidate.next_controller_is_silent() { lease_duration / 8 } else { Duration::ZERO };
+    unreachable + poor_successor
 }
 
-/// One try to take the key from `version` (0: free).
-async fn attempt(node: &Arc<Node>, version: u64, ttl: Duration) {
-    let (token_version, token) = lock(&node.watch_cache).token;
-    node.requests.take(1.0).await;
-    let lease = match node.state.lease(ttl).await {
+/// One attempt to replace the leader record of this version by an own one.
+async fn acquire<C: Candidate>(candidate: &C, version: u64) {
+    let lease_duration = candidate.settings().leader_lease();
+    let (token_version, token) = lock(candidate.watch_cache()).token;
+    candidate.requests().take(1.0).await;
+    let lease = match candidate.state().lease(lease_duration).await {
         Ok(lease) => lease,
-        Err(_) => return tokio::time::sleep(ttl / 8).await,
+        Err(_) => return sleep(lease_duration / 8).await,
     };
     let tokens = TermTokens::starting_at(token.saturating_add(1));
-    let lead = LeaderRecord {
-        member: node.settings.member.clone(),
-        incarnation: node.incarnation,
+    let record = LeaderRecord {
+        member: candidate.settings().member.clone(),
+        incarnation: candidate.incarnation(),
         token: tokens.first(),
         lease,
     };
-    let (Ok(lead_value), Ok(token_value)) = (store::value(&lead), store::value(&tokens.last()))
-    else {
-        return;
-    };
-    let txn = Transaction {
-        conditions: vec![
-            Condition { key: LEADER_KEY.into(), version },
-            Condition { key: TOKEN_KEY.into(), version: token_version },
-        ],
-        writes: vec![
-            Write::Put { key: LEADER_KEY.into(), value: lead_value, lease: Some(lease) },
-            Write::Put { key: TOKEN_KEY.into(), value: token_value, lease: None },
-        ],
-    };
-    node.requests.take(1.0).await;
-    match node.state.multi(&txn).await {
-        Ok(revision) => node.note_writes(&txn.writes, revision),
+    let Ok(writes) = leadership_writes(&record, &tokens) else { return };
+    let conditions = vec![
+        Condition { key: LEADER_KEY.into(), version },
+        Condition { key: TOKEN_KEY.into(), version: token_version },
+    ];
+    let transaction = Transaction { conditions, writes };
+    candidate.requests().take(1.0).await;
+    match candidate.state().multi(&transaction).await {
+        Ok(revision) => candidate.apply_committed(&transaction.writes, revision),
         Err(error) => {
-            // Lost, or unsure: the watch cache tells who leads. An unsure try of
-            // ours that succeeded shows up there under our incarnation.
+            // Lost, or unsure: the watch cache tells who leads. An unsure attempt
+            // of this process that succeeded appears there with its incarnation.
             if matches!(error, StateError::Refused(_) | StateError::Rejected(_)) {
-                tokio::time::sleep(ttl / 8).await;
+                sleep(lease_duration / 8).await;
             }
-            let _ = node.fresh().await;
+            let _ = candidate.refresh().await;
         }
     }
 }
 
-/// Leads until the key is lost. True if it was given up for want of workers.
-async fn lead_on(
-    node: &Arc<Node>,
+fn leadership_writes(
+    record: &LeaderRecord,
+    tokens: &TermTokens,
+) -> Result<Vec<Write>, serde_json::Error> {
+    let leader = store::value(record)?;
+    let last_token = store::value(&tokens.last())?;
+    Ok(vec![
+        Write::Put { key: LEADER_KEY.into(), value: leader, lease: Some(record.lease) },
+        Write::Put { key: TOKEN_KEY.into(), value: last_token, lease: None },
+    ])
+}
+
+/// Leads until the term ends.
+async fn lead<C: Candidate>(
+    candidate: &Arc<C>,
     version: u64,
-    lead: &LeaderRecord,
+    record: &LeaderRecord,
     process: &CancellationToken,
-) -> bool {
-    let ttl = node.settings.leader_lease();
-    info!(token = lead.token, "elected");
-    // The renewal that brought the key counts from before it was asked for,
-    // which is unknown here; the first renewal follows at once.
-    node.begin_term(version, TermTokens::starting_at(lead.token));
-    // The duty ends with the term, and with the process if that ends first.
+) -> TermEnd {
+    info!(token = record.token, "elected");
+    // The renewal that brought the key counts from before its request, a moment
+    // that is unknown here; the first renewal follows at once.
+    candidate.begin_term(version, TermTokens::starting_at(record.token));
+    // The leader's work ends with the term, and with the process if that ends first.
     let stop = process.child_token();
-    let duty = tokio::spawn(crate::node::run_term(node.clone(), version, stop.clone()));
-    let mut is_isolated_from_workers = false;
+    let work = tokio::spawn(candidate.clone().run_term(version, stop.clone()));
+    let end = renew_until_end(&**candidate, version, record).await;
+    info!(token = record.token, reason = ?end, "leadership ended");
+    candidate.end_term(version);
+    stop.cancel();
+    let _ = work.await;
+    release(&**candidate, version, record).await;
+    end
+}
+
+/// Renews the leader lease until the term ends.
+async fn renew_until_end<C: Candidate>(
+    candidate: &C,
+    version: u64,
+    record: &LeaderRecord,
+) -> TermEnd {
+    let renewal_interval = candidate.settings().leader_lease() / 3;
     loop {
-        let asked = Instant::now();
-        node.requests.take(1.0).await;
-        match node.state.touch(lead.lease).await {
-            Ok(()) => node.renewed(version, asked),
+        let requested_at = Instant::now();
+        candidate.requests().take(1.0).await;
+        match candidate.state().touch(record.lease).await {
+            Ok(()) => candidate.record_renewal(version, requested_at),
             Err(StateError::NoLease) => {
-                warn!(token = lead.token, "the leader's lease has ended");
-                break;
+                warn!(token = record.token, "leader lease expired");
+                return TermEnd::LeaseExpired;
             }
-            Err(error) => warn!(%error, "the leader's lease could not be renewed"),
+            Err(error) => warn!(token = record.token, %error, "leader lease not renewed"),
         }
-        let next = asked + ttl / 3;
-        let ended = loop {
-            if !node.leads(version) {
-                break true;
-            }
-            if node.is_isolated_from_workers(version) {
-                is_isolated_from_workers = true;
-                break true;
-            }
-            let wake = tokio::time::timeout_at(next, node.lead_changed.notified()).await;
-            if wake.is_err() {
-                break false;
-            }
-        };
-        if ended {
-            break;
+        let next_renewal = requested_at + renewal_interval;
+        if let Some(end) = term_end_before(candidate, version, next_renewal).await {
+            return end;
         }
     }
-    info!(token = lead.token, is_isolated_from_workers, "leads no more");
-    node.end_term(version);
-    stop.cancel();
-    let _ = duty.await;
-    // Giving the lease back lets a successor start at once. After a loss this
-    // frees nothing that is still ours.
-    let _ = node.state.drop_lease(lead.lease).await;
-    // The key must not look held by us when standing again.
-    while lock(&node.watch_cache).lead.as_ref().is_some_and(|(v, _)| *v == version) {
-        if node.fresh().await.is_err() {
-            tokio::time::sleep(ttl / 8).await;
-            if node.state.touch(lead.lease).await.is_ok() {
-                let _ = node.state.drop_lease(lead.lease).await;
+}
+
+/// Waits for the term's end. None if it lasts until the deadline.
+async fn term_end_before<C: Candidate>(
+    candidate: &C,
+    version: u64,
+    deadline: Instant,
+) -> Option<TermEnd> {
+    loop {
+        if !candidate.holds_term(version) {
+            return Some(TermEnd::Superseded);
+        }
+        if candidate.is_isolated_from_workers(version) {
+            return Some(TermEnd::IsolatedFromWorkers);
+        }
+        let changed = timeout_at(deadline, candidate.leadership_changed().notified()).await;
+        if changed.is_err() {
+            return None;
+        }
+    }
+}
+
+/// Gives the lease back, and waits until the leader record is gone.
+async fn release<C: Candidate>(candidate: &C, version: u64, record: &LeaderRecord) {
+    // It lets a successor start at once. After a loss this frees nothing that is
+    // still this leader's.
+    let _ = candidate.state().drop_lease(record.lease).await;
+    // The record must not look like an own one at the next election.
+    while lock(candidate.watch_cache()).lead.as_ref().is_some_and(|(v, _)| *v == version) {
+        if candidate.refresh().await.is_err() {
+            sleep(candidate.settings().leader_lease() / 8).await;
+            if candidate.state().touch(record.lease).await.is_ok() {
+                let _ = candidate.state().drop_lease(record.lease).await;
             }
         }
     }
-    is_isolated_from_workers
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod node;
 pub mod peers;
 pub mod replica_jobs;
+pub mod replies;
 pub mod rollout;
 pub mod scheduler;
 pub mod settings;
--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -48,7 +48,7 @@
         let marked = Write::Put { key: marker.to_owned(), value: mark, lease: None };
         match self.writer.commit(conditions, vec![accept.clone(), marked]).await {
             Ok(revision) => {
-                self.note_writes(&[accept], revision);
+                self.apply_committed(&[accept], revision);
                 info!(job = %spec.id, class = %spec.class, "accepted, of our own");
                 Ok(InternalJobReply::Done)
             }
@@ -86,7 +86,7 @@
         let Some(marker_version) = self.marker_version(marker).await? else {
             return Ok(InternalJobReply::Done);
         };
-        self.fresh().await?;
+        self.refresh().await?;
         let mut conditions =
             vec![fence.clone(), Condition { key: marker.to_owned(), version: marker_version }];
         let unmark = Write::Delete { key: marker.to_owned() };
@@ -108,7 +108,7 @@
         writes.push(unmark);
         match self.writer.commit(conditions, writes).await {
             Ok(revision) => {
-                self.note_writes(&ends, revision);
+                self.apply_committed(&ends, revision);
                 info!(job = id, "withdrawn, of our own");
                 Ok(InternalJobReply::Done)
             }
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -37,7 +37,7 @@
 async fn lead(node: &Arc<Node>, version: u64, work: &TaskTracker, stop: &CancellationToken) {
     let heartbeat_interval = node.settings.heartbeat_interval();
     // The watch cache must hold every write of the former leaders.
-    while node.fresh().await.is_err() {
+    while node.refresh().await.is_err() {
         tokio::time::sleep(heartbeat_interval / 8).await;
     }
     if !take_over(node, version) {
@@ -151,7 +151,7 @@
         let result = node.writer.commit(commit.conditions.clone(), commit.writes.clone()).await;
         match result {
             Ok(revision) => {
-                node.note_writes(&commit.writes, revision);
+                node.apply_committed(&commit.writes, revision);
                 break settle(&node, version, commit.kind, true);
             }
             Err(StateError::Refused(_)) => tokio::time::sleep(pause).await,
@@ -164,7 +164,7 @@
             }
             Err(error) => {
                 debug!(%error, "a write is unsure or failed");
-                while node.fresh().await.is_err() {
+                while node.refresh().await.is_err() {
                     tokio::time::sleep(pause).await;
                 }
                 let stands = stands(&node, &commit.kind);
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether workers report to another controller, but not to this one.
-    pub fn hears_less(&self) -> bool {
+    pub fn workers_reach_only_others(&self) -> bool {
         !self.rejected_heartbeats()
             && self.peers.any_recent(self.settings.heartbeat_interval() * 2, |heartbeat| {
                 heartbeat.rejected_heartbeats
@@ -148,7 +148,7 @@
         if term.as_ref().is_some_and(|t| t.tokens.last() < heartbeat.token) {
             warn!(member = %heartbeat.member, token = heartbeat.token, "another controller leads");
             *term = None;
-            self.lead_changed.notify_one();
+            self.leadership_changed.notify_one();
         }
         let leads = term.is_some();
         drop(term);
@@ -158,7 +158,7 @@
         self.peers.record_heartbeat(heartbeat, revision);
         // Whether to give way is asked now, not with the next renewal.
         if leads && workers_live {
-            self.lead_changed.notify_one();
+            self.leadership_changed.notify_one();
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -5,6 +5,7 @@
 //! watch cache; `leading` carries out what a leader's duty decides, with `cloud_loop`
 //! for the cloud.
 
+mod candidate;
 mod cloud_loop;
 mod internal_jobs;
 mod leading;
@@ -20,7 +21,6 @@
 };
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
-use thiserror::Error;
 use tokio::{
     net::TcpListener,
     sync::{Notify, oneshot},
@@ -36,42 +36,16 @@
     fencing::TermTokens,
     http, peers,
     peers::Peers,
-    protocol::{JobId, JobStatus, MachineId, TaskCommand},
+    protocol::{JobId, MachineId},
     scheduler::Reservation,
     settings::Settings,
     state::{self, Budget, StateApi, Writer, lock},
-    store::{LeaderRecord, WatchCache},
+    store::WatchCache,
     worker_client::WorkerApi,
 };
 
+pub use crate::replies::{HeartbeatReply, Unavailable, UserReply};
 pub use internal_jobs::InternalJobReply;
-pub use leading::run_term;
-
-/// Why a request can't be answered now. All of these are worth a retry.
-#[derive(Clone, Copy, Debug, Error, PartialEq)]
-pub enum Unavailable {
-    #[error("the state service can't be reached")]
-    State,
-    #[error("the machine types are not known yet")]
-    Types,
-    #[error("the record of a job can't be read")]
-    Record,
-}
-
-#[derive(Debug, PartialEq)]
-pub enum UserReply {
-    Created(JobStatus),
-    Known(JobStatus),
-    Unknown,
-    Malformed(String),
-    Impossible(String),
-}
-
-#[derive(Debug, PartialEq)]
-pub enum HeartbeatReply {
-    Commands { token: u64, commands: Vec<TaskCommand> },
-    Redirect(Option<String>),
-}
 
 /// The leader's part of a node, while it leads.
 struct Term {
@@ -97,7 +71,7 @@
     pub watch_cache: Mutex<WatchCache>,
     pub peers: Peers,
     /// Notified whenever the leadership key or this node's term may have changed.
-    pub lead_changed: Notify,
+    pub leadership_changed: Notify,
     /// Drawn at each start, so that a node knows its former self from itself.
     pub incarnation: u64,
     rng: Mutex<StdRng>,
@@ -150,7 +124,7 @@
             )),
             peers: Peers::new(members, settings.renewal_abstention(), incarnation),
             settings,
-            lead_changed: Notify::new(),
+            leadership_changed: Notify::new(),
             incarnation,
             rng: Mutex::new(rng),
             writer,
@@ -223,15 +197,6 @@
 
     // Leadership.
 
-    /// A random share of `most`, so that nodes don't act at the same instant.
-    pub fn jitter(&self, most: Duration) -> Duration {
-        most.mul_f64(lock(&self.rng).random_range(0.0..1.0))
-    }
-
-    pub fn is_me(&self, lead: &LeaderRecord) -> bool {
-        lead.member == self.settings.member && lead.incarnation == self.incarnation
-    }
-
     pub fn begin_term(&self, version: u64, tokens: TermTokens) {
         lock(&self.peers.abstentions).begin_term();
         *lock(&self.term) = Some(Term {
@@ -257,15 +222,15 @@
         self.writer.set_write_rate(self.settings.share(limits.writes_per_s, false));
     }
 
-    pub fn renewed(&self, version: u64, asked: Instant) {
+    pub fn record_renewal(&self, version: u64, requested_at: Instant) {
         if let Some(term) = lock(&self.term).as_mut().filter(|t| t.version == version) {
-            term.renewed = asked;
+            term.renewed = requested_at;
             term.probed.clear();
         }
     }
 
     /// Whether this term still stands, as far as this node knows.
-    pub fn leads(&self, version: u64) -> bool {
+    pub fn holds_term(&self, version: u64) -> bool {
         let held = lock(&self.watch_cache).lead.as_ref().is_some_and(|(v, _)| *v == version);
         held && lock(&self.term).as_ref().is_some_and(|t| t.version == version)
     }
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -15,7 +15,7 @@
 
 impl Node {
     /// Notes committed writes at once, before the watch brings them.
-    pub fn note_writes(&self, writes: &[Write], revision: u64) {
+    pub fn apply_committed(&self, writes: &[Write], revision: u64) {
         let changes: Vec<Change> = {
             let mut watch_cache = lock(&self.watch_cache);
             let note = |write: &Write| match write {
@@ -32,7 +32,7 @@
             return;
         }
         if changes.contains(&Change::Leader) {
-            self.lead_changed.notify_one();
+            self.leadership_changed.notify_one();
         }
         if changes.contains(&Change::HeartbeatsRejected) {
             *lock(&self.heartbeat_rejected_elsewhere_at) = Some(Instant::now());
@@ -72,7 +72,7 @@
 
     /// Waits until the watch cache has reached a revision read after this call.
     /// All who wait share one read.
-    pub async fn fresh(&self) -> Result<(), Unavailable> {
+    pub async fn refresh(&self) -> Result<(), Unavailable> {
         let (done, answer) = oneshot::channel();
         lock(&self.readers).push(done);
         self.read_wanted.notify_one();
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -62,7 +62,7 @@
             let (conditions, all) = self.acceptance_conditions(&spec);
             match self.writer.commit(conditions, writes.clone()).await {
                 Ok(revision) => {
-                    self.note_writes(&writes, revision);
+                    self.apply_committed(&writes, revision);
                     let took_ms = asked.elapsed().as_millis();
                     info!(
                         job = %spec.id, class = %spec.class, team = %spec.team,
@@ -95,7 +95,7 @@
     /// Refuses a submission, unless the job was accepted elsewhere: then it
     /// must never be called impossible or malformed.
     async fn refuse(&self, id: &str, refusal: UserReply) -> Result<UserReply, Unavailable> {
-        self.fresh().await?;
+        self.refresh().await?;
         let known = lock(&self.watch_cache).status(id);
         Ok(known.map_or(refusal, UserReply::Known))
     }
@@ -104,7 +104,7 @@
     /// accepted is decided on a reading no older than the question.
     async fn unusable_dependency(&self, spec: &JobSpec) -> Result<Option<UserReply>, Unavailable> {
         if lock(&self.watch_cache).first_unknown(&spec.dependencies).is_some() {
-            self.fresh().await?;
+            self.refresh().await?;
         }
         let watch_cache = lock(&self.watch_cache);
         if spec.dependencies.iter().any(|id| watch_cache.unreadable.contains(id)) {
@@ -141,7 +141,7 @@
     /// already, with one that it depends on.
     async fn accepted(&self, spec: &JobSpec, covered: bool) -> Result<UserReply, Unavailable> {
         if !covered {
-            self.fresh().await?;
+            self.refresh().await?;
         }
         let cancelled = lock(&self.watch_cache).status(&spec.id).filter(is_final);
         let state = cancelled.map_or(JobState::Pending, |status| status.state);
@@ -176,7 +176,7 @@
         if let Some(status) = known.filter(is_final) {
             return Ok(UserReply::Known(status));
         }
-        self.fresh().await?;
+        self.refresh().await?;
         let watch_cache = lock(&self.watch_cache);
         match watch_cache.status(id) {
             Some(status) => Ok(UserReply::Known(status)),
@@ -204,7 +204,7 @@
         match self.writer.commit(conditions, writes.clone()).await {
             Ok(revision) => {
                 info!(job = id, "cancelled");
-                self.note_writes(&writes, revision);
+                self.apply_committed(&writes, revision);
                 let known = lock(&self.watch_cache).status(id);
                 known.map(UserReply::Known).ok_or(Unavailable::State)
             }
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -194,7 +194,7 @@
     fn step_down(&self, term: &mut Option<Term>) {
         if let Some(held) = term.take() {
             warn!(token = held.tokens.first(), "a worker has seen a higher token");
-            self.lead_changed.notify_one();
+            self.leadership_changed.notify_one();
         }
     }
 
