--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -11,6 +11,7 @@
 mod leading;
 mod links;
 mod records;
+mod requests;
 mod users;
 mod workers;
 
@@ -149,7 +150,8 @@
         stop: CancellationToken,
     ) {
         let duties = self.spawn_background_tasks(&stop);
-        duties.spawn(http::server::serve(self.clone(), public, stop.clone()));
+        let limits = requests::server_limits(&self.settings);
+        duties.spawn(http::server::serve(self.clone(), limits, public, stop.clone()));
         duties.spawn(peers::listen(self.clone(), internal, stop.clone()));
         for member in &self.settings.members {
             let (name, endpoint) = (member.member.clone(), member.endpoint);
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -14,7 +14,7 @@
 use hyper_util::service::TowerToHyperService;
 use serde_json::json;
 use stonewheel::{
-    http::server::routes,
+    http::routes,
     node::{HeartbeatReply, Node, Unavailable, UserReply},
     peers,
     protocol::{Condition, JobState, WorkerHeartbeat, Write},
