--- a/src/activation.rs
+++ b/src/activation.rs
@@ -35,12 +35,12 @@
         let spec = job_spec(&order.job, &needs(self.model(order)?));
         let spec = spec.map_err(StarterError::Rejected)?;
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.submit_owned(&spec, &order.fence, &marker).await)
+        outcome(self.jobs.node.submit_internal_job(&spec, &order.fence, &marker).await)
     }
 
     async fn stop_job(&self, order: &ReplicaOrder) -> Result<(), StarterError> {
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.withdraw_owned(&order.job, &order.fence, &marker).await)
+        outcome(self.jobs.node.cancel_internal_job(&order.job, &order.fence, &marker).await)
     }
 
     async fn look_at(&self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
--- a/src/node/candidate.rs
+++ b/src/node/candidate.rs
@@ -9,7 +9,7 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use super::{Node, leading};
+use super::{instance::Node, leading};
 use crate::{
     election::Candidate,
     fencing::TermTokens,
--- a/src/node/cloud_loop.rs
+++ b/src/node/cloud_loop.rs
@@ -1,4 +1,4 @@
-//! What the leader asks of the cloud: rentals, deletions, and again and again
+//! What the leader requests of the cloud: machines, their return, and periodically
 //! the machine types and the machine list.
 
 use std::{sync::Arc, time::Duration};
@@ -6,90 +6,103 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-use super::Node;
+use super::instance::Node;
 use crate::{
     cloud::CloudError,
     protocol::{MachineId, ProvisionRequest},
 };
 
-/// Sees one rental through, under its one name.
-pub(super) async fn rent(node: Arc<Node>, version: u64, rental: ProvisionRequest) {
+/// The machine list is read at most once in so many heartbeat intervals.
+const MIN_LIST_INTERVALS: u32 = 3;
+
+/// The machine types are read once for so many reads of the machine list.
+const LISTS_PER_TYPES: u32 = 10;
+
+/// Rents machines, under the request's one name until it has an answer.
+pub(super) async fn scale_out(node: Arc<Node>, version: u64, request: ProvisionRequest) {
     loop {
-        let answer = match node.cloud.rent(rental.clone()).await {
+        let machines = match node.cloud.rent(request.clone()).await {
             Ok(machines) => Some(machines),
             Err(CloudError::NoCapacity) => None,
             Err(error) => {
                 // The same name again: if it was carried out, nothing is
                 // rented twice.
-                debug!(%error, request = %rental.request, "rental");
+                debug!(%error, request = %request.request, "provision request failed");
                 tokio::time::sleep(node.settings.heartbeat_interval()).await;
                 continue;
             }
         };
-        node.with_leader(version, |leader| leader.rented(&rental, answer, Instant::now()));
-        return node.work.notify_one();
+        node.with_leader(version, |leader| leader.rented(&request, machines, Instant::now()));
+        return node.tick_requested.notify_one();
     }
 }
 
 /// Returns machines to the cloud.
-pub(super) async fn give_back(node: Arc<Node>, version: u64, machines: Vec<MachineId>) {
+pub(super) async fn return_machines(node: Arc<Node>, version: u64, machines: Vec<MachineId>) {
     match node.cloud.delete(machines.clone()).await {
         Ok(()) => {
             node.with_leader(version, |leader| leader.deleted(&machines, Instant::now()));
         }
         Err(error) => {
-            debug!(%error, "deletion");
+            debug!(%error, machines = machines.len(), "return of machines failed");
             tokio::time::sleep(node.settings.heartbeat_interval()).await;
             node.with_leader(version, |leader| leader.not_deleted(machines));
         }
     }
-    node.work.notify_one();
+    node.tick_requested.notify_one();
 }
 
-/// Reads the machine types and the machine list again and again.
-pub(super) async fn cloud_loop(node: Arc<Node>, version: u64) {
+/// Reads the machine types and the machine list periodically.
+pub(super) async fn run_cloud_loop(node: Arc<Node>, version: u64) {
     // The list is as old as its lag; reading it more often than that tells
     // little, and never more than a few times per heartbeat interval.
-    let every = Duration::from_secs_f64(node.settings.cluster.cloud.list_lag_s / 2.0)
-        .max(node.settings.heartbeat_interval() * 3);
+    let interval = Duration::from_secs_f64(node.settings.cluster.cloud.list_lag_s / 2.0)
+        .max(node.settings.heartbeat_interval() * MIN_LIST_INTERVALS);
     let mut types_due = Instant::now();
-    // A reading that fails goes on where it stood: the more pages a fleet's list
-    // has, the less likely is a reading without any failure.
+    // A read that fails continues where it stopped: the more pages a fleet's list
+    // has, the less likely is a read without any failure.
     let mut since = String::new();
     loop {
         if types_due <= Instant::now() {
-            match node.cloud.machine_types().await {
-                Ok(types) => {
-                    node.with_leader(version, |leader| leader.on_types(types));
-                    types_due = Instant::now() + every * 10;
-                    node.work.notify_one();
-                }
-                Err(error) => {
-                    debug!(%error, "machine types");
-                    types_due = Instant::now() + every / 4;
-                }
-            }
-        }
-        loop {
-            match node.cloud.list(&since).await {
-                Ok(list) => {
-                    if let Some(last) = list.machines.last() {
-                        since = last.id.to_string();
-                    }
-                    let now = Instant::now();
-                    node.with_leader(version, |leader| leader.on_list(&list.machines, now));
-                    if !list.more || list.machines.is_empty() {
-                        since.clear();
-                        break;
-                    }
-                }
-                Err(error) => {
-                    debug!(%error, "machine list");
-                    break;
-                }
-            }
+            let pause = read_machine_types(&node, version, interval).await;
+            types_due = Instant::now() + pause;
         }
-        let pause = every.min(types_due.saturating_duration_since(Instant::now()));
+        read_machine_list(&node, version, &mut since).await;
+        let pause = interval.min(types_due.saturating_duration_since(Instant::now()));
         tokio::time::sleep(pause.max(node.settings.heartbeat_interval() / 2)).await;
     }
 }
+
+/// Reads the machine types. Returns the time until the next read.
+async fn read_machine_types(node: &Node, version: u64, list_interval: Duration) -> Duration {
+    match node.cloud.machine_types().await {
+        Ok(types) => {
+            node.with_leader(version, |leader| leader.on_types(types));
+            node.tick_requested.notify_one();
+            list_interval * LISTS_PER_TYPES
+        }
+        Err(error) => {
+            debug!(%error, "machine types not read");
+            list_interval / 4
+        }
+    }
+}
+
+/// Reads the machine list page by page, from after the machine named `since` to the
+/// end or to a failure. `since` is where the next read continues.
+async fn read_machine_list(node: &Node, version: u64, since: &mut String) {
+    loop {
+        let list = match node.cloud.list(since).await {
+            Ok(list) => list,
+            Err(error) => return debug!(%error, "machine list not read"),
+        };
+        if let Some(last) = list.machines.last() {
+            *since = last.id.to_string();
+        }
+        let now = Instant::now();
+        node.with_leader(version, |leader| leader.on_list(&list.machines, now));
+        if !list.more || list.machines.is_empty() {
+            return since.clear();
+        }
+    }
+}
--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -1,70 +1,74 @@
-//! Jobs that another part of this process submits and withdraws on its own behalf.
+//! Internal jobs: those that another part of this process submits and cancels itself.
 //!
 //! Each has a marker among that part's records, written in the transaction that
-//! accepts the job, so that a user's job with the same id is told from ours. Both
-//! transactions are conditioned on the record that the part decided on: whoever was
-//! replaced meanwhile is refused by the state service.
+//! accepts the job, so that a user's job with the same id is told from an internal
+//! one. Both transactions are conditioned on the record that the part decided on:
+//! whoever was replaced meanwhile is refused by the state service.
 
 use tracing::info;
 
-use super::{Node, Unavailable};
+use super::{
+    instance::Node,
+    users::{cancellation, cancellation_conditions, is_final},
+};
 use crate::{
-    protocol::{Condition, JobSpec, JobState, Write},
+    protocol::{Condition, JobSpec, Write},
+    replies::Unavailable,
     state::{Reserve, StateError, lock},
-    store::{self, JobEnd},
+    store,
 };
 
-/// What became of a submission or a withdrawal.
+/// What became of the submission or the cancellation of an internal job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InternalJobReply {
-    /// It stands, by this call or by one before it.
+    /// It is carried out, by this call or by one before it.
     Done,
     /// Another job has this id.
     NameTaken,
     /// The record that it was decided on has changed.
     Stale,
-    /// The job can never run.
+    /// The job can never run, and why.
     Impossible(String),
 }
 
 impl Node {
-    /// Submits a job of our own. `fence`: what the decision rests on. `marker`: the
-    /// key that says that the job is ours.
-    pub async fn submit_owned(
+    /// Submits an internal job. `fence`: the record that the decision rests on.
+    /// `marker`: the key that marks the job as internal.
+    pub async fn submit_internal_job(
         &self,
         spec: &JobSpec,
         fence: &Condition,
         marker: &str,
     ) -> Result<InternalJobReply, Unavailable> {
-        if let Some(reason) = self.impossible(spec)? {
+        if let Some(reason) = self.infeasibility(spec)? {
             return Ok(InternalJobReply::Impossible(reason));
         }
         let (Ok(job), Ok(mark)) = (store::value(spec), store::value(&self.settings.member)) else {
             return Ok(InternalJobReply::Impossible("can't be stored".into()));
         };
-        let (mut conditions, _) = self.acceptance_conditions(spec);
+        let mut conditions = self.acceptance_conditions(spec).conditions;
         conditions.push(fence.clone());
         let accept = Write::Put { key: store::job_key(&spec.id), value: job, lease: None };
         let marked = Write::Put { key: marker.to_owned(), value: mark, lease: None };
         match self.writer.commit(conditions, vec![accept.clone(), marked]).await {
             Ok(revision) => {
                 self.apply_committed(&[accept], revision);
-                info!(job = %spec.id, class = %spec.class, "accepted, of our own");
+                info!(job = %spec.id, class = %spec.class, "internal job accepted");
                 Ok(InternalJobReply::Done)
             }
-            Err(StateError::Conflict(keys)) => self.why_refused(&keys, fence, marker).await,
+            Err(StateError::Conflict(keys)) => self.conflict_reason(&keys, fence, marker).await,
             Err(StateError::Rejected(reason)) => Ok(InternalJobReply::Impossible(reason)),
             Err(_) => Err(Unavailable::State),
         }
     }
 
-    async fn why_refused(
+    async fn conflict_reason(
         &self,
         keys: &[String],
         fence: &Condition,
         marker: &str,
     ) -> Result<InternalJobReply, Unavailable> {
-        // An earlier try of ours may have been carried out without an answer.
+        // An earlier attempt may have been carried out without an answer.
         if self.marker_version(marker).await?.is_some() {
             return Ok(InternalJobReply::Done);
         }
@@ -75,9 +79,9 @@
         })
     }
 
-    /// Withdraws a job of our own, if there is one: a job without a marker is a
+    /// Cancels an internal job, if there is one: a job without a marker is a
     /// user's, and stays.
-    pub async fn withdraw_owned(
+    pub async fn cancel_internal_job(
         &self,
         id: &str,
         fence: &Condition,
@@ -89,33 +93,29 @@
         self.refresh().await?;
         let mut conditions =
             vec![fence.clone(), Condition { key: marker.to_owned(), version: marker_version }];
-        let unmark = Write::Delete { key: marker.to_owned() };
-        let running = {
+        let unfinished = {
             let watch_cache = lock(&self.watch_cache);
-            let status = watch_cache.status(id).filter(|status| !super::users::is_final(status));
+            let status = watch_cache.status(id).filter(|status| !is_final(status));
             status.zip(watch_cache.jobs.get(id).map(|job| job.version))
         };
-        let mut writes = Vec::new();
-        if let Some((status, version)) = running {
-            let end = JobEnd { state: JobState::Cancelled, done: status.done };
-            let Ok(value) = store::value(&end) else { return Err(Unavailable::State) };
-            let key = store::end_key(id);
-            conditions.push(Condition { key: key.clone(), version: 0 });
-            conditions.push(Condition { key: store::job_key(id), version });
-            writes.push(Write::Put { key, value, lease: None });
+        let mut ends = Vec::new();
+        if let Some((status, version)) = unfinished {
+            let Ok(end) = cancellation(id, status.done) else { return Err(Unavailable::State) };
+            conditions.extend(cancellation_conditions(id, version));
+            ends.push(end);
         }
-        let ends = writes.clone();
-        writes.push(unmark);
+        let mut writes = ends.clone();
+        writes.push(Write::Delete { key: marker.to_owned() });
         match self.writer.commit(conditions, writes).await {
             Ok(revision) => {
                 self.apply_committed(&ends, revision);
-                info!(job = id, "withdrawn, of our own");
+                info!(job = id, "internal job cancelled");
                 Ok(InternalJobReply::Done)
             }
             Err(StateError::Conflict(keys)) if keys.contains(&fence.key) => {
                 Ok(InternalJobReply::Stale)
             }
-            // It ended by itself, or our own earlier try was carried out: asked again.
+            // It ended by itself, or an earlier attempt was carried out: asked again.
             Err(_) => Err(Unavailable::State),
         }
     }
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -1,5 +1,4 @@
-//! What a leader does for as long as its term stands: carries out what its duty
-//! decides.
+//! A leader's work during its term: it carries out what the leader decides.
 
 use std::sync::Arc;
 
@@ -8,9 +7,9 @@
 use tracing::{debug, error, info, warn};
 
 use super::{
-    Node,
-    cloud_loop::{cloud_loop, give_back, rent},
-    until,
+    cloud_loop::{return_machines, run_cloud_loop, scale_out},
+    instance::Node,
+    tasks::until_cancelled,
 };
 use crate::{
     controller::{Commit, CommitKind, DirectOutcome, DirectRequest, Leader},
@@ -21,39 +20,45 @@
 };
 
 /// The leader's summary is logged once in so many heartbeat intervals.
-const SUMMARY_REPORTS: u32 = 10;
+const SUMMARY_INTERVALS: u32 = 10;
 
-/// What a leader does for as long as its term stands.
-pub async fn run_term(node: Arc<Node>, version: u64, stop: CancellationToken) {
-    let work = TaskTracker::new();
+/// Does a leader's work until the term ends or `stop` is cancelled, and waits for all
+/// that it set off.
+pub(super) async fn run_term(node: Arc<Node>, version: u64, stop: CancellationToken) {
+    let actions = TaskTracker::new();
     tokio::select! {
-        () = lead(&node, version, &work, &stop) => {}
+        () = run_leader(&node, version, &actions, &stop) => {}
         () = stop.cancelled() => {}
     }
-    work.close();
-    work.wait().await;
+    actions.close();
+    actions.wait().await;
 }
 
-async fn lead(node: &Arc<Node>, version: u64, work: &TaskTracker, stop: &CancellationToken) {
+async fn run_leader(
+    node: &Arc<Node>,
+    version: u64,
+    actions: &TaskTracker,
+    stop: &CancellationToken,
+) {
     let heartbeat_interval = node.settings.heartbeat_interval();
     // The watch cache must hold every write of the former leaders.
     while node.refresh().await.is_err() {
         tokio::time::sleep(heartbeat_interval / 8).await;
     }
-    if !take_over(node, version) {
+    if !start_leader(node, version) {
         return;
     }
-    work.spawn(until(stop.clone(), cloud_loop(node.clone(), version)));
-    let mut summarised = Instant::now();
+    actions.spawn(until_cancelled(stop.clone(), run_cloud_loop(node.clone(), version)));
+    let mut summarised_at = Instant::now();
     let mut next_tick = Instant::now();
     loop {
-        let _ = tokio::time::timeout_at(next_tick, node.work.notified()).await;
-        let Some(due) = tick(node, version) else { return };
-        next_tick = due.next_tick;
-        carry_out(node, version, due, work, stop);
-        if summarised + heartbeat_interval * SUMMARY_REPORTS < Instant::now() {
-            summarised = Instant::now();
-            summarise(node, version);
+        let _ = tokio::time::timeout_at(next_tick, node.tick_requested.notified()).await;
+        let Some(decisions) = tick(node, version) else { return };
+        next_tick = decisions.next_tick;
+        spawn_actions(node, version, decisions, actions, stop);
+        if summarised_at + heartbeat_interval * SUMMARY_INTERVALS < Instant::now() {
+            summarised_at = Instant::now();
+            log_summary(node, version);
         }
         // Whatever comes within this time is handled together.
         tokio::time::sleep(heartbeat_interval / 100).await;
@@ -61,7 +66,7 @@
 }
 
 /// Builds the leader from the watch cache. False if its term is over.
-fn take_over(node: &Node, version: u64) -> bool {
+fn start_leader(node: &Node, version: u64) -> bool {
     let watch_cache = lock(&node.watch_cache);
     let mut term = lock(&node.term);
     let Some(held) = term.as_mut().filter(|t| t.version == version) else { return false };
@@ -76,21 +81,21 @@
 }
 
 /// What a tick of the leader decided, and when the next one is due.
-struct Due {
+struct Decisions {
     commits: Vec<Commit>,
-    direct: Vec<DirectRequest>,
-    rentals: Vec<ProvisionRequest>,
-    deletions: Vec<MachineId>,
+    direct_requests: Vec<DirectRequest>,
+    provision_requests: Vec<ProvisionRequest>,
+    returned_machines: Vec<MachineId>,
     next_tick: Instant,
 }
 
 /// One tick. None if the term is over.
-fn tick(node: &Node, version: u64) -> Option<Due> {
+fn tick(node: &Node, version: u64) -> Option<Decisions> {
     let now = Instant::now();
-    let paused = node.in_doubt();
-    let alone = lock(&node.peers.abstentions).sole_renewer_since(now);
+    let paused = node.is_in_doubt();
+    let sole_renewer_since = lock(&node.peers.abstentions).sole_renewer_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
-    let spare = node.writer.spare();
+    let spare_writes = node.writer.spare();
     let small_pages = node.peers.all_support_small_pages(node.other_members());
     let watch_cache = lock(&node.watch_cache);
     node.with_leader(version, |leader| {
@@ -98,44 +103,51 @@
             leader.allow_small_pages();
         }
         leader.allow_starts(!paused && knows_cancellations);
-        leader.tick(now, paused, alone);
+        leader.tick(now, paused, sole_renewer_since);
         leader.took(now, now.elapsed());
-        let commits =
-            if leader.has_writes() { leader.take_commits(&watch_cache, spare) } else { Vec::new() };
-        Due {
+        let commits = if leader.has_writes() {
+            leader.take_commits(&watch_cache, spare_writes)
+        } else {
+            Vec::new()
+        };
+        Decisions {
             commits,
-            direct: leader.take_direct(now),
-            rentals: leader.take_rentals(),
-            deletions: leader.take_deletions(),
+            direct_requests: leader.take_direct(now),
+            provision_requests: leader.take_rentals(),
+            returned_machines: leader.take_deletions(),
             next_tick: leader.next_tick(),
         }
     })
 }
 
-/// Sets off what a tick decided.
-fn carry_out(
+/// Spawns a task for each action that a tick decided.
+fn spawn_actions(
     node: &Arc<Node>,
     version: u64,
-    due: Due,
-    work: &TaskTracker,
+    decisions: Decisions,
+    actions: &TaskTracker,
     stop: &CancellationToken,
 ) {
-    for commit in due.commits {
-        work.spawn(until(stop.clone(), carry(node.clone(), version, commit)));
+    for commit in decisions.commits {
+        let action = commit_until_certain(node.clone(), version, commit);
+        actions.spawn(until_cancelled(stop.clone(), action));
     }
-    for request in due.direct {
-        work.spawn(until(stop.clone(), send_direct(node.clone(), version, request)));
+    for request in decisions.direct_requests {
+        let action = send_direct_commands(node.clone(), version, request);
+        actions.spawn(until_cancelled(stop.clone(), action));
     }
-    for rental in due.rentals {
-        work.spawn(until(stop.clone(), rent(node.clone(), version, rental)));
+    for request in decisions.provision_requests {
+        let action = scale_out(node.clone(), version, request);
+        actions.spawn(until_cancelled(stop.clone(), action));
     }
-    if !due.deletions.is_empty() {
-        work.spawn(until(stop.clone(), give_back(node.clone(), version, due.deletions)));
+    if !decisions.returned_machines.is_empty() {
+        let action = return_machines(node.clone(), version, decisions.returned_machines);
+        actions.spawn(until_cancelled(stop.clone(), action));
     }
 }
 
-/// Tells the operator how the leader is doing.
-fn summarise(node: &Node, version: u64) {
+/// Logs how the leader is doing, for the operator.
+fn log_summary(node: &Node, version: u64) {
     node.with_leader(version, |leader| {
         info!("{}", leader.summary(Instant::now()));
         if leader.outnumbered() {
@@ -144,40 +156,47 @@
     });
 }
 
-/// Sees one write through: committed for certain, or certainly to be redone.
-async fn carry(node: Arc<Node>, version: u64, commit: Commit) {
-    let pause = node.settings.state_timeout() / 4;
-    loop {
+/// What became of a commit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CommitOutcome {
+    Committed,
+    NotCommitted,
+}
+
+/// Commits until it is certain what became of the writes.
+async fn commit_until_certain(node: Arc<Node>, version: u64, commit: Commit) {
+    let retry_interval = node.settings.state_timeout() / 4;
+    let outcome = loop {
         let result = node.writer.commit(commit.conditions.clone(), commit.writes.clone()).await;
         match result {
             Ok(revision) => {
                 node.apply_committed(&commit.writes, revision);
-                break settle(&node, version, commit.kind, true);
+                break CommitOutcome::Committed;
             }
-            Err(StateError::Refused(_)) => tokio::time::sleep(pause).await,
+            Err(StateError::Refused(_)) => tokio::time::sleep(retry_interval).await,
             Err(StateError::Rejected(reason)) => {
                 // Tried again only after a while, in case its content is
                 // another by then. It says nothing of who leads.
-                error!(%reason, kind = ?commit.kind, "the state service takes no such write");
+                error!(%reason, kind = ?commit.kind, "write rejected by the state service");
                 tokio::time::sleep(node.settings.worker_lease()).await;
-                break settle(&node, version, commit.kind, false);
+                break CommitOutcome::NotCommitted;
             }
             Err(error) => {
-                debug!(%error, "a write is unsure or failed");
+                debug!(%error, kind = ?commit.kind, "write failed or doubtful");
                 while node.refresh().await.is_err() {
-                    tokio::time::sleep(pause).await;
+                    tokio::time::sleep(retry_interval).await;
                 }
-                let stands = stands(&node, &commit.kind);
-                break settle(&node, version, commit.kind, stands);
+                break outcome_in_records(&node, &commit.kind);
             }
         }
-    }
+    };
+    record_outcome(&node, version, commit.kind, outcome);
 }
 
-/// Whether the fresh watch cache shows what the write was to bring about.
-fn stands(node: &Node, kind: &CommitKind) -> bool {
+/// Whether the refreshed watch cache shows what the write was to bring about.
+fn outcome_in_records(node: &Node, kind: &CommitKind) -> CommitOutcome {
     let watch_cache = lock(&node.watch_cache);
-    match kind {
+    let is_committed = match kind {
         CommitKind::Page { job, page, content } => watch_cache
             .pages
             .get(job)
@@ -186,24 +205,22 @@
             .is_some_and(|held| held == *content),
         CommitKind::End { job } => !watch_cache.jobs.contains_key(job),
         CommitKind::Types => false,
-    }
+    };
+    if is_committed { CommitOutcome::Committed } else { CommitOutcome::NotCommitted }
 }
 
-fn settle(node: &Node, version: u64, kind: CommitKind, committed: bool) {
+fn record_outcome(node: &Node, version: u64, kind: CommitKind, outcome: CommitOutcome) {
     let watch_cache = lock(&node.watch_cache);
     let now = Instant::now();
-    node.with_leader(version, |leader| {
-        if committed {
-            leader.committed(&kind, &watch_cache, now);
-        } else {
-            leader.not_committed(kind, &watch_cache, now);
-        }
+    node.with_leader(version, |leader| match outcome {
+        CommitOutcome::Committed => leader.committed(&kind, &watch_cache, now),
+        CommitOutcome::NotCommitted => leader.not_committed(kind, &watch_cache, now),
     });
-    node.work.notify_one();
+    node.tick_requested.notify_one();
 }
 
 /// Sends commands to a worker's own address.
-async fn send_direct(node: Arc<Node>, version: u64, request: DirectRequest) {
+async fn send_direct_commands(node: Arc<Node>, version: u64, request: DirectRequest) {
     let answer = node.workers.command(&request.address, request.commands.clone()).await;
     let outcome = match &answer {
         Ok(heartbeat) => DirectOutcome::Answered(heartbeat),
@@ -211,7 +228,7 @@
         Err(_) => DirectOutcome::Unknown,
     };
     if let Err(error) = &answer {
-        debug!(machine = %request.machine, %error, "direct orders");
+        debug!(machine = %request.machine, %error, "direct commands unanswered");
     }
-    node.take_direct(version, &request, outcome);
+    node.on_direct_outcome(version, &request, outcome);
 }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::Node;
+use super::instance::Node;
 use crate::{
     admission_limit::AdmissionLimit,
     http::{RequestHandler, server::ServerLimits},
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -1,39 +1,41 @@
-//! Workers' reports: answered as the leader, or in its stead while nobody can
+//! Worker heartbeats: answered as the leader, or in its stead while nobody can
 //! lead, and the answers to direct commands.
 
 use tokio::time::{Duration, Instant};
-use tracing::warn;
 
-use super::{HeartbeatReply, Node, Term};
+use super::instance::Node;
 use crate::{
     controller::{DirectOutcome, DirectRequest},
     fleet::parse_task,
     protocol::{CommandKind, JobState, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat},
+    replies::HeartbeatReply,
     state::lock,
 };
 
 /// For so many heartbeat intervals a worker waits here for a leader. Its own
-/// patience is longer.
-const SUCCESSOR_REPORTS: u32 = 2;
+/// time-out is longer.
+const SUCCESSOR_WAIT_INTERVALS: u32 = 2;
 
-/// It is looked for so many times in a heartbeat interval.
-const LOOKS_PER_REPORT: u32 = 16;
+/// How often in a heartbeat interval this node checks whether there is a leader.
+const SUCCESSOR_CHECKS_PER_INTERVAL: u32 = 16;
 
 impl Node {
     /// Answers a heartbeat. A worker that lost its leader and comes while there is
-    /// no other yet waits a while for one: sent on, it may come to a controller
+    /// no other yet waits a while for one: redirected, it may come to a controller
     /// that is silent and wait there for a whole time-out, which with the first
     /// one is about all of its lease.
     pub async fn answer_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
-        let until = Instant::now() + self.settings.heartbeat_interval() * SUCCESSOR_REPORTS;
+        let interval = self.settings.heartbeat_interval();
+        let until = Instant::now() + interval * SUCCESSOR_WAIT_INTERVALS;
         loop {
             let reply = self.heartbeat(heartbeat);
-            let sent_on = reply == HeartbeatReply::Redirect(None);
-            if !sent_on || !self.expects_successor(heartbeat) || Instant::now() >= until {
+            let is_without_leader = reply == HeartbeatReply::Redirect(None);
+            let waits = is_without_leader && self.expects_successor(heartbeat);
+            if !waits || Instant::now() >= until {
                 return reply;
             }
             while self.expects_successor(heartbeat) && Instant::now() < until {
-                tokio::time::sleep(self.settings.heartbeat_interval() / LOOKS_PER_REPORT).await;
+                tokio::time::sleep(interval / SUCCESSOR_CHECKS_PER_INTERVAL).await;
             }
         }
     }
@@ -42,73 +44,58 @@
     /// or the leader says that it lost its workers. Not while the state service is
     /// away, for then nobody can be elected.
     fn expects_successor(&self, heartbeat: &WorkerHeartbeat) -> bool {
-        let leads = lock(&self.term).is_some();
-        let elected = lock(&self.watch_cache).lead.is_some();
+        let leads = self.leads();
+        let is_elected = lock(&self.watch_cache).lead.is_some();
         heartbeat.token > 0
             && !leads
             && self.state_ok()
-            && (!elected || self.leader_for(heartbeat).is_none())
+            && (!is_elected || self.leader_for(heartbeat).is_none())
     }
 
+    /// Answers a heartbeat now.
     pub fn heartbeat(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
-        let reply = self.heartbeat_as_leader(heartbeat);
-        match reply {
-            Some(reply) => reply,
-            None => {
-                self.note_rejected_heartbeat();
-                if let Some(reply) = self.renew_as_follower(heartbeat, Instant::now()) {
-                    return reply;
-                }
-                HeartbeatReply::Redirect(self.leader_for(heartbeat))
-            }
+        if let Some(reply) = self.heartbeat_as_leader(heartbeat) {
+            return reply;
         }
+        self.record_rejected_heartbeat();
+        self.renew_as_follower(heartbeat, Instant::now())
+            .unwrap_or_else(|| HeartbeatReply::Redirect(self.leader_for(heartbeat)))
     }
 
-    /// The leader to which a worker is sent, if that is of use to it.
+    /// The leader to which a worker is redirected, if that is of use to it.
     fn leader_for(&self, heartbeat: &WorkerHeartbeat) -> Option<String> {
         let watch_cache = lock(&self.watch_cache);
-        let (_, lead) = watch_cache.lead.as_ref()?;
-        // A worker that has heard this leader and comes here could not reach it.
-        // Sent back to one that says itself that it hears hardly any worker, it
-        // would wait for a whole time-out there while its lease runs out. It
-        // goes on to the next controller, and finds the successor.
-        let knows_leader = heartbeat.token >= lead.token;
+        let (_, record) = watch_cache.lead.as_ref()?;
+        // A worker that knows this leader and comes here could not reach it. Redirected
+        // to one that says itself that it receives hardly any heartbeats, it would wait
+        // for a whole time-out there while its lease runs out. It tries the next
+        // controller, and finds the successor.
+        let knows_leader = heartbeat.token >= record.token;
         let lately = self.settings.leader_lease();
-        let unreachable = knows_leader && self.peers.reported_lost_workers(&lead.member, lately);
-        (!unreachable && lead.member != self.settings.member).then(|| lead.member.clone())
+        let is_unreachable =
+            knows_leader && self.peers.reported_lost_workers(&record.member, lately);
+        let is_other = record.member != self.settings.member;
+        (!is_unreachable && is_other).then(|| record.member.clone())
     }
 
     fn heartbeat_as_leader(&self, heartbeat: &WorkerHeartbeat) -> Option<HeartbeatReply> {
         let now = Instant::now();
         let mut term = lock(&self.term);
         let held = term.as_mut()?;
-        let in_doubt = now.saturating_duration_since(held.renewed) > self.settings.leader_lease();
-        let leader = held.leader.as_mut()?;
-        // A leader that stood still, or that others may have replaced, keeps
+        let in_doubt = held.is_in_doubt(now, self.settings.leader_lease());
+        // A leader that was suspended, or that others may have replaced, keeps
         // tasks alive but starts none.
-        leader
-            .allow_starts(!in_doubt && self.knows_cancellations(now, self.settings.leader_lease()));
-        let mut away = false;
-        if in_doubt {
-            // Another leader may be there by now, and a worker that stays
-            // with us would never learn of it. It is sent to look once in a
-            // while; if nobody else leads, it is back well within its lease.
-            let every = self.settings.worker_lease() / 2;
-            let probed = held.probed.entry(heartbeat.machine.clone()).or_insert(held.renewed);
-            if now.saturating_duration_since(*probed) > every {
-                *probed = now;
-                away = true;
-            }
-        }
-        let withholds_renewals = !self.knows_enough(now);
-        if withholds_renewals && !held.withholds_renewals {
-            warn!("leases are not renewed: cancellations may be unknown for too long");
-        }
-        held.withholds_renewals = withholds_renewals;
-        away |= withholds_renewals;
-        // All are sent away in one second, and a leader that seemed to have
-        // lost them would give way, in an outage to nobody.
-        let heard = if away {
+        let may_start = !in_doubt && self.knows_cancellations(now, self.settings.leader_lease());
+        held.leader.as_mut()?.allow_starts(may_start);
+        let probe_interval = self.settings.worker_lease() / 2;
+        let probes = in_doubt && held.sends_probe(&heartbeat.machine, now, probe_interval);
+        let withholds_renewals = !self.may_renew_as_leader(now);
+        held.set_withholds_renewals(withholds_renewals);
+        let leader = held.leader.as_mut()?;
+        // Withheld renewals redirect all workers in one second; a redirected heartbeat
+        // still counts as received, since a leader that seemed to have lost its workers
+        // would resign, in an outage in favour of nobody.
+        let reply = if probes || withholds_renewals {
             leader.send_away(heartbeat, now).map(|()| HeartbeatReply::Redirect(None))
         } else {
             let answered = leader.on_heartbeat(heartbeat, now);
@@ -116,9 +103,9 @@
             answered.map(|commands| HeartbeatReply::Commands { token, commands })
         };
         if leader.needs_tick() {
-            self.work.notify_one();
+            self.tick_requested.notify_one();
         }
-        Some(heard.unwrap_or_else(|_| {
+        Some(reply.unwrap_or_else(|_| {
             self.step_down(&mut term);
             HeartbeatReply::Redirect(None)
         }))
@@ -130,76 +117,77 @@
         heartbeat: &WorkerHeartbeat,
         now: Instant,
     ) -> Option<HeartbeatReply> {
-        let limit = self.settings.renewal_limit();
-        let until = match lock(&self.peers.cancellation_watermarks).last_read_at() {
-            Some(at) => at + limit,
-            // This process knows nothing of the time before it: half of the
-            // limit is left for that.
-            None => self.started + limit / 2,
-        };
-        let mut renewed_workers = lock(&self.renewed_workers);
-        let may = !self.state_ok()
-            && now < until
+        let may_renew = !self.state_ok()
+            && now < self.follower_renewal_deadline()
             && heartbeat.token > 0
-            && lock(&self.term).is_none()
+            && !self.leads()
             && lock(&self.peers.abstentions).may_renew(now);
-        if !may {
-            renewed_workers.clear();
+        if !may_renew {
+            self.follower_renewals.clear();
             return None;
         }
-        // A leader may be there that only this node can't hear, so workers
-        // are sent to look for it once in a while.
-        let since = *renewed_workers.entry(heartbeat.machine.clone()).or_insert(now);
-        if now > since + self.settings.worker_lease() / 2 {
-            renewed_workers.remove(&heartbeat.machine);
+        let probe_interval = self.settings.worker_lease() / 2;
+        if !self.follower_renewals.admit(&heartbeat.machine, now, probe_interval) {
             return None;
         }
-        // A job whose end is known is stopped: that is right under any token.
+        let commands = self.stop_cancelled_tasks(heartbeat);
+        Some(HeartbeatReply::Commands { token: heartbeat.token, commands })
+    }
+
+    /// Until when this node may renew leases as a follower: beyond it, cancellations
+    /// that it doesn't know could outlive `cancel_s`.
+    fn follower_renewal_deadline(&self) -> Instant {
+        let limit = self.settings.renewal_limit();
+        match lock(&self.peers.cancellation_watermarks).last_read_at() {
+            Some(at) => at + limit,
+            // This process knows nothing of the time before it: half of the
+            // limit is left for that.
+            None => self.started_at + limit / 2,
+        }
+    }
+
+    /// Commands that stop the tasks of jobs that are known to be cancelled: that is
+    /// right under any token.
+    fn stop_cancelled_tasks(&self, heartbeat: &WorkerHeartbeat) -> Vec<TaskCommand> {
         let watch_cache = lock(&self.watch_cache);
-        let ended = |t: &&TaskStatus| {
-            let job = parse_task(&t.task).and_then(|(job, _)| watch_cache.ends.get(&job));
-            t.state != TaskState::Exited && job.is_some_and(|e| e.state == JobState::Cancelled)
+        let is_cancelled = |task: &&TaskStatus| {
+            let end = parse_task(&task.task).and_then(|(job, _)| watch_cache.ends.get(&job));
+            task.state != TaskState::Exited
+                && end.is_some_and(|end| end.state == JobState::Cancelled)
         };
-        let stop = |t: &TaskStatus| TaskCommand {
+        let stop = |task: &TaskStatus| TaskCommand {
             op: CommandKind::Stop,
-            task: t.task.clone(),
-            attempt: t.attempt,
+            task: task.task.clone(),
+            attempt: task.attempt,
             grace_s: Some(0.0),
         };
-        let commands = heartbeat.tasks.iter().filter(ended).map(stop).collect();
-        Some(HeartbeatReply::Commands { token: heartbeat.token, commands })
+        heartbeat.tasks.iter().filter(is_cancelled).map(stop).collect()
     }
 
     /// Whether a leader may renew workers' leases: not if another controller
-    /// may have told users of cancellations that this one knows nothing of and
+    /// may have confirmed cancellations to users that this one doesn't know and
     /// that could then outlive `cancel_s`. While its own lease lasts a leader
     /// always may, whatever the settings allow.
-    fn knows_enough(&self, now: Instant) -> bool {
+    fn may_renew_as_leader(&self, now: Instant) -> bool {
         let limit = self.settings.renewal_limit().max(self.settings.leader_lease());
         self.knows_cancellations(now, limit)
     }
 
-    /// Whether all cancellations that users may have been told of are known, but
+    /// Whether all cancellations that may have been confirmed to users are known, but
     /// for those within the last `limit`.
     pub(super) fn knows_cancellations(&self, now: Instant, limit: Duration) -> bool {
-        let known = self.cancellations_known_until();
-        self.settings.members.is_empty() || known.is_some_and(|at| now < at + limit)
+        let known_until = self.cancellations_known_until();
+        self.settings.members.is_empty() || known_until.is_some_and(|at| now < at + limit)
     }
 
-    /// The moment up to which every cancellation that was told is known here.
+    /// The moment up to which every cancellation that may have been confirmed is known
+    /// here.
     pub(super) fn cancellations_known_until(&self) -> Option<Instant> {
         lock(&self.peers.cancellation_watermarks).known_until(self.other_members())
     }
 
-    fn step_down(&self, term: &mut Option<Term>) {
-        if let Some(held) = term.take() {
-            warn!(token = held.tokens.first(), "a worker has seen a higher token");
-            self.leadership_changed.notify_one();
-        }
-    }
-
-    /// Takes what became of direct commands.
-    pub(super) fn take_direct(
+    /// Processes what became of direct commands.
+    pub(super) fn on_direct_outcome(
         &self,
         version: u64,
         request: &DirectRequest,
@@ -211,6 +199,6 @@
         if result.is_some_and(|r| r.is_err()) {
             self.step_down(&mut term);
         }
-        self.work.notify_one();
+        self.tick_requested.notify_one();
     }
 }
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -30,7 +30,7 @@
         let needs = needs(self.service(order)?, &order.version);
         let spec = job_spec(&order.job, &needs).map_err(HostError::Rejected)?;
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.submit_owned(&spec, &order.fence, &marker).await)
+        outcome(self.jobs.node.submit_internal_job(&spec, &order.fence, &marker).await)
     }
 
     async fn look_at(&self, order: &ReplicaOrder) -> Result<Look, HostError> {
@@ -52,7 +52,7 @@
 
     async fn stop_job(&self, order: &ReplicaOrder) -> Result<(), HostError> {
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.withdraw_owned(&order.job, &order.fence, &marker).await)
+        outcome(self.jobs.node.cancel_internal_job(&order.job, &order.fence, &marker).await)
     }
 }
 
--- a/tests/activation.rs
+++ b/tests/activation.rs
@@ -245,37 +245,43 @@
         || Condition { key: "sp/a/m/router".into(), version: world.state.version("sp/a/m/router") };
     // A user's job has the id.
     world.submit(1, "j-000007", json!({"Shape": "service", "Spokes": 1})).await.expect("accepted");
-    let reply = node.submit_owned(&spec("j-000007"), &fence(), "sp/a/j/j-000007").await;
+    let reply = node.submit_internal_job(&spec("j-000007"), &fence(), "sp/a/j/j-000007").await;
     assert_eq!(reply, Ok(InternalJobReply::NameTaken));
-    let reply = node.withdraw_owned("j-000007", &fence(), "sp/a/j/j-000007").await;
+    let reply = node.cancel_internal_job("j-000007", &fence(), "sp/a/j/j-000007").await;
     assert_eq!(reply, Ok(InternalJobReply::Done), "there is nothing of ours");
     assert_eq!(state(&world.ask(1, "j-000007").await), Some(JobState::Pending));
     // The record changes between the decision and the submission.
     let old = fence();
     world.state.commit(Vec::new(), vec![put("2")]).expect("committed");
-    let reply = node.submit_owned(&spec("j-000008"), &old, "sp/a/j/j-000008").await;
+    let reply = node.submit_internal_job(&spec("j-000008"), &old, "sp/a/j/j-000008").await;
     assert_eq!(reply, Ok(InternalJobReply::Stale));
     assert_eq!(state(&world.ask(1, "j-000008").await), None, "never accepted");
     // The answer is lost, and the repeat finds the job.
     world.state.mute("m-0", 1);
     let marker = "sp/a/j/j-000009";
-    assert!(node.submit_owned(&spec("j-000009"), &fence(), marker).await.is_err());
-    let reply = node.submit_owned(&spec("j-000009"), &fence(), marker).await;
+    assert!(node.submit_internal_job(&spec("j-000009"), &fence(), marker).await.is_err());
+    let reply = node.submit_internal_job(&spec("j-000009"), &fence(), marker).await;
     assert_eq!(reply, Ok(InternalJobReply::Done));
     let old = fence();
     world.state.commit(Vec::new(), vec![put("3")]).expect("committed");
-    assert_eq!(node.withdraw_owned("j-000009", &old, marker).await, Ok(InternalJobReply::Stale));
+    assert_eq!(
+        node.cancel_internal_job("j-000009", &old, marker).await,
+        Ok(InternalJobReply::Stale)
+    );
     assert!(state(&world.ask(1, "j-000009").await) != Some(JobState::Cancelled));
     world.state.mute("m-0", 1);
-    let unsure = node.withdraw_owned("j-000009", &fence(), marker).await;
+    let unsure = node.cancel_internal_job("j-000009", &fence(), marker).await;
     assert!(unsure.is_err(), "{unsure:?}");
-    assert_eq!(node.withdraw_owned("j-000009", &fence(), marker).await, Ok(InternalJobReply::Done));
+    assert_eq!(
+        node.cancel_internal_job("j-000009", &fence(), marker).await,
+        Ok(InternalJobReply::Done)
+    );
     assert_eq!(state(&world.ask(1, "j-000009").await), Some(JobState::Cancelled));
     assert_eq!(world.state.value(marker), None);
     // What can never run is said so.
     let body = job("j-000010", json!({"Shape": "service", "Crew": "nobody"}));
     let impossible = JobSpec::parse(&body).expect("valid");
-    let reply = node.submit_owned(&impossible, &fence(), "sp/a/j/j-000010").await;
+    let reply = node.submit_internal_job(&impossible, &fence(), "sp/a/j/j-000010").await;
     assert_eq!(reply, Ok(InternalJobReply::Impossible("no such team".into())));
     no_rule_broken(&world);
 }
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -130,7 +130,7 @@
     world.until("the types are stored", || world.state.value("sw/types").is_some()).await;
     let spec = JobSpec::parse(JOB.replace("j-000007", "j-000008").as_bytes()).expect("valid");
     let fence = Condition { key: "sp/r/s/matcher".into(), version: 0 };
-    let reply = world.node(0).submit_owned(&spec, &fence, "sp/r/j/j-000008").await;
+    let reply = world.node(0).submit_internal_job(&spec, &fence, "sp/r/j/j-000008").await;
     assert_eq!(reply, Ok(InternalJobReply::Done));
     for (key, text) in [
         ("sw/token", "1048576"),
