--- a/src/admission_limit.rs
+++ b/src/admission_limit.rs
@@ -1,8 +1,8 @@
 //! A limit on users' requests in progress that adjusts itself to measured
 //! times: it grows while requests are quick and shrinks when they are slow.
 //!
-//! Workers' reports don't pass through it; under overload it is users'
-//! requests that are refused, early and with a time to come back.
+//! Workers' heartbeats don't pass through it; under overload it is users'
+//! requests that are refused, early and with a time to retry.
 
 use std::sync::{Arc, Mutex};
 
@@ -11,34 +11,59 @@
 
 use crate::state::lock;
 
+/// Measured requests before the limit changes.
+const WINDOW: u64 = 16;
+
+/// The limit never falls below this many requests.
+const MIN_LIMIT: f64 = 2.0;
+
+/// The share of the ceiling with which the limit begins.
+const INITIAL_SHARE: f64 = 0.25;
+
+/// The quantile of the measured times that is compared with the target.
+const MEASURED_QUANTILE: f64 = 0.9;
+
+/// The factor by which the limit shrinks after a slow window.
+const DECREASE_FACTOR: f64 = 0.75;
+
+/// The requests by which the limit grows after a quick window.
+const INCREASE: f64 = 2.0;
+
+/// Measured times are counted between these bounds, in milliseconds.
+const MIN_MEASURED_MS: u64 = 1;
+const MAX_MEASURED_MS: u64 = 60_000;
+
+/// A limit on requests in progress, which follows additive increase and multiplicative
+/// decrease.
 pub struct AdmissionLimit {
     inner: Mutex<Inner>,
     /// Requests slower than this are a sign of overload.
     target: Duration,
-    floor: f64,
     ceiling: f64,
 }
 
 struct Inner {
     limit: f64,
     in_progress: usize,
-    /// Times in milliseconds since the limit last moved.
+    /// Times in milliseconds since the limit last changed.
     times: Histogram<u32>,
 }
 
-/// Measured requests before the limit moves.
-const WINDOW: u64 = 16;
-
 impl AdmissionLimit {
+    /// A limit of at most `ceiling` requests. `target`: requests that take longer are a
+    /// sign of overload.
     pub fn new(target: Duration, ceiling: usize) -> Arc<Self> {
-        // Three digits of a minute in milliseconds always make a histogram.
-        let times = Histogram::new_with_bounds(1, 60_000, 1)
+        // One significant digit between these bounds always makes a histogram.
+        let times = Histogram::new_with_bounds(MIN_MEASURED_MS, MAX_MEASURED_MS, 1)
             .or_else(|_| Histogram::new(1))
             .unwrap_or_else(|_| unreachable!("constant bounds are valid"));
         Arc::new(Self {
-            inner: Mutex::new(Inner { limit: ceiling as f64 / 4.0, in_progress: 0, times }),
+            inner: Mutex::new(Inner {
+                limit: ceiling as f64 * INITIAL_SHARE,
+                in_progress: 0,
+                times,
+            }),
             target,
-            floor: 2.0,
             ceiling: ceiling as f64,
         })
     }
@@ -50,42 +75,44 @@
             return None;
         }
         inner.in_progress += 1;
-        Some(Permit { limit: self.clone(), since: Instant::now(), measured: false })
+        Some(Permit { limit: self.clone(), entered_at: Instant::now(), is_measured: false })
     }
 
+    /// The requests that may be in progress at present.
     pub fn limit(&self) -> usize {
         lock(&self.inner).limit as usize
     }
 
     fn measure(&self, took: Duration) {
         let mut inner = lock(&self.inner);
-        let _ = inner.times.record(took.as_millis().clamp(1, 60_000) as u64);
+        let _ = inner.times.record(measured_ms(took));
         if inner.times.len() < WINDOW {
             return;
         }
-        let slow = inner.times.value_at_quantile(0.9);
+        let slow = inner.times.value_at_quantile(MEASURED_QUANTILE);
         inner.times.reset();
         let target = self.target.as_millis() as u64;
         if slow > target {
             // Multiplicative decrease, additive increase: settles fairly.
-            inner.limit = (inner.limit * 0.75).max(self.floor);
+            inner.limit = (inner.limit * DECREASE_FACTOR).max(MIN_LIMIT);
         } else if inner.in_progress as f64 * 2.0 >= inner.limit {
             // Only a limit that is nearly reached has reason to grow.
-            inner.limit = (inner.limit + 2.0).min(self.ceiling);
+            inner.limit = (inner.limit + INCREASE).min(self.ceiling);
         }
     }
 }
 
+/// The right of one request to be in progress, until it is dropped.
 pub struct Permit {
     limit: Arc<AdmissionLimit>,
-    since: Instant,
-    measured: bool,
+    entered_at: Instant,
+    is_measured: bool,
 }
 
 impl Permit {
     /// The request was served: its time counts.
     pub fn finish(mut self) {
-        self.measured = true;
+        self.is_measured = true;
     }
 
     /// The request was refused for other reasons: its time says nothing.
@@ -95,11 +122,16 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         lock(&self.limit.inner).in_progress -= 1;
-        if self.measured {
-            self.limit.measure(self.since.elapsed());
+        if self.is_measured {
+            self.limit.measure(self.entered_at.elapsed());
         }
     }
 }
 
+fn measured_ms(took: Duration) -> u64 {
+    let ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
+    ms.clamp(MIN_MEASURED_MS, MAX_MEASURED_MS)
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -5,7 +5,7 @@
 
 use super::Leader;
 use crate::{
-    cloud::{DELETE_LIMIT, RENT_LIMIT},
+    cloud::{MAX_DELETED_MACHINES, MAX_PROVISIONED_MACHINES},
     fleet::{LeaseProof, Machine},
     protocol::{ListedMachine, MachineId, MachineType, ProvisionRequest},
     scheduler::Resources,
@@ -175,7 +175,7 @@
                 machine_type: t.name.clone(),
                 zone: zone.clone(),
                 spot,
-                count: count.min(RENT_LIMIT),
+                count: count.min(MAX_PROVISIONED_MACHINES),
             };
             info!(request = %rental.request, zone = %rental.zone, spot, count, "renting");
             self.rentals.push(rental);
@@ -220,7 +220,7 @@
     }
 
     pub fn take_deletions(&mut self) -> Vec<MachineId> {
-        let count = self.deletions.len().min(DELETE_LIMIT);
+        let count = self.deletions.len().min(MAX_DELETED_MACHINES);
         self.deletions.drain(..count).collect()
     }
 
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -15,21 +15,24 @@
 
 use crate::protocol::BODY_LIMIT;
 
-/// Bodies up to this size need no room of the budget: the number of sockets
+/// Bodies up to this size in bytes take nothing of the budget: the number of sockets
 /// bounds what they hold.
 const SMALL_BODY: usize = 4 * 1024;
 
-/// The share of the memory that the bodies of workers' heartbeats may take, and as
-/// much again those of all other requests.
+/// The bodies of workers' heartbeats may take this part of the memory, and those of all
+/// other requests as much again.
 const MEMORY_PARTS: f64 = 8.0;
 
 /// Why a body was not read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
+    /// It is longer than `BODY_LIMIT`, or the connection failed.
     #[error("the body can't be read")]
     Unreadable,
+    /// It did not arrive within the time-out.
     #[error("the body did not come in time")]
     TooSlow,
+    /// The budget of its sender is used up.
     #[error("too many large bodies at once")]
     NoRoom,
 }
@@ -38,34 +41,37 @@
 /// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
+    /// A worker, with a heartbeat.
     Worker,
+    /// A user, or the load balancer.
     Other,
 }
 
-/// A whole body, which keeps its room until it is dropped.
+/// A whole body, which holds its share of the budget until it is dropped.
 #[derive(Debug)]
 pub struct ReadBody {
+    /// The body.
     pub bytes: Bytes,
-    _room: Option<OwnedSemaphorePermit>,
+    _reservation: Option<OwnedSemaphorePermit>,
 }
 
 /// Bytes that bodies may hold at once.
 pub struct BodyBudget {
     workers: Arc<Semaphore>,
     others: Arc<Semaphore>,
-    within: Duration,
+    timeout: Duration,
 }
 
 impl BodyBudget {
-    /// `memory`: all the bytes that the process may hold. `within`: how long a
+    /// `memory`: all the bytes that the process may hold. `timeout`: how long a
     /// body may take to arrive.
-    pub fn new(memory: f64, within: Duration) -> Self {
+    pub fn new(memory: f64, timeout: Duration) -> Self {
         // One body always has room.
-        let room = ((memory / MEMORY_PARTS) as usize).max(BODY_LIMIT);
+        let bytes = ((memory / MEMORY_PARTS) as usize).max(BODY_LIMIT);
         Self {
-            workers: Arc::new(Semaphore::new(room)),
-            others: Arc::new(Semaphore::new(room)),
-            within,
+            workers: Arc::new(Semaphore::new(bytes)),
+            others: Arc::new(Semaphore::new(bytes)),
+            timeout,
         }
     }
 
@@ -81,10 +87,11 @@
         if length > BODY_LIMIT {
             return Err(BodyError::Unreadable);
         }
-        let room = if length > SMALL_BODY { Some(self.reserve(sender, length)?) } else { None };
-        let whole = timeout(self.within, collect(body, length)).await;
-        let bytes = whole.map_err(|_| BodyError::TooSlow)??;
-        Ok(ReadBody { bytes, _room: room })
+        let reservation =
+            if length > SMALL_BODY { Some(self.reserve(sender, length)?) } else { None };
+        let body = timeout(self.timeout, collect(body, length)).await;
+        let bytes = body.map_err(|_| BodyError::TooSlow)??;
+        Ok(ReadBody { bytes, _reservation: reservation })
     }
 
     fn reserve(&self, sender: Sender, length: usize) -> Result<OwnedSemaphorePermit, BodyError> {
--- a/src/lease_renewal/abstentions.rs
+++ b/src/lease_renewal/abstentions.rs
@@ -8,7 +8,7 @@
 
 /// The share of an abstention that its beneficiary counts on. Steady clocks
 /// drift apart by far less than the rest.
-const DRIFT: f64 = 0.99;
+const COUNTED_SHARE: f64 = 0.99;
 
 /// An acknowledgement is recognised for so many abstentions' time. One that
 /// comes late proves no abstention, but still dates the sender's notice of
@@ -125,7 +125,7 @@
             self.leader_heartbeats.insert(sender.to_owned(), LeaderHeartbeat { id, revision });
         }
         let sent_at = self.sent_at(acknowledged?)?;
-        let until = sent_at + self.abstention.mul_f64(DRIFT);
+        let until = sent_at + self.abstention.mul_f64(COUNTED_SHARE);
         let period =
             self.periods.entry(sender.to_owned()).or_insert(AbstentionPeriod { from: now, until });
         if now > period.until {
--- a/src/main.rs
+++ b/src/main.rs
@@ -57,7 +57,7 @@
     match serve(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(%error, "can't serve");
+            tracing::error!(%error, "serving failed");
             ExitCode::FAILURE
         }
     }
@@ -68,7 +68,7 @@
     runtime.block_on(async {
         let public = stonewheel::http::listen(settings.public_addr, settings.listen_backlog())?;
         let internal = TcpListener::bind(settings.internal_addr).await?;
-        tracing::info!(member = %settings.member, zone = %settings.zone, "starting");
+        tracing::info!(member = %settings.member, zone = %settings.zone, "controller starting");
         let state = Arc::new(state::http_state(&settings));
         let cloud = Arc::new(HttpCloud::new(&settings));
         let seed = rand::random();
@@ -119,5 +119,5 @@
 
 async fn bind(address: SocketAddr, setting: &str) -> std::io::Result<TcpListener> {
     let listener = TcpListener::bind(address).await;
-    listener.inspect_err(|error| tracing::error!(setting, %address, %error, "can't listen"))
+    listener.inspect_err(|error| tracing::error!(setting, %address, %error, "listener not bound"))
 }
--- a/src/node/cloud_loop.rs
+++ b/src/node/cloud_loop.rs
@@ -21,7 +21,7 @@
 /// Rents machines, under the request's one name until it has an answer.
 pub(super) async fn scale_out(node: Arc<Node>, version: u64, request: ProvisionRequest) {
     loop {
-        let machines = match node.cloud.rent(request.clone()).await {
+        let machines = match node.cloud.provision(request.clone()).await {
             Ok(machines) => Some(machines),
             Err(CloudError::NoCapacity) => None,
             Err(error) => {
--- a/src/peers/peer_status.rs
+++ b/src/peers/peer_status.rs
@@ -2,6 +2,7 @@
 
 use std::{collections::HashMap, sync::Mutex};
 
+use stonewheel_state::lock;
 use tokio::{
     sync::watch,
     time::{Duration, Instant},
@@ -11,7 +12,6 @@
 use crate::{
     lease_renewal::{CancellationWatermarks, RenewalAbstentions},
     protocol::{ControllerHeartbeat, Features, WorkerContact},
-    state::lock,
 };
 
 /// What one other controller has said of itself. A section that its version
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! Orders to workers' own addresses, over HTTP.
+//! The client of workers' own addresses: direct commands, over HTTP.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,10 +11,11 @@
     settings::Settings,
 };
 
-/// Orders sent to a worker's own address. The answer is its report after
-/// them, or after refusing them; without an answer they may still be carried
-/// out for as long as token and session match.
+/// What the leader requests of workers.
 pub trait WorkerApi: Send + Sync {
+    /// Sends commands to a worker's own address. The answer is its heartbeat after it
+    /// has carried them out or refused them; without an answer they may still be
+    /// carried out for as long as fencing token and incarnation match.
     fn command(
         &self,
         address: &str,
@@ -22,20 +23,21 @@
     ) -> BoxFuture<'_, Result<WorkerHeartbeat, CallError>>;
 }
 
-/// Each call takes a socket; the leader composes no more commands than there are
-/// sockets for them (`controller/direct_orders.rs`), so none waits here.
+/// Workers' HTTP interface. Each call takes a socket; the leader composes no more
+/// direct requests than there are sockets for them (`controller/direct_commands.rs`),
+/// so none waits here.
 pub struct HttpWorkers {
     client: HttpClient,
     timeout: Duration,
 }
 
 impl HttpWorkers {
+    /// A client with time-outs that follow from the heartbeat interval.
     pub fn new(settings: &Settings) -> Self {
         let timeout = settings.heartbeat_interval();
-        // Orders to one machine mostly come alone, so nothing is kept open
-        // for longer than a call may last.
-        // A connection is given up before the call is, so that it is known then
-        // that nothing was sent.
+        // Commands to one machine mostly come alone, so no connection is kept open
+        // for longer than a call may last. An attempt to connect ends before the
+        // call does, so that it is known then that nothing was sent.
         let client = HttpClient::new(1, timeout / 4, timeout * 3 / 4);
         Self { client, timeout }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -281,7 +281,10 @@
         Box::pin(async { Ok(vec![machine_type()]) })
     }
 
-    fn rent(&self, rental: ProvisionRequest) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
+    fn provision(
+        &self,
+        rental: ProvisionRequest,
+    ) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
         Box::pin(async move {
             sleep(Duration::from_millis(100)).await;
             let mut site = lock(&self.site);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -47,7 +47,7 @@
         Box::pin(async { Ok(vec![machine_type()]) })
     }
 
-    fn rent(&self, _: ProvisionRequest) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
+    fn provision(&self, _: ProvisionRequest) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
         Box::pin(async { Err(CloudError::NoCapacity) })
     }
 
