--- a/src/admission_limit.rs
+++ b/src/admission_limit.rs
@@ -115,7 +115,7 @@
         self.is_measured = true;
     }
 
-    /// The request was refused for other reasons: its time says nothing.
+    /// The request was refused for other reasons: its time is not measured.
     pub fn discard(self) {}
 }
 
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -19,7 +19,7 @@
 /// The most machines that one provision request may ask for.
 pub const MAX_PROVISIONED_MACHINES: u32 = 50;
 
-/// The part of the body of a 503 that says that the cloud has no such machines now.
+/// The part of the body of a 503 by which the cloud refuses for want of machines.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
 /// The machines on one page of the machine list.
--- a/src/election.rs
+++ b/src/election.rs
@@ -27,7 +27,7 @@
 /// The version of a key that doesn't exist.
 const ABSENT: u64 = 0;
 
-/// What an election needs of the controller that stands in it. `version` is the
+/// What an election needs of a candidate, which is a controller. `version` is the
 /// version of the leader record, which identifies a term.
 pub trait Candidate: Send + Sync + 'static {
     /// The controller's settings.
@@ -175,7 +175,7 @@
     match candidate.state().multi(&transaction).await {
         Ok(revision) => candidate.apply_committed(&transaction.writes, revision),
         Err(error) => {
-            // Lost, or unsure: the watch cache tells who leads. An unsure attempt
+            // Lost, or unsure: the watch cache shows who leads. An unsure attempt
             // of this process that succeeded appears there with its incarnation.
             if matches!(error, StateError::Refused(_) | StateError::Rejected(_)) {
                 sleep(lease_duration / 8).await;
@@ -270,7 +270,7 @@
     // It lets a successor start at once. After a loss this frees nothing that is
     // still this leader's.
     let _ = candidate.state().drop_lease(record.lease).await;
-    // The record must not look like an own one at the next election.
+    // The record must not pass for an own one at the next election.
     while lock(candidate.watch_cache()).lead.as_ref().is_some_and(|(v, _)| *v == version) {
         if candidate.refresh().await.is_err() {
             sleep(candidate.settings().leader_lease() / 8).await;
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -75,7 +75,10 @@
         }
     }
 
-    /// Reads a body whole, or says at once that there is no room for it.
+    /// Reads a body whole, or fails at once if there is no room for it.
+    ///
+    /// # Errors
+    /// The body is too long, did not arrive in time, or exceeds the budget.
     pub async fn read<B>(&self, sender: Sender, body: B) -> Result<ReadBody, BodyError>
     where
         B: Body<Data = Bytes>,
--- a/src/http/routes.rs
+++ b/src/http/routes.rs
@@ -41,7 +41,7 @@
     };
     let reply = request.await;
     match &reply {
-        // Refusals come fast and would make a slow service look quick.
+        // Refusals come fast and would make a slow service seem quick.
         Err(_) => permit.discard(),
         Ok(_) => permit.finish(),
     }
--- a/src/node/cloud_loop.rs
+++ b/src/node/cloud_loop.rs
@@ -54,7 +54,7 @@
 
 /// Reads the machine types and the machine list periodically.
 pub(super) async fn run_cloud_loop(node: Arc<Node>, version: u64) {
-    // The list is as old as its lag; reading it more often than that tells
+    // The list is as old as its lag; reading it more often than that brings
     // little, and never more than a few times per heartbeat interval.
     let interval = Duration::from_secs_f64(node.settings.cluster.cloud.list_lag_s / 2.0)
         .max(node.settings.heartbeat_interval() * MIN_LIST_INTERVALS);
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -47,7 +47,7 @@
     pub peers: Peers,
     /// Notified whenever the leader record or this node's term may have changed.
     pub leadership_changed: Notify,
-    /// Drawn at each start, so that a node tells its predecessors from itself.
+    /// Drawn at each start, so that a node distinguishes its predecessors from itself.
     pub incarnation: u64,
     pub(super) rng: Mutex<StdRng>,
     pub(super) writer: Arc<Writer>,
@@ -79,7 +79,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let settings = Arc::new(settings);
         let requests =
-            Arc::new(Budget::new(settings.share(settings.state_limits().requests_per_s, false)));
+            Arc::new(Budget::new(settings.follower_share(settings.state_limits().requests_per_s)));
         let writer = Arc::new(state::writer(state.clone(), &settings, requests.clone()));
         // Users wait a second at ease; half of a heartbeat interval is a ratio
         // to how time runs here.
--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -1,8 +1,8 @@
 //! Internal jobs: those that another part of this process submits and cancels itself.
 //!
 //! Each has a marker among that part's records, written in the transaction that
-//! accepts the job, so that a user's job with the same id is told from an internal
-//! one. Both transactions are conditioned on the record that the part decided on:
+//! accepts the job, so that an internal job is not confused with a user's job of the
+//! same id. Both transactions are conditioned on the record that the part decided on:
 //! whoever was replaced meanwhile is refused by the state service.
 
 use tracing::info;
@@ -115,7 +115,7 @@
             Err(StateError::Conflict(keys)) if keys.contains(&fence.key) => {
                 Ok(InternalJobReply::Stale)
             }
-            // It ended by itself, or an earlier attempt was carried out: asked again.
+            // It ended by itself, or an earlier attempt was carried out: the caller retries.
             Err(_) => Err(Unavailable::State),
         }
     }
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -20,8 +20,8 @@
         lock(&self.peers.abstentions).begin_term();
         *lock(&self.term) = Some(Term::new(version, tokens));
         let limits = self.settings.state_limits();
-        self.requests.set_rate(self.settings.share(limits.requests_per_s, true));
-        self.writer.set_write_rate(self.settings.share(limits.writes_per_s, true));
+        self.requests.set_rate(self.settings.leader_share(limits.requests_per_s));
+        self.writer.set_write_rate(self.settings.leader_share(limits.writes_per_s));
     }
 
     /// The term is over: this node has a follower's share of the limits again.
@@ -31,8 +31,8 @@
             *term = None;
         }
         let limits = self.settings.state_limits();
-        self.requests.set_rate(self.settings.share(limits.requests_per_s, false));
-        self.writer.set_write_rate(self.settings.share(limits.writes_per_s, false));
+        self.requests.set_rate(self.settings.follower_share(limits.requests_per_s));
+        self.writer.set_write_rate(self.settings.follower_share(limits.writes_per_s));
     }
 
     /// Gives up leadership, since a worker has seen a higher fencing token.
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -151,7 +151,7 @@
     node.with_leader(version, |leader| {
         info!("{}", leader.summary(Instant::now()));
         if leader.outnumbered() {
-            warn!("cluster.quota.fd_limit: more machines than sockets for them");
+            warn!("fewer sockets than machines: cluster.quota.fd_limit is too low");
         }
     });
 }
@@ -176,7 +176,7 @@
             Err(StateError::Refused(_)) => tokio::time::sleep(retry_interval).await,
             Err(StateError::Rejected(reason)) => {
                 // Tried again only after a while, in case its content is
-                // another by then. It says nothing of who leads.
+                // another by then. A rejection is no sign that another controller leads.
                 error!(%reason, kind = ?commit.kind, "write rejected by the state service");
                 tokio::time::sleep(node.settings.worker_lease()).await;
                 break CommitOutcome::NotCommitted;
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -93,12 +93,12 @@
     /// Records a read that was requested at `requested_at` and was answered.
     fn record_read(&self, requested_at: Instant) {
         lock(&self.peers.cancellation_watermarks).record_read(requested_at);
-        self.state_health.record(true);
+        self.state_health.record_answer();
     }
 
     /// Records a read that failed.
     fn record_failed_read(&self) {
-        self.state_health.record(false);
+        self.state_health.record_failure();
     }
 
     /// Reads all records, and then what changed while they were read.
@@ -178,7 +178,7 @@
 /// fetched together. `requests`: how many of this node's requests to the state service
 /// pass between them.
 fn spacing(node: &Node, requests: f64) -> Duration {
-    let rate = node.settings.share(node.settings.state_limits().requests_per_s, false);
+    let rate = node.settings.follower_share(node.settings.state_limits().requests_per_s);
     Duration::from_secs_f64(requests / rate)
 }
 
--- a/src/node/state_health.rs
+++ b/src/node/state_health.rs
@@ -6,29 +6,34 @@
 
 use crate::state::lock;
 
-/// How the latest request went, of those that tell whether the state service is there.
+/// The outcome of the latest read, by which the state service counts as reachable.
 pub(super) struct StateServiceHealth {
-    latest: Mutex<LatestRequest>,
+    latest: Mutex<LatestRead>,
 }
 
 #[derive(Clone, Copy)]
-struct LatestRequest {
+struct LatestRead {
     ended_at: Instant,
     answered: bool,
 }
 
 impl StateServiceHealth {
-    /// Nothing was asked yet: the service counts as not answering.
+    /// No request was made yet: the service counts as not answering.
     pub(super) fn new() -> Self {
-        Self { latest: Mutex::new(LatestRequest { ended_at: Instant::now(), answered: false }) }
+        Self { latest: Mutex::new(LatestRead { ended_at: Instant::now(), answered: false }) }
     }
 
-    /// Records that a request ended just now.
-    pub(super) fn record(&self, answered: bool) {
-        *lock(&self.latest) = LatestRequest { ended_at: Instant::now(), answered };
+    /// Records that a read was answered just now.
+    pub(super) fn record_answer(&self) {
+        *lock(&self.latest) = LatestRead { ended_at: Instant::now(), answered: true };
     }
 
-    /// Whether the latest request was answered, and that within this time.
+    /// Records that a read failed just now.
+    pub(super) fn record_failure(&self) {
+        *lock(&self.latest) = LatestRead { ended_at: Instant::now(), answered: false };
+    }
+
+    /// Whether the latest read was answered, and that within this time.
     pub(super) fn is_ok(&self, within: Duration) -> bool {
         let latest = *lock(&self.latest);
         latest.answered && latest.ended_at.elapsed() < within
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -142,7 +142,7 @@
             return Ok(Some(reply));
         }
         // A conflict, and no such job: a dependency has ended meanwhile. Unsure, and no
-        // such job: it may still appear; the user's retry tells.
+        // such job: it may still appear; the user's retry will show.
         if matches!(error, StateError::Conflict(_)) { Ok(None) } else { Err(Unavailable::State) }
     }
 
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether there is no leader for this worker, but soon may be: nobody leads,
-    /// or the leader says that it lost its workers. Not while the state service is
+    /// or the leader reports that it lost its workers. Not while the state service is
     /// away, for then nobody can be elected.
     fn expects_successor(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let leads = self.leads();
@@ -67,7 +67,7 @@
         let watch_cache = lock(&self.watch_cache);
         let (_, record) = watch_cache.lead.as_ref()?;
         // A worker that knows this leader and comes here could not reach it. Redirected
-        // to one that says itself that it receives hardly any heartbeats, it would wait
+        // to one that itself reports hardly any worker heartbeats, it would wait
         // for a whole time-out there while its lease runs out. It tries the next
         // controller, and finds the successor.
         let knows_leader = heartbeat.token >= record.token;
@@ -111,7 +111,7 @@
         }))
     }
 
-    /// Answers a worker while nobody can lead, see `lease_renewal.rs`.
+    /// Answers a worker while nobody can lead, see `lease_renewal`.
     fn renew_as_follower(
         &self,
         heartbeat: &WorkerHeartbeat,
--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -7,8 +7,8 @@
 
 /// The frame length in bytes that every version receives. A heartbeat is a few
 /// dozen bytes, and some dozens more for each cancellation in it; a longer frame
-/// is not one of ours. A controller that receives longer frames says so in its
-/// own messages.
+/// is not one of ours. A controller that receives longer frames announces it
+/// in its messages.
 pub const MIN_FRAME_LIMIT: usize = 64 * 1024;
 
 /// An upper bound on the bytes of one cancellation in a frame.
@@ -27,6 +27,19 @@
     (cancellations * MAX_CANCELLATION_BYTES + MAX_OVERHEAD_BYTES).max(MIN_FRAME_LIMIT)
 }
 
+/// A section of a frame: a body in bitcode, whose struct depends on the kind.
+#[derive(bitcode::Encode, bitcode::Decode)]
+struct Section {
+    kind: u8,
+    body: Vec<u8>,
+}
+
+impl Section {
+    fn new<T: bitcode::Encode>(kind: u8, content: &T) -> Self {
+        Self { kind, body: bitcode::encode(content) }
+    }
+}
+
 const HEARTBEAT_SECTION: u8 = 1;
 const CANCELLATIONS_SECTION: u8 = 2;
 pub(super) const FEATURES_SECTION: u8 = 3;
@@ -58,19 +71,18 @@
     }
 }
 
-/// The frame of a message. This outer form, a list of pairs of a kind and a
-/// body, never changes.
+/// The frame of a message. This outer form, a list of sections, never changes.
 pub fn encode(message: Message) -> Vec<u8> {
     let Message { mut heartbeat, features, frame_limit, worker_contact } = message;
     let cancellations = heartbeat.cancellations.take();
-    let mut sections = vec![(HEARTBEAT_SECTION, bitcode::encode(&heartbeat))];
-    sections.extend(cancellations.map(|notice| (CANCELLATIONS_SECTION, bitcode::encode(&notice))));
-    sections.push((FEATURES_SECTION, bitcode::encode(&features)));
+    let mut sections = vec![Section::new(HEARTBEAT_SECTION, &heartbeat)];
+    sections.extend(cancellations.map(|notice| Section::new(CANCELLATIONS_SECTION, &notice)));
+    sections.push(Section::new(FEATURES_SECTION, &features));
     if frame_limit > MIN_FRAME_LIMIT {
-        sections.push((FRAME_LIMIT_SECTION, bitcode::encode(&(frame_limit as u64))));
+        sections.push(Section::new(FRAME_LIMIT_SECTION, &(frame_limit as u64)));
     }
     if worker_contact.lost {
-        sections.push((WORKER_CONTACT_SECTION, bitcode::encode(&worker_contact)));
+        sections.push(Section::new(WORKER_CONTACT_SECTION, &worker_contact));
     }
     bitcode::encode(&sections)
 }
@@ -78,21 +90,21 @@
 /// Reads the sections that this version knows. A section that can't be read
 /// counts as absent. None if there is no readable heartbeat.
 pub fn decode(frame: &[u8]) -> Option<Message> {
-    let sections: Vec<(u8, Vec<u8>)> = bitcode::decode(frame).ok()?;
-    let section = |kind: u8| sections.iter().find(|(k, _)| *k == kind).map(|(_, body)| body);
-    let mut heartbeat: ControllerHeartbeat = bitcode::decode(section(HEARTBEAT_SECTION)?).ok()?;
-    heartbeat.cancellations =
-        section(CANCELLATIONS_SECTION).and_then(|body| bitcode::decode(body).ok());
-    let features = section(FEATURES_SECTION).and_then(|body| bitcode::decode(body).ok());
-    let limit: Option<u64> =
-        section(FRAME_LIMIT_SECTION).and_then(|body| bitcode::decode(body).ok());
-    let frame_limit = limit.and_then(|bytes| usize::try_from(bytes).ok()).unwrap_or(0);
-    let worker_contact =
-        section(WORKER_CONTACT_SECTION).and_then(|body| bitcode::decode(body).ok());
+    let sections: Vec<Section> = bitcode::decode(frame).ok()?;
+    let mut heartbeat: ControllerHeartbeat = content(&sections, HEARTBEAT_SECTION)?;
+    heartbeat.cancellations = content(&sections, CANCELLATIONS_SECTION);
+    let frame_limit: Option<u64> = content(&sections, FRAME_LIMIT_SECTION);
+    let frame_limit = frame_limit.and_then(|bytes| usize::try_from(bytes).ok()).unwrap_or(0);
     Some(Message {
         heartbeat,
-        features: features.unwrap_or_default(),
+        features: content(&sections, FEATURES_SECTION).unwrap_or_default(),
         frame_limit: frame_limit.max(MIN_FRAME_LIMIT),
-        worker_contact: worker_contact.unwrap_or_default(),
+        worker_contact: content(&sections, WORKER_CONTACT_SECTION).unwrap_or_default(),
     })
 }
+
+/// The content of the first section of a kind, if it can be read.
+fn content<T: bitcode::DecodeOwned>(sections: &[Section], kind: u8) -> Option<T> {
+    let section = sections.iter().find(|section| section.kind == kind)?;
+    bitcode::decode(&section.body).ok()
+}
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -4,7 +4,7 @@
 //! A heartbeat carries no authority. It lets a superseded leader learn of its
 //! successor, a node that alone lost the state service learn that it is the only
 //! one, a leader know that nobody else renews workers' leases
-//! (`lease_renewal.rs`), and a leader that receives no worker heartbeats learn
+//! (`lease_renewal`), and a leader that receives no worker heartbeats learn
 //! that the workers live.
 //!
 //! `frames` encodes and decodes messages, `links` sends and receives them, and
--- a/src/peers/peer_status.rs
+++ b/src/peers/peer_status.rs
@@ -14,16 +14,16 @@
     protocol::{ControllerHeartbeat, Features, WorkerContact},
 };
 
-/// What one other controller has said of itself. A section that its version
-/// doesn't send leaves the default.
+/// What one other controller has reported. A section that its version doesn't
+/// send leaves the default.
 struct PeerStatus {
     latest_heartbeat: Option<ReceivedHeartbeat>,
-    /// It has said once that it supports small pages, and does so for good.
+    /// It has reported once that it supports small pages; it does so for good.
     supports_small_pages: bool,
     /// The longest frame that it receives, in bytes, by its latest message.
     frame_limit: usize,
-    /// When it last said that it leads and receives hardly any worker heartbeats;
-    /// none once it says otherwise.
+    /// When it last reported that it leads and receives hardly any worker heartbeats;
+    /// none once it reports otherwise.
     lost_workers_at: Option<Instant>,
 }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether a member said within this time that it leads and receives hardly
+    /// Whether a member reported within this time that it leads and receives hardly
     /// any worker heartbeats.
     pub fn reported_lost_workers(&self, member: &str, within: Duration) -> bool {
         let lost_workers_at = lock(&self.statuses).get(member).and_then(|s| s.lost_workers_at);
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -62,9 +62,9 @@
     let longest = "j-99999999999999999999".to_owned();
     for noticed in [MIN_NOTICED_CANCELLATIONS, 4_400, 100_000] {
         let jobs = vec![(longest.clone(), u64::MAX, u32::MAX); noticed];
-        let told = CancellationNotice { since: u64::MAX, all: false, jobs };
+        let notice = CancellationNotice { since: u64::MAX, all: false, jobs };
         let limit = frame_limit_for(noticed);
-        let heartbeat = ControllerHeartbeat { cancellations: Some(told), ..heartbeat() };
+        let heartbeat = ControllerHeartbeat { cancellations: Some(notice), ..heartbeat() };
         let frame = encode(Message::new(heartbeat, limit));
         assert!(frame.len() < limit, "{} of {limit}", frame.len());
         assert!(max_cancellations_per_frame(limit) >= noticed);
@@ -125,12 +125,12 @@
     let peers = Peers::new(Vec::new(), Duration::from_secs(3), 1);
     let lately = Duration::from_secs(3);
     for lost in [true, false] {
-        let said = Message {
+        let message = Message {
             worker_contact: WorkerContact { lost },
             ..Message::new(heartbeat(), MIN_FRAME_LIMIT)
         };
-        let read = decode(&encode(said.clone())).expect("a message");
-        assert_eq!(read, said);
+        let read = decode(&encode(message.clone())).expect("a message");
+        assert_eq!(read, message);
         peers.record_worker_contact("m-1", read.worker_contact);
         assert_eq!(peers.reported_lost_workers("m-1", lately), lost);
     }
@@ -138,9 +138,9 @@
 
 #[test]
 fn what_a_leader_says_of_its_workers_leaves_the_other_sections_as_they_are() {
-    let said = Message::new(heartbeat(), MIN_FRAME_LIMIT);
-    let plain = sections(&encode(said.clone()));
-    let lost = Message { worker_contact: WorkerContact { lost: true }, ..said };
+    let message = Message::new(heartbeat(), MIN_FRAME_LIMIT);
+    let plain = sections(&encode(message.clone()));
+    let lost = Message { worker_contact: WorkerContact { lost: true }, ..message };
     let mut with_it = sections(&encode(lost));
     assert_eq!(with_it.pop().map(|(kind, _)| kind), Some(WORKER_CONTACT_SECTION));
     assert_eq!(with_it, plain);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -351,16 +351,15 @@
         (self.cluster.quota.fd_limit as usize).saturating_sub(own).max(8)
     }
 
-    /// This node's fair share of a budget that all controllers live on. The
-    /// leader does most of the work, so it gets half.
-    pub fn share(&self, budget: f64, leads: bool) -> f64 {
-        if self.cluster.size == 1 {
-            budget
-        } else if leads {
-            budget / 2.0
-        } else {
-            budget / 2.0 / f64::from(self.cluster.size - 1)
-        }
+    /// A leader's share of a limit that all controllers keep together: half of it, since the
+    /// leader does most of the work.
+    pub fn leader_share(&self, limit: f64) -> f64 {
+        if self.cluster.size == 1 { limit } else { limit / 2.0 }
+    }
+
+    /// A follower's share of such a limit: an equal part of the other half.
+    pub fn follower_share(&self, limit: f64) -> f64 {
+        if self.cluster.size == 1 { limit } else { limit / 2.0 / f64::from(self.cluster.size - 1) }
     }
 
     /// What may be asked of the state service, now and after its limits fall.
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -28,7 +28,7 @@
         // Each controller asks by itself, without any user: renewals or reads
         // several times per leader lease, and a watch.
         let quiet = 8.0 / self.leader_lease().as_secs_f64();
-        let share = self.share(limits.requests_per_s, false);
+        let share = self.follower_share(limits.requests_per_s);
         if share < quiet {
             found.push(format!(
                 "cluster.state.rps: {:.1} requests a second are left for each of {} controllers, \
@@ -36,7 +36,7 @@
                 share, self.cluster.size
             ));
         }
-        let writes = self.share(limits.writes_per_s, false);
+        let writes = self.follower_share(limits.writes_per_s);
         if writes < 1.0 {
             found.push(format!(
                 "cluster.state.write_rps: {writes:.1} changes a second are left for each of {} \
@@ -120,7 +120,7 @@
         }
         let limits = self.state_limits();
         let rewritten = machines / self.worker_lease().as_secs_f64() / MACHINES_PER_WRITE;
-        let writes = self.share(limits.writes_per_s, true);
+        let writes = self.leader_share(limits.writes_per_s);
         if writes < rewritten {
             found.push(format!(
                 "cluster.state.write_rps: to start work on {machines} machines within a worker's \
