--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -6,17 +6,19 @@
 use super::Leader;
 use crate::{
     cloud::{DELETE_LIMIT, RENT_LIMIT},
-    fleet::{LeaseProof, Machine},
+    fleet::{Machine, MachineReturn, ReturnReason, TerminationProof},
     protocol::{ListedMachine, MachineId, MachineType, ProvisionRequest},
     scheduler::Resources,
 };
 
 impl Leader {
-    pub(super) fn return_machines(&mut self, now: Instant, proof: LeaseProof) {
+    pub(super) fn return_machines(&mut self, now: Instant, proof: TerminationProof) {
         let types = self.types.clone();
         let boot = |kind: &str| types.iter().find(|t| &*t.name == kind).map_or(60.0, |t| t.boot_s);
-        for (id, reason) in self.fleet.to_delete(&self.settings, boot, proof, now) {
-            self.delete(&id, reason, now);
+        for MachineReturn { machine, reason } in
+            self.fleet.machines_to_return(&self.settings, boot, proof, now)
+        {
+            self.delete(&machine, reason, now);
         }
         self.note_spot_load(now);
         let (spare, spare_spot) = (self.spare_machines(), self.spare_spot());
@@ -30,7 +32,7 @@
             .fleet
             .machines
             .iter()
-            .filter(|(_, m)| m.bound.is_empty() && !m.deleting && m.heard())
+            .filter(|(_, m)| m.bound.is_empty() && !m.deleting && m.has_reported())
             .filter_map(|(id, m)| {
                 let since = m.idle_since?.max(back);
                 let wait = boot(&m.machine_type) * self.settings.operator.idle_boots;
@@ -47,11 +49,11 @@
                 *keep -= 1;
                 continue;
             }
-            self.delete(&id, "it is idle", now);
+            self.delete(&id, ReturnReason::Idle, now);
         }
         let keep = Duration::from_secs_f64(self.settings.cluster.cloud.list_lag_s * 10.0)
             + self.settings.worker_lease() * 10;
-        self.fleet.forget_gone(now, keep);
+        self.fleet.forget_deleted(now, keep);
     }
 
     /// Room on ordinary machines kept ready for what may come: empty machines
@@ -131,8 +133,8 @@
         let free = |m: &Machine| {
             let kind = self.types.iter().find(|t| t.name == m.machine_type)?;
             let mut used = Resources::default();
-            for (id, _) in &m.bound {
-                let job = self.jobs.get(id)?;
+            for key in &m.bound {
+                let job = self.jobs.get(&key.job)?;
                 used.add(&Resources::of_task(&job.spec));
             }
             Some((1.0 - used.share_of(&Resources::of_type(kind))).max(0.0))
@@ -141,14 +143,14 @@
         held.filter_map(free).sum()
     }
 
-    pub(super) fn delete(&mut self, id: &MachineId, reason: &str, now: Instant) {
+    pub(super) fn delete(&mut self, id: &MachineId, reason: ReturnReason, now: Instant) {
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         if machine.deleting {
             return;
         }
         machine.deleting = true;
         info!(
-            machine = %id, zone = %machine.zone, spot = machine.spot, reason,
+            machine = %id, zone = %machine.zone, spot = machine.spot, reason = reason.as_str(),
             silent_s = machine.silence(now).as_secs_f64(), "returning a machine"
         );
         self.deletions.push(id.clone());
@@ -170,7 +172,7 @@
             }
             self.rental_count += 1;
             let rental = ProvisionRequest {
-                // The token is this leadership's alone, so no name is used twice.
+                // The token is this leadership's sole_renewer_since, so no name is used twice.
                 request: format!("r-{}-{}", self.tokens.first(), self.rental_count),
                 machine_type: t.name.clone(),
                 zone: zone.clone(),
@@ -207,7 +209,7 @@
             }
         }
         for id in machines {
-            if self.fleet.gone.contains_key(&id) {
+            if self.fleet.deleted_machines.contains_key(&id) {
                 continue;
             }
             self.fleet.machines.entry(id).or_insert_with(|| {
@@ -229,7 +231,7 @@
         for id in machines {
             self.lose_incarnations(id, u64::MAX, now);
             self.fleet.machines.remove(id);
-            self.fleet.gone.insert(id.clone(), now);
+            self.fleet.deleted_machines.insert(id.clone(), now);
         }
         self.note_change();
     }
@@ -252,6 +254,6 @@
                 self.note_change();
             }
         }
-        self.fleet.note_list(list, now);
+        self.fleet.record_list(list, now);
     }
 }
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -4,7 +4,10 @@
 use tokio::time::{Duration, Instant};
 
 use super::Leader;
-use crate::{fleet::Machine, protocol::MachineId};
+use crate::{
+    fleet::{Machine, ReturnReason},
+    protocol::MachineId,
+};
 
 /// When a job ended, as far as this controller knows.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +41,7 @@
         for job in self.jobs.values().filter(|j| j.ended.is_some()) {
             for binding in job.bound.values() {
                 let machine = self.fleet.machines.get(&binding.machine);
-                let away = |m: &Machine| m.reported.is_none_or(|at| now > at + silent);
+                let away = |m: &Machine| m.last_heartbeat.is_none_or(|at| now > at + silent);
                 if machine
                     .is_some_and(|m| away(m) && !m.address.is_empty() && !m.commands_in_flight)
                 {
@@ -58,7 +61,7 @@
         let lease = self.settings.worker_lease();
         let kept_alive = |id: &MachineId| {
             let machine = self.fleet.machines.get(id);
-            machine.and_then(|m| m.reported).is_some_and(|at| now < at + lease)
+            machine.and_then(|m| m.last_heartbeat).is_some_and(|at| now < at + lease)
         };
         let mut late = Vec::new();
         for job in self.jobs.values() {
@@ -68,7 +71,7 @@
             }
         }
         for id in late {
-            self.delete(&id, "a cancelled task can't be stopped", now);
+            self.delete(&id, ReturnReason::UnstoppableTask, now);
         }
     }
 
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -105,17 +105,17 @@
         grace_s: f64,
         now: Instant,
     ) -> LendableMachine {
-        let mut jobs: Vec<JobId> = machine.bound.iter().map(|(job, _)| job.clone()).collect();
+        let mut jobs: Vec<JobId> = machine.bound.iter().map(|key| key.job.clone()).collect();
         jobs.dedup();
         let residents = jobs.iter().filter_map(|id| self.jobs.get(id));
         let residents: Vec<&Job> = residents.collect();
-        let ready = machine.ready(now, self.settings.heartbeat_interval());
+        let ready = machine.is_ready(now, self.settings.heartbeat_interval());
         let lendable = |job: &&Job| {
             let outside = inside.get(&job.spec.id) == Some(&false);
             outside && is_revocable(&job.spec, grace_s) && is_on_one_machine(job)
         };
         let all = ready
-            && machine.strangers == Resources::default()
+            && machine.unmanaged == Resources::default()
             && residents.len() == jobs.len()
             && residents.iter().all(lendable);
         let first = residents.first().filter(|_| all);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -33,7 +33,7 @@
 
 use cancellations::Ended;
 use direct_commands::CommandQueue;
-pub use direct_commands::{DirectOutcome, DirectRequest, OpenStarts};
+pub use direct_commands::{DirectOutcome, DirectRequest};
 use job::{Binding, Job, Stop};
 pub use lending::{LendableMachine, LendingView, LentWork, WaitingJob};
 pub use summary::WorkCounters;
@@ -41,7 +41,7 @@
 
 use crate::{
     fencing::TermTokens,
-    fleet::{Fleet, LeaseProof, Machine, TaskKey},
+    fleet::{Fleet, Machine, TaskKey, TerminationProof},
     protocol::{JobId, JobSpec, MachineId, MachineType, ProvisionRequest, Shape},
     scheduler::{Reservation, TeamUse},
     settings::Settings,
@@ -206,9 +206,11 @@
                     // The type is learned from the list or the first report.
                     Machine::new(Arc::from(""), zone.unwrap_or_default(), false, now)
                 });
-                known.bound.insert((id.clone(), task));
+                known.bound.insert(TaskKey { job: id.clone(), task });
                 // What a former leader fetched there is known by what runs.
-                known.images.note(&job.spec.image, job.spec.image_gb, f64::INFINITY, |_| true);
+                known
+                    .images
+                    .record_use(&job.spec.image, job.spec.image_gb, f64::INFINITY, |_| true);
                 let binding = Binding {
                     machine,
                     attempt,
@@ -309,15 +311,15 @@
     /// Called when something happened, and when `next_tick` says so. What needs
     /// a look over all machines or jobs is done a few times per heartbeat interval
     /// only, since events come far more often.
-    /// `alone`: since when surely no other controller has answered workers.
-    pub fn tick(&mut self, now: Instant, paused: bool, alone: Option<Instant>) {
+    /// `sole_renewer_since`: since when surely no other controller has answered workers.
+    pub fn tick(&mut self, now: Instant, paused: bool, sole_renewer_since: Option<Instant>) {
         self.needs_tick = false;
         self.counters.ticks += 1;
         let care = now >= self.next_sweep;
         if care {
             self.counters.sweeps += 1;
             self.next_sweep = now + self.settings.heartbeat_interval() / 8;
-            self.expire_incarnations(now, alone);
+            self.expire_incarnations(now, sole_renewer_since);
             self.drain(now);
             self.stop_cancelled_directly(now);
             for key in std::mem::take(&mut self.stop_later) {
@@ -336,9 +338,9 @@
         let lease = self.settings.worker_lease();
         let unpaused = *self.unpaused.get_or_insert(now);
         if care {
-            let provable =
-                alone.is_some_and(|since| now > since + lease) || now < unpaused + lease * 2;
-            self.return_machines(now, LeaseProof { provable, alone });
+            let provable = sole_renewer_since.is_some_and(|since| now > since + lease)
+                || now < unpaused + lease * 2;
+            self.return_machines(now, TerminationProof { provable, sole_renewer_since });
             for job in self.jobs.values_mut().filter(|j| j.held_until.is_some_and(|t| t <= now)) {
                 job.held_until = None;
                 self.changed = true;
@@ -364,19 +366,20 @@
     }
 
     /// Incarnations that ended by themselves, with proof of it.
-    fn expire_incarnations(&mut self, now: Instant, alone: Option<Instant>) {
+    fn expire_incarnations(&mut self, now: Instant, sole_renewer_since: Option<Instant>) {
         let lease = self.settings.worker_lease();
         // A machine that this leader never heard has the incarnations that the
         // records name.
-        let recorded = |key: &TaskKey| Some(self.jobs.get(&key.0)?.bound.get(&key.1)?.incarnation);
+        let recorded =
+            |key: &TaskKey| Some(self.jobs.get(&key.job)?.bound.get(&key.task)?.incarnation);
         let over: Vec<(MachineId, u64)> = self
             .fleet
             .machines
             .iter()
-            .filter(|(_, m)| m.lease_over(now, lease, alone))
+            .filter(|(_, m)| m.lease_expired(now, lease, sole_renewer_since))
             .filter_map(|(id, m)| {
                 let recorded = m.bound.iter().filter_map(recorded).max();
-                let incarnation = m.seen.0.max(recorded.unwrap_or(0));
+                let incarnation = m.latest_heartbeat.incarnation.max(recorded.unwrap_or(0));
                 (incarnation > m.dead_incarnation).then(|| (id.clone(), incarnation))
             })
             .collect();
@@ -394,9 +397,9 @@
         let heartbeat_interval = self.settings.heartbeat_interval();
         let mut stops = Vec::new();
         for machine in self.fleet.machines.values() {
-            let Some(until) = machine.notice_until else { continue };
+            let Some(until) = machine.reclaim_at else { continue };
             for key in &machine.bound {
-                let Some(job) = self.jobs.get(&key.0) else { continue };
+                let Some(job) = self.jobs.get(&key.job) else { continue };
                 let needed = Duration::from_secs_f64(job.grace_s()) + heartbeat_interval * 4;
                 // A notice may run half as long as it says.
                 if job.spec.checkpoint_s <= 0.0
@@ -413,12 +416,12 @@
 
     /// Decides to stop a task; of a gang, all tasks.
     fn stop(&mut self, key: &TaskKey, at_once: bool, now: Instant) {
-        let Some(job) = self.jobs.get_mut(&key.0) else { return };
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let grace_s = if at_once { 0.0 } else { job.grace_s() };
         let stop = Stop { since: now, grace_s };
         let gang = job.spec.shape == Shape::Gang;
         for (task, binding) in &mut job.bound {
-            if (gang || *task == key.1) && binding.stop.is_none() {
+            if (gang || *task == key.task) && binding.stop.is_none() {
                 binding.stop = Some(stop);
                 self.needs_command.push(binding.machine.clone());
             }
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -174,14 +174,18 @@
         let machines = &self.fleet.machines;
         LongestNames {
             machine_bytes: machines.keys().map(|id| id.len()).max().unwrap_or(0),
-            incarnation: machines.values().map(|machine| machine.seen.0).max().unwrap_or(0),
+            incarnation: machines
+                .values()
+                .map(|machine| machine.latest_heartbeat.incarnation)
+                .max()
+                .unwrap_or(0),
         }
     }
 
     /// Notes that the page of a task has to be written.
     pub(super) fn mark_page(&mut self, key: &TaskKey) {
-        let Some(job) = self.jobs.get(&key.0) else { return };
-        let page = (key.0.clone(), job.page_of(key.1));
+        let Some(job) = self.jobs.get(&key.job) else { return };
+        let page = (key.job.clone(), job.page_of(key.task));
         self.oversized.remove(&page);
         self.dirty.insert(page);
     }
@@ -201,8 +205,8 @@
     /// Whether what is known of a task is not durable yet.
     pub(super) fn unwritten(&self, key: &TaskKey) -> bool {
         let page_tasks =
-            self.jobs.get(&key.0).map_or(self.settings.page_tasks(), |job| job.page_tasks);
-        let page = (key.0.clone(), key.1 / page_tasks);
+            self.jobs.get(&key.job).map_or(self.settings.page_tasks(), |job| job.page_tasks);
+        let page = (key.job.clone(), key.task / page_tasks);
         self.dirty.contains(&page)
             || self.inflight.contains(&page)
             || self.oversized.contains(&page)
@@ -228,7 +232,7 @@
         warn!(job = %key.0, page = key.1, surplus, "a page is too large to be written");
         self.oversized.insert(key.clone());
         for bound in content.bound.iter().rev().take(surplus) {
-            self.stop_later.insert((key.0.clone(), bound.task));
+            self.stop_later.insert(TaskKey { job: key.0.clone(), task: bound.task });
         }
         None
     }
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -8,7 +8,7 @@
 
 use super::{Binding, Job, Leader, pages::LongestNames, use_team};
 use crate::{
-    fleet::Machine,
+    fleet::{Machine, TaskKey},
     protocol::{JobId, JobSpec, MachineId, Shape},
     scheduler::{self, BoundView, JobView, MachineView, Resources, Snapshot},
 };
@@ -78,11 +78,11 @@
         }
         for stopping in decisions.stop {
             info!(job = %stopping.job, task = stopping.task, at_once = stopping.at_once, "stopped to make room");
-            self.stop(&(stopping.job, stopping.task), stopping.at_once, now);
+            self.stop(&TaskKey { job: stopping.job, task: stopping.task }, stopping.at_once, now);
         }
         for id in decisions.awaited {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                machine.idle_since = machine.heard().then_some(now);
+                machine.idle_since = machine.has_reported().then_some(now);
             }
         }
         self.rent(decisions.rent);
@@ -93,7 +93,7 @@
     pub(super) fn settled(&self, now: Instant) -> bool {
         let machines = self.fleet.machines.values();
         now > self.started + self.settings.worker_lease() / 2
-            || machines.filter(|m| !m.bound.is_empty()).all(Machine::heard)
+            || machines.filter(|m| !m.bound.is_empty()).all(Machine::has_reported)
     }
 
     fn machine_views(&self, now: Instant) -> Vec<MachineView> {
@@ -104,23 +104,24 @@
                 continue;
             };
             let Some(zone) = self.settings.zone_index(&machine.zone) else { continue };
-            let ready = machine.ready(now, heartbeat_interval);
+            let ready = machine.is_ready(now, heartbeat_interval);
             // A boot that is overdue may take several times as long, or never
             // end: nothing should count on it any more.
             let due = Duration::from_secs_f64(self.types[kind].boot_s * OVERDUE_BOOTS);
-            let booting = machine.unborn() && machine.silence(now) < due;
-            let coming = (booting || self.fleet.comes_back(machine)) && !machine.deleting;
+            let booting = machine.never_reported() && machine.silence(now) < due;
+            let coming =
+                (booting || self.fleet.is_awaiting_reconnection(machine)) && !machine.deleting;
             if !ready && !coming {
                 continue;
             }
             let mut free = Resources::of_type(&self.types[kind]);
-            free.sub(&machine.strangers);
-            let mut stopping = machine.strangers;
+            free.sub(&machine.unmanaged);
+            let mut stopping = machine.unmanaged;
             for key in &machine.bound {
-                let Some(job) = self.jobs.get(&key.0) else { continue };
+                let Some(job) = self.jobs.get(&key.job) else { continue };
                 let need = Resources::of_task(&job.spec);
                 free.sub(&need);
-                let stops = job.bound.get(&key.1).is_some_and(|b| b.stop.is_some());
+                let stops = job.bound.get(&key.task).is_some_and(|b| b.stop.is_some());
                 if stops || job.ended.is_some() {
                     stopping.add(&need);
                 }
@@ -209,7 +210,7 @@
     fn avoided(&self, job: &Job) -> Vec<MachineId> {
         let open = |id: &&MachineId| {
             let machine = self.fleet.machines.get(*id);
-            machine.is_some_and(|m| m.open_starts.holds_job(&job.spec.id))
+            machine.is_some_and(|m| m.open_starts.contains_job(&job.spec.id))
         };
         job.avoid.iter().chain(job.lingers_on.iter().filter(open)).cloned().collect()
     }
@@ -237,7 +238,7 @@
             }
             let Some(machine) = self.fleet.machines.get_mut(&machine_id) else { continue };
             // An earlier attempt may still start there, and would meet this one.
-            if machine.open_starts.holds_task(&(id.clone(), task)) {
+            if machine.open_starts.contains_task(&TaskKey { job: id.clone(), task }) {
                 continue;
             }
             let Some(zone) = self.settings.zone_index(&machine.zone) else { continue };
@@ -250,7 +251,7 @@
             let binding = Binding {
                 machine: machine_id.clone(),
                 attempt: job.attempt,
-                incarnation: machine.seen.0,
+                incarnation: machine.latest_heartbeat.incarnation,
                 zone,
                 durable: false,
                 sent: 0,
@@ -269,7 +270,7 @@
                 job.next += 1;
             }
             use_team(&mut self.usage, &job.spec, 1.0);
-            machine.bound.insert((id.clone(), task));
+            machine.bound.insert(TaskKey { job: id.clone(), task });
             machine.idle_since = None;
             let spec = job.spec.clone();
             let kind = self.types.iter().find(|t| t.name == machine.machine_type);
@@ -277,11 +278,11 @@
             let jobs = &self.jobs;
             let bound = &machine.bound;
             let used = |image: &Arc<str>| {
-                let mut here = bound.iter().filter_map(|(job, _)| jobs.get(job));
+                let mut here = bound.iter().filter_map(|key| jobs.get(&key.job));
                 here.any(|job| job.spec.image == *image)
             };
-            machine.images.note(&spec.image, spec.image_gb, cache_gb, used);
-            self.mark_page(&(id, task));
+            machine.images.record_use(&spec.image, spec.image_gb, cache_gb, used);
+            self.mark_page(&TaskKey { job: id, task });
         }
     }
 }
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -8,7 +8,7 @@
 
 use super::{Leader, Stop, Superseded, use_team};
 use crate::{
-    fleet::{Freshness, TaskKey, parse_task, task_name},
+    fleet::{Freshness, TaskKey},
     protocol::{
         CommandKind, ExitCause, MachineId, Shape, TaskCommand, TaskState, TaskStatus,
         WorkerHeartbeat,
@@ -25,9 +25,9 @@
     ) -> Result<Vec<TaskCommand>, Superseded> {
         let commands = self.take_heartbeat(heartbeat, false, now)?;
         for command in commands.iter().filter(|o| o.op == CommandKind::Start) {
-            if let Some(key) = parse_task(&command.task)
+            if let Some(key) = TaskKey::parse(&command.task)
                 && let Some(binding) =
-                    self.jobs.get_mut(&key.0).and_then(|j| j.bound.get_mut(&key.1))
+                    self.jobs.get_mut(&key.job).and_then(|j| j.bound.get_mut(&key.task))
             {
                 binding.sent += 1;
             }
@@ -43,7 +43,7 @@
     ) -> Result<(), Superseded> {
         self.take_heartbeat(heartbeat, false, now)?;
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.sent_away = Some(now);
+            machine.redirected_at = Some(now);
         }
         Ok(())
     }
@@ -62,7 +62,7 @@
         }
         let was_ready = self.is_ready(&heartbeat.machine, now);
         let lease = self.settings.worker_lease();
-        match self.fleet.note_heartbeat(heartbeat, self.tokens, lease, now) {
+        match self.fleet.record_heartbeat(heartbeat, self.tokens, lease, now) {
             Freshness::Stale => return Ok(Vec::new()),
             Freshness::NewIncarnation => {
                 self.lose_incarnations(&heartbeat.machine, heartbeat.incarnation, now)
@@ -70,12 +70,12 @@
             Freshness::Newer => {}
         }
         if !direct && let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.reported = Some(now);
+            machine.last_heartbeat = Some(now);
         }
         let reported: HashMap<TaskKey, &TaskStatus> = heartbeat
             .tasks
             .iter()
-            .filter_map(|t| parse_task(&t.task).map(|key| (key, t)))
+            .filter_map(|t| TaskKey::parse(&t.task).map(|key| (key, t)))
             .collect();
         let bound: Vec<TaskKey> = self
             .fleet
@@ -93,7 +93,7 @@
         if self.is_ready(&heartbeat.machine, now) != was_ready {
             self.note_change();
         }
-        let mine = self.fleet.machines.get(&heartbeat.machine).is_some_and(|m| m.mine);
+        let mine = self.fleet.machines.get(&heartbeat.machine).is_some_and(|m| m.acknowledged_term);
         // A worker that has not shown this token yet may still carry out
         // older commands; it is told the token first, and commands next time.
         Ok(if mine { commands } else { Vec::new() })
@@ -103,7 +103,7 @@
         self.fleet
             .machines
             .get(machine)
-            .is_some_and(|m| m.ready(now, self.settings.heartbeat_interval()))
+            .is_some_and(|m| m.is_ready(now, self.settings.heartbeat_interval()))
     }
 
     /// One bound task against what the heartbeat says of it.
@@ -117,24 +117,24 @@
         now: Instant,
     ) {
         let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) else { return };
-        let mine = machine.mine;
-        let Some(job) = self.jobs.get_mut(&key.0) else { return };
+        let mine = machine.acknowledged_term;
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let ended = job.ended.is_some();
         let may_start = self.starts_allowed
-            && job.bound.get(&key.1).is_some_and(|binding| job.may_start(binding));
-        let Some(binding) = job.bound.get_mut(&key.1) else { return };
+            && job.bound.get(&key.task).is_some_and(|binding| job.may_start(binding));
+        let Some(binding) = job.bound.get_mut(&key.task) else { return };
         if binding.incarnation != heartbeat.incarnation {
             return;
         }
-        let may_still_start = direct || machine.open_starts.holds(key, binding.attempt);
+        let may_still_start = direct || machine.open_starts.contains(key, binding.attempt);
         match reported.filter(|t| t.attempt == binding.attempt) {
             Some(task) if task.state == TaskState::Exited => {
-                machine.deaf = 0;
+                machine.unacknowledged_commands = 0;
                 let cause = task.cause.unwrap_or(ExitCause::Error);
                 self.exited(key, cause, now);
             }
             Some(task) => {
-                machine.deaf = 0;
+                machine.unacknowledged_commands = 0;
                 binding.sent = 0;
                 binding.seen = true;
                 if task.state == TaskState::Running && binding.running_since.is_none() {
@@ -162,15 +162,14 @@
             }
             None if mine && !may_still_start && binding.sent >= 2 => {
                 // Told twice and still not there: the answers don't arrive.
-                machine.deaf += 1;
-                machine.shunned_until = Some(now + self.settings.worker_lease());
+                machine.record_unacknowledged_command(now + self.settings.worker_lease());
                 info!(machine = %heartbeat.machine, task = ?key, "the machine does not carry out orders");
                 self.gone(key, now);
             }
             None if mine && may_start && reported.is_none() && !ended && binding.stop.is_none() => {
                 commands.push(TaskCommand {
                     op: CommandKind::Start,
-                    task: task_name(&key.0, key.1),
+                    task: key.to_string(),
                     attempt: binding.attempt,
                     grace_s: None,
                 });
@@ -189,8 +188,8 @@
     ) {
         let mut strangers = Resources::default();
         for (key, task) in reported {
-            let job = self.jobs.get(&key.0);
-            let bound = job.and_then(|j| j.bound.get(&key.1)).is_some_and(|b| {
+            let job = self.jobs.get(&key.job);
+            let bound = job.and_then(|j| j.bound.get(&key.task)).is_some_and(|b| {
                 b.machine == heartbeat.machine
                     && b.incarnation == heartbeat.incarnation
                     && b.attempt == task.attempt
@@ -204,7 +203,7 @@
                 // While it is listed, a late start command has no effect.
                 let machine = self.fleet.machines.get(&heartbeat.machine);
                 let may_still_start =
-                    machine.is_some_and(|m| m.open_starts.holds(key, task.attempt));
+                    machine.is_some_and(|m| m.open_starts.contains(key, task.attempt));
                 if !finishing && !may_still_start && !self.unwritten(key) {
                     commands.push(TaskCommand {
                         op: CommandKind::Forget,
@@ -226,22 +225,22 @@
             }
         }
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.strangers = strangers;
+            machine.unmanaged = strangers;
         }
     }
 
     fn exited(&mut self, key: &TaskKey, cause: ExitCause, now: Instant) {
-        debug!(job = %key.0, task = key.1, ?cause, "task exited");
-        let Some(job) = self.jobs.get_mut(&key.0) else { return };
-        let Some(binding) = job.bound.get(&key.1) else { return };
+        debug!(job = %key.job, task = key.task, ?cause, "task exited");
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        let Some(binding) = job.bound.get(&key.task) else { return };
         let id = binding.machine.clone();
         match cause {
             ExitCause::Done => {
-                job.done.insert(key.1);
+                job.done.insert(key.task);
                 job.failures = 0;
                 if let Some(machine) = self.fleet.machines.get_mut(&id) {
                     machine.failed_jobs.clear();
-                    machine.shunned_until = None;
+                    machine.quarantined_until = None;
                 }
             }
             ExitCause::Error => self.failed(key, &id, now),
@@ -249,7 +248,7 @@
                 // What is known of the machine is wrong; its heartbeats will correct it.
                 let until = now + self.settings.heartbeat_interval() * 4;
                 if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                    machine.shunned_until = Some(until);
+                    machine.quarantined_until = Some(until);
                 }
             }
             ExitCause::Unknown => {
@@ -264,7 +263,7 @@
     /// fails everywhere; each is judged by how many of the other it met.
     fn failed(&mut self, key: &TaskKey, id: &MachineId, now: Instant) {
         let heartbeat_interval = self.settings.heartbeat_interval();
-        let Some(job) = self.jobs.get_mut(&key.0) else { return };
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
         job.failures += 1;
         if !job.avoid.contains(id) {
             job.avoid.push(id.clone());
@@ -275,32 +274,32 @@
         if mistaken {
             let wait = heartbeat_interval * 2_u32.saturating_pow(job.failures.min(6));
             job.held_until = Some(now + wait);
-            info!(job = %key.0, failures = job.failures, wait_s = wait.as_secs_f64(), "fails on every machine: waits");
+            info!(job = %key.job, failures = job.failures, wait_s = wait.as_secs_f64(), "fails on every machine: waits");
             for machine in std::mem::take(&mut job.avoid) {
                 if let Some(machine) = self.fleet.machines.get_mut(&machine) {
-                    machine.failed_jobs.remove(&key.0);
-                    machine.shunned_until = None;
+                    machine.failed_jobs.remove(&key.job);
+                    machine.quarantined_until = None;
                 }
             }
         } else if let Some(machine) = self.fleet.machines.get_mut(id) {
-            machine.failed_jobs.insert(key.0.clone());
+            machine.failed_jobs.insert(key.job.clone());
             let wait = heartbeat_interval * 5 * machine.failed_jobs.len() as u32;
-            machine.shunned_until = Some(now + wait);
-            info!(machine = %id, task = %task_name(&key.0, key.1), "a task failed: the machine rests");
+            machine.quarantined_until = Some(now + wait);
+            info!(machine = %id, task = %key.to_string(), "a task failed: the machine rests");
         }
     }
 
     /// There is proof that the task is not on its machine.
     fn gone(&mut self, key: &TaskKey, now: Instant) {
-        let Some(job) = self.jobs.get_mut(&key.0) else { return };
-        let Some(binding) = job.bound.remove(&key.1) else { return };
-        let done = job.done.contains(&key.1);
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        let Some(binding) = job.bound.remove(&key.task) else { return };
+        let done = job.done.contains(&key.task);
         if !done {
-            job.returned.insert(key.1);
+            job.returned.insert(key.task);
         }
         use_team(&mut self.usage, &job.spec, -1.0);
         if let Some(machine) = self.fleet.machines.get_mut(&binding.machine) {
-            if !done && machine.open_starts.holds_task(key) {
+            if !done && machine.open_starts.contains_task(key) {
                 job.lingers_on.insert(binding.machine.clone());
             }
             machine.bound.remove(key);
@@ -317,7 +316,7 @@
             }
         }
         if job.ended.is_some() || job.remaining() == 0 {
-            self.ending.insert(key.0.clone());
+            self.ending.insert(key.job.clone());
         }
         self.mark_page(key);
         self.note_change();
@@ -331,11 +330,11 @@
         for key in bound {
             let lost = self
                 .jobs
-                .get(&key.0)
-                .and_then(|j| j.bound.get(&key.1))
+                .get(&key.job)
+                .and_then(|j| j.bound.get(&key.task))
                 .is_some_and(|b| b.incarnation < incarnation);
             if lost {
-                info!(job = %key.0, task = key.1, machine = %id, "task lost with its machine's session");
+                info!(job = %key.job, task = key.task, machine = %id, "task lost with its machine's session");
                 self.gone(&key, now);
             }
         }
@@ -344,11 +343,11 @@
         }
     }
 
-    /// Whether this node alone seems cut off from the workers. Found out late,
+    /// Whether this node sole_renewer_since seems cut off from the workers. Found out late,
     /// a successor would have no time left to be found by them within their
     /// lease: they look for it only after an answer has failed to come.
     pub fn is_isolated_from_workers(&self, now: Instant) -> bool {
         now > self.started + self.settings.worker_lease()
-            && self.fleet.mostly_silent(now, self.settings.heartbeat_interval() * 5 / 2)
+            && self.fleet.is_mostly_silent(now, self.settings.heartbeat_interval() * 5 / 2)
     }
 }
--- a/src/controller/summary.rs
+++ b/src/controller/summary.rs
@@ -12,7 +12,7 @@
     pub reviewed: u64,
     /// Turns of the leader's loop.
     pub ticks: u64,
-    /// Looks over all machines and jobs for what time alone brings.
+    /// Looks over all machines and jobs for what time sole_renewer_since brings.
     pub sweeps: u64,
     pub passes: u64,
     /// Places weighed in them.
@@ -28,16 +28,16 @@
         // and what work that may use spot machines has of the latter.
         let (mut used, mut held, mut misplaced) = ([0.0; 2], [0.0; 2], 0.0);
         for machine in self.fleet.machines.values() {
-            if !machine.heard() {
+            if !machine.has_reported() {
                 booting += 1;
                 continue;
             }
-            ready += u32::from(machine.ready(now, heartbeat_interval));
+            ready += u32::from(machine.is_ready(now, heartbeat_interval));
             idle += u32::from(machine.bound.is_empty());
             let at = usize::from(!machine.spot);
             held[at] +=
                 self.types.iter().find(|t| t.name == machine.machine_type).map_or(0.0, |t| t.gpus);
-            for spec in machine.bound.iter().filter_map(|(job, _)| Some(&self.jobs.get(job)?.spec))
+            for spec in machine.bound.iter().filter_map(|key| Some(&self.jobs.get(&key.job)?.spec))
             {
                 used[at] += spec.gpus;
                 if spec.spot && !machine.spot {
--- a/src/fleet/image_cache.rs
+++ b/src/fleet/image_cache.rs
@@ -2,14 +2,24 @@
 
 use std::sync::Arc;
 
-/// The images that a machine holds with their sizes in GB, the latest used last.
+/// An image that a machine holds.
+#[derive(Debug)]
+struct CachedImage {
+    name: Arc<str>,
+    size_gb: f64,
+}
+
+/// The images that a machine holds, the most recently used last.
 #[derive(Debug, Default)]
-pub struct ImageCache(Vec<(Arc<str>, f64)>);
+pub struct ImageCache {
+    images: Vec<CachedImage>,
+}
 
 impl ImageCache {
-    /// Notes that a task uses an image. What then no longer fits the cache is
-    /// gone, the longest unused first, but not what tasks here use.
-    pub fn note(
+    /// Records that a task uses an image of `gb` gigabytes. What then no longer fits the
+    /// cache of `cache_gb` is evicted, the least recently used first, but not what tasks
+    /// here use.
+    pub fn record_use(
         &mut self,
         image: &Arc<str>,
         gb: f64,
@@ -17,21 +27,24 @@
         used: impl Fn(&Arc<str>) -> bool,
     ) {
         // Tasks of one array come to a machine by the hundred.
-        if self.0.last().is_some_and(|(latest, _)| latest == image) {
+        if self.images.last().is_some_and(|latest| latest.name == *image) {
             return;
         }
-        self.0.retain(|(held, _)| held != image);
-        self.0.push((image.clone(), gb));
-        let mut over = self.0.iter().map(|(_, gb)| gb).sum::<f64>() - cache_gb;
-        self.0.retain(|(held, gb)| {
-            let goes = over > 0.0 && held != image && !used(held);
-            over -= if goes { *gb } else { 0.0 };
-            !goes
+        self.images.retain(|held| held.name != *image);
+        self.images.push(CachedImage { name: image.clone(), size_gb: gb });
+        let mut over = self.images.iter().map(|held| held.size_gb).sum::<f64>() - cache_gb;
+        self.images.retain(|held| {
+            let evicted = over > 0.0 && held.name != *image && !used(&held.name);
+            over -= if evicted { held.size_gb } else { 0.0 };
+            !evicted
         });
     }
 
-    /// The names of the images, the latest used last.
+    /// The names of the images, the most recently used last.
     pub fn names(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.0.iter().map(|(image, _)| image)
+        self.images.iter().map(|held| &held.name)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -7,7 +7,7 @@
 use super::{HeartbeatReply, Node, Term};
 use crate::{
     controller::{DirectOutcome, DirectRequest},
-    fleet::parse_task,
+    fleet::TaskKey,
     protocol::{CommandKind, JobState, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat},
     state::lock,
 };
@@ -157,7 +157,7 @@
         // A job whose end is known is stopped: that is right under any token.
         let watch_cache = lock(&self.watch_cache);
         let ended = |t: &&TaskStatus| {
-            let job = parse_task(&t.task).and_then(|(job, _)| watch_cache.ends.get(&job));
+            let job = TaskKey::parse(&t.task).and_then(|key| watch_cache.ends.get(&key.job));
             t.state != TaskState::Exited && job.is_some_and(|e| e.state == JobState::Cancelled)
         };
         let stop = |t: &TaskStatus| TaskCommand {
