--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -65,7 +65,7 @@
     pub(super) fn spare(&self) -> (usize, f64) {
         let (mut whole, mut partial) = (0.0, 0.0);
         for job in self.jobs.values() {
-            if job.waits_for_others || job.spec.spot || self.wait_aim(&job.spec).is_none() {
+            if job.awaits_dependencies || job.spec.spot || self.wait_aim(&job.spec).is_none() {
                 continue;
             }
             let need = Resources::of_task(&job.spec);
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -11,14 +11,14 @@
 
 /// When a job ended, as far as this controller knows.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ended {
+pub(super) struct KnownEnd {
     /// When this leader learned of it.
     pub(super) learned: Instant,
     /// The earliest time at which its user may have been told.
     pub(super) confirmed: Instant,
 }
 
-impl Ended {
+impl KnownEnd {
     pub(super) fn learned(now: Instant) -> Self {
         Self { learned: now, confirmed: now }
     }
@@ -27,7 +27,7 @@
     /// gone `limit` after the confirmation. Half of that is left for stopping
     /// them; what was learned late gets half a lease, but not beyond three
     /// quarters of the limit.
-    pub(super) fn machines_go_at(&self, limit: Duration, lease: Duration) -> Instant {
+    pub(super) fn machine_return_deadline(&self, limit: Duration, lease: Duration) -> Instant {
         let late = (self.learned + lease / 2).min(self.confirmed + limit * 3 / 4);
         late.max(self.confirmed + limit / 2)
     }
@@ -65,7 +65,7 @@
         };
         let mut late = Vec::new();
         for job in self.jobs.values() {
-            if job.ended.is_some_and(|ended| now > ended.machines_go_at(limit, lease)) {
+            if job.ended.is_some_and(|ended| now > ended.machine_return_deadline(limit, lease)) {
                 let machines = job.bound.values().map(|binding| &binding.machine);
                 late.extend(machines.filter(|id| !paused || kept_alive(id)).cloned());
             }
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -155,8 +155,8 @@
         let cancelled = job.ended.is_some();
         let stop = if cancelled { Some(0.0) } else { binding.stop.map(|stop| stop.grace_s) };
         let op = match stop {
-            None if may_start && !binding.seen && job.may_start(binding) => CommandKind::Start,
-            Some(_) if commanded && binding.seen => CommandKind::Stop,
+            None if may_start && !binding.observed && job.may_start(binding) => CommandKind::Start,
+            Some(_) if commanded && binding.observed => CommandKind::Stop,
             Some(_) if !commanded && cancelled => CommandKind::Stop,
             _ => return None,
         };
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::Instant;
 
-use super::cancellations::Ended;
+use super::cancellations::KnownEnd;
 use crate::{
     protocol::{JobSpec, MachineId, Priority, Shape},
     store::BoundTask,
@@ -24,11 +24,11 @@
     /// The record that binds it is committed.
     pub(super) durable: bool,
     /// Answers that carried its start command and were not followed by it.
-    pub(super) sent: u32,
+    pub(super) starts_sent: u32,
     /// A heartbeat showed it on the machine.
-    pub(super) seen: bool,
+    pub(super) observed: bool,
     pub(super) running_since: Option<Instant>,
-    pub(super) stop: Option<Stop>,
+    pub(super) stop: Option<StopRequest>,
 }
 
 impl Binding {
@@ -46,8 +46,8 @@
 
 /// An order to stop a task, and the time that it has to save.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Stop {
-    pub(super) since: Instant,
+pub(super) struct StopRequest {
+    pub(super) requested_at: Instant,
     pub(super) grace_s: f64,
 }
 
@@ -57,29 +57,29 @@
     pub(super) arrival: u64,
     /// When this leader came to know it.
     pub(super) known_since: Instant,
-    pub(super) ended: Option<Ended>,
+    pub(super) ended: Option<KnownEnd>,
     /// A job that it depends on is not done: it takes part in nothing.
-    pub(super) waits_for_others: bool,
+    pub(super) awaits_dependencies: bool,
     /// The highest priority among the job and those that depend on it.
     pub(super) priority: Priority,
     pub(super) bound: BTreeMap<u32, Binding>,
     pub(super) done: HashSet<u32>,
     /// No task below this one is pending, apart from `returned`.
-    pub(super) next: u32,
+    pub(super) first_fresh: u32,
     /// Tasks that came back from a machine undone.
-    pub(super) returned: BTreeSet<u32>,
+    pub(super) requeued: BTreeSet<u32>,
     pub(super) attempt: u64,
     pub(super) width: u32,
     /// Failures in a row, and the wait they earned the job.
     pub(super) failures: u32,
-    pub(super) held_until: Option<Instant>,
-    pub(super) avoid: Vec<MachineId>,
+    pub(super) backoff_until: Option<Instant>,
+    pub(super) avoided_machines: Vec<MachineId>,
     /// Machines that may still start an earlier attempt of one of its tasks.
-    pub(super) lingers_on: BTreeSet<MachineId>,
+    pub(super) machines_with_open_starts: BTreeSet<MachineId>,
     pub(super) pages: BTreeSet<u32>,
     /// Tasks that each of its pages covers, see `pages`.
     pub(super) page_tasks: u32,
-    pub(super) ending: bool,
+    pub(super) end_in_flight: bool,
 }
 
 impl Job {
@@ -90,26 +90,26 @@
             arrival,
             known_since: now,
             ended: None,
-            waits_for_others: false,
+            awaits_dependencies: false,
             bound: BTreeMap::new(),
             done: HashSet::new(),
-            next: 0,
-            returned: BTreeSet::new(),
+            first_fresh: 0,
+            requeued: BTreeSet::new(),
             attempt: 0,
             width: 0,
             failures: 0,
-            held_until: None,
-            avoid: Vec::new(),
-            lingers_on: BTreeSet::new(),
+            backoff_until: None,
+            avoided_machines: Vec::new(),
+            machines_with_open_starts: BTreeSet::new(),
             pages: BTreeSet::new(),
             page_tasks,
-            ending: false,
+            end_in_flight: false,
         }
     }
 
     /// Whether it may have tasks, now or later, without waiting for other jobs.
     pub(super) fn is_active(&self) -> bool {
-        self.ended.is_none() && !self.waits_for_others
+        self.ended.is_none() && !self.awaits_dependencies
     }
 
     pub(super) fn remaining(&self) -> u32 {
@@ -120,10 +120,10 @@
     pub(super) fn pending(&self, limit: usize) -> Vec<u32> {
         // A returned task may lie beyond `next`, and named twice it would be
         // placed twice.
-        let fresh = (self.next..self.spec.tasks).filter(|t| {
-            !self.done.contains(t) && !self.bound.contains_key(t) && !self.returned.contains(t)
+        let fresh = (self.first_fresh..self.spec.tasks).filter(|t| {
+            !self.done.contains(t) && !self.bound.contains_key(t) && !self.requeued.contains(t)
         });
-        self.returned.iter().copied().chain(fresh).take(limit).collect()
+        self.requeued.iter().copied().chain(fresh).take(limit).collect()
     }
 
     /// Whether start commands may leave: a gang's only when all its places are
@@ -135,12 +135,12 @@
 
     /// A former leader bound only part of a gang durably, and so started none of
     /// it: the rest would wait for ever.
-    pub(super) fn give_up_part_of_a_gang(&mut self, now: Instant) {
+    pub(super) fn stop_partial_gang(&mut self, now: Instant) {
         let whole = self.bound.len() + self.done.len() == self.spec.tasks as usize;
         if self.spec.shape != Shape::Gang || whole {
             return;
         }
-        let stop = Stop { since: now, grace_s: self.grace_s() };
+        let stop = StopRequest { requested_at: now, grace_s: self.grace_s() };
         for binding in self.bound.values_mut() {
             binding.stop.get_or_insert(stop);
         }
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -138,7 +138,7 @@
         let jobs = self.order.keys().filter_map(|(_, id)| self.jobs.get(id));
         let waiting = jobs.filter(|job| {
             let lacks = (job.bound.len() as u32) < job.remaining();
-            let ready = job.is_active() && job.held_until.is_none();
+            let ready = job.is_active() && job.backoff_until.is_none();
             inside.get(&job.spec.id) == Some(&true) && lacks && ready
         });
         let waiting = waiting.filter_map(|job| {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -31,10 +31,10 @@
 use tokio::time::{Duration, Instant};
 use tracing::{info, warn};
 
-use cancellations::Ended;
+use cancellations::KnownEnd;
 use direct_commands::CommandQueue;
 pub use direct_commands::{DirectOutcome, DirectRequest};
-use job::{Binding, Job, Stop};
+use job::{Binding, Job, StopRequest};
 pub use lending::{LendableMachine, LendingView, LentWork, WaitingJob};
 pub use summary::WorkCounters;
 pub use writes::{Commit, CommitKind};
@@ -182,8 +182,8 @@
             job.page_tasks = self.settings.page_tasks();
         }
         let ended = watch_cache.ends.contains(id) || watch_cache.dependencies.is_cancelled(id);
-        job.ended = ended.then(|| Ended::learned(now));
-        job.waits_for_others = watch_cache.dependencies.waits(id);
+        job.ended = ended.then(|| KnownEnd::learned(now));
+        job.awaits_dependencies = watch_cache.dependencies.waits(id);
         job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
         for (number, entry) in watch_cache.pages.get(id).into_iter().flatten() {
             let page: Page = match serde_json::from_str(entry.raw.get()) {
@@ -217,8 +217,8 @@
                     incarnation,
                     zone,
                     durable: true,
-                    sent: 0,
-                    seen: false,
+                    starts_sent: 0,
+                    observed: false,
                     running_since: None,
                     stop: None,
                 };
@@ -226,7 +226,7 @@
                 use_team(&mut self.usage, &job.spec, 1.0);
             }
         }
-        job.give_up_part_of_a_gang(now);
+        job.stop_partial_gang(now);
         if job.ended.is_some() || job.remaining() == 0 {
             self.ending.insert(id.clone());
         }
@@ -246,7 +246,7 @@
                 }
                 Change::Ended(id) => {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        job.ended.get_or_insert(Ended::learned(now));
+                        job.ended.get_or_insert(KnownEnd::learned(now));
                         for binding in job.bound.values() {
                             self.needs_command.push(binding.machine.clone());
                         }
@@ -265,7 +265,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
         let waits = watch_cache.dependencies.waits(id);
-        let waited = std::mem::replace(&mut job.waits_for_others, waits);
+        let waited = std::mem::replace(&mut job.awaits_dependencies, waits);
         if waited && !waits {
             info!(job = %id, "all that it depends on is done");
             // Waits are counted from here.
@@ -341,8 +341,9 @@
             let provable = sole_renewer_since.is_some_and(|since| now > since + lease)
                 || now < unpaused + lease * 2;
             self.return_machines(now, TerminationProof { provable, sole_renewer_since });
-            for job in self.jobs.values_mut().filter(|j| j.held_until.is_some_and(|t| t <= now)) {
-                job.held_until = None;
+            for job in self.jobs.values_mut().filter(|j| j.backoff_until.is_some_and(|t| t <= now))
+            {
+                job.backoff_until = None;
                 self.changed = true;
             }
         }
@@ -418,7 +419,7 @@
     fn stop(&mut self, key: &TaskKey, at_once: bool, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let grace_s = if at_once { 0.0 } else { job.grace_s() };
-        let stop = Stop { since: now, grace_s };
+        let stop = StopRequest { requested_at: now, grace_s };
         let gang = job.spec.shape == Shape::Gang;
         for (task, binding) in &mut job.bound {
             if (gang || *task == key.task) && binding.stop.is_none() {
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -186,7 +186,7 @@
             }),
             // Known only once all jobs of the team are seen together.
             guaranteed: false,
-            held: crowded || job.held_until.is_some(),
+            held: crowded || job.backoff_until.is_some(),
             avoid: self.avoided(job),
         }
     }
@@ -212,7 +212,11 @@
             let machine = self.fleet.machines.get(*id);
             machine.is_some_and(|m| m.open_starts.contains_job(&job.spec.id))
         };
-        job.avoid.iter().chain(job.lingers_on.iter().filter(open)).cloned().collect()
+        job.avoided_machines
+            .iter()
+            .chain(job.machines_with_open_starts.iter().filter(open))
+            .cloned()
+            .collect()
     }
 
     /// Within how many seconds a job's tasks should start, if its class has an
@@ -254,20 +258,20 @@
                 incarnation: machine.latest_heartbeat.incarnation,
                 zone,
                 durable: false,
-                sent: 0,
-                seen: false,
+                starts_sent: 0,
+                observed: false,
                 running_since: None,
                 stop: None,
             };
             debug!(job = %id, task, machine = %machine_id, attempt = job.attempt, "bound");
             job.bound.insert(task, binding);
-            job.returned.remove(&task);
-            while job.next < job.spec.tasks
-                && (job.done.contains(&job.next)
-                    || job.bound.contains_key(&job.next)
-                    || job.returned.contains(&job.next))
+            job.requeued.remove(&task);
+            while job.first_fresh < job.spec.tasks
+                && (job.done.contains(&job.first_fresh)
+                    || job.bound.contains_key(&job.first_fresh)
+                    || job.requeued.contains(&job.first_fresh))
             {
-                job.next += 1;
+                job.first_fresh += 1;
             }
             use_team(&mut self.usage, &job.spec, 1.0);
             machine.bound.insert(TaskKey { job: id.clone(), task });
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Duration, Instant};
 use tracing::{debug, info};
 
-use super::{Leader, Stop, Superseded, use_team};
+use super::{Leader, StopRequest, Superseded, use_team};
 use crate::{
     fleet::{Freshness, TaskKey},
     protocol::{
@@ -29,7 +29,7 @@
                 && let Some(binding) =
                     self.jobs.get_mut(&key.job).and_then(|j| j.bound.get_mut(&key.task))
             {
-                binding.sent += 1;
+                binding.starts_sent += 1;
             }
         }
         Ok(commands)
@@ -135,15 +135,19 @@
             }
             Some(task) => {
                 machine.unacknowledged_commands = 0;
-                binding.sent = 0;
-                binding.seen = true;
+                binding.starts_sent = 0;
+                binding.observed = true;
                 if task.state == TaskState::Running && binding.running_since.is_none() {
                     binding.running_since = Some(now);
                 }
-                let stop =
-                    if ended { Some(Stop { since: now, grace_s: 0.0 }) } else { binding.stop };
+                let stop = if ended {
+                    Some(StopRequest { requested_at: now, grace_s: 0.0 })
+                } else {
+                    binding.stop
+                };
                 if let Some(stop) = stop {
-                    let late = now > stop.since + Duration::from_secs_f64(stop.grace_s * 2.0);
+                    let late =
+                        now > stop.requested_at + Duration::from_secs_f64(stop.grace_s * 2.0);
                     if task.state != TaskState::Saving || ended || late {
                         commands.push(TaskCommand {
                             op: CommandKind::Stop,
@@ -160,7 +164,7 @@
             None if mine && !may_still_start && (ended || binding.stop.is_some()) => {
                 self.gone(key, now)
             }
-            None if mine && !may_still_start && binding.sent >= 2 => {
+            None if mine && !may_still_start && binding.starts_sent >= 2 => {
                 // Told twice and still not there: the answers don't arrive.
                 machine.record_unacknowledged_command(now + self.settings.worker_lease());
                 info!(machine = %heartbeat.machine, task = ?key, "the machine does not carry out orders");
@@ -252,7 +256,7 @@
                 }
             }
             ExitCause::Unknown => {
-                job.held_until = Some(now + self.settings.heartbeat_interval() * 2)
+                job.backoff_until = Some(now + self.settings.heartbeat_interval() * 2)
             }
             ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => {}
         }
@@ -265,17 +269,17 @@
         let heartbeat_interval = self.settings.heartbeat_interval();
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         job.failures += 1;
-        if !job.avoid.contains(id) {
-            job.avoid.push(id.clone());
+        if !job.avoided_machines.contains(id) {
+            job.avoided_machines.push(id.clone());
         }
         // Failed on several machines: the job itself waits longer and longer,
         // and the machines are not held responsible.
-        let mistaken = job.avoid.len() >= 3;
+        let mistaken = job.avoided_machines.len() >= 3;
         if mistaken {
             let wait = heartbeat_interval * 2_u32.saturating_pow(job.failures.min(6));
-            job.held_until = Some(now + wait);
+            job.backoff_until = Some(now + wait);
             info!(job = %key.job, failures = job.failures, wait_s = wait.as_secs_f64(), "fails on every machine: waits");
-            for machine in std::mem::take(&mut job.avoid) {
+            for machine in std::mem::take(&mut job.avoided_machines) {
                 if let Some(machine) = self.fleet.machines.get_mut(&machine) {
                     machine.failed_jobs.remove(&key.job);
                     machine.quarantined_until = None;
@@ -295,12 +299,12 @@
         let Some(binding) = job.bound.remove(&key.task) else { return };
         let done = job.done.contains(&key.task);
         if !done {
-            job.returned.insert(key.task);
+            job.requeued.insert(key.task);
         }
         use_team(&mut self.usage, &job.spec, -1.0);
         if let Some(machine) = self.fleet.machines.get_mut(&binding.machine) {
             if !done && machine.open_starts.contains_task(key) {
-                job.lingers_on.insert(binding.machine.clone());
+                job.machines_with_open_starts.insert(binding.machine.clone());
             }
             machine.bound.remove(key);
             if machine.bound.is_empty() {
@@ -312,7 +316,7 @@
             // when all of this one are gone.
             let grace_s = job.grace_s();
             for other in job.bound.values_mut() {
-                other.stop.get_or_insert(Stop { since: now, grace_s });
+                other.stop.get_or_insert(StopRequest { requested_at: now, grace_s });
             }
         }
         if job.ended.is_some() || job.remaining() == 0 {
--- a/src/controller/summary.rs
+++ b/src/controller/summary.rs
@@ -47,7 +47,7 @@
         }
         let waiting = self.jobs.values().filter(|j| j.bound.is_empty() && j.is_active()).count();
         let dependent =
-            self.jobs.values().filter(|j| j.waits_for_others && j.ended.is_none()).count();
+            self.jobs.values().filter(|j| j.awaits_dependencies && j.ended.is_none()).count();
         format!(
             "jobs {} (waiting {waiting}, for others {dependent}), GPUs {} of {} ordinary ({misplaced} by work for spot) and {} of {} spot, machines {} (booting {booting}, ready {ready}, idle {idle}), {:?}",
             self.jobs.len(),
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use super::{Ended, Leader};
+use super::{KnownEnd, Leader};
 use crate::{
     protocol::{Condition, JobId, JobState, Write},
     state::IN_FLIGHT,
@@ -50,7 +50,7 @@
                 self.ending.insert(id);
             } else if let Some(commit) = self.end_commit(&id, &lead, watch_cache) {
                 commits.push(commit);
-            } else if self.jobs.get(&id).is_none_or(|job| !job.ending) {
+            } else if self.jobs.get(&id).is_none_or(|job| !job.end_in_flight) {
                 self.cancelling.remove(&id);
             }
         }
@@ -154,7 +154,7 @@
         watch_cache: &WatchCache,
     ) -> Option<Commit> {
         let job = self.jobs.get(id)?;
-        if job.ending || !job.bound.is_empty() {
+        if job.end_in_flight || !job.bound.is_empty() {
             return None;
         }
         if self.inflight.range((id.clone(), 0)..=(id.clone(), u32::MAX)).next().is_some() {
@@ -173,7 +173,7 @@
         }
         let room = self.settings.state_limits().transaction_writes - writes.len();
         writes.extend(dropped_records(id, watch_cache, room));
-        self.jobs.get_mut(id)?.ending = true;
+        self.jobs.get_mut(id)?.end_in_flight = true;
         Some(Commit { conditions, writes, kind: CommitKind::End { job: id.clone() } })
     }
 
@@ -199,7 +199,7 @@
                         && binding.attempt == bound.attempt
                     {
                         binding.durable = true;
-                        if !binding.seen {
+                        if !binding.observed {
                             self.needs_command.push(binding.machine.clone());
                         }
                     }
@@ -211,9 +211,9 @@
             CommitKind::End { job: id } => {
                 self.cancelling.remove(id);
                 let Some(job) = self.jobs.get_mut(id) else { return };
-                job.ending = false;
+                job.end_in_flight = false;
                 if watch_cache.ends.contains(id) {
-                    job.ended.get_or_insert(Ended::learned(now));
+                    job.ended.get_or_insert(KnownEnd::learned(now));
                 }
                 if watch_cache.jobs.contains_key(id) {
                     // More pages than one transaction drops.
@@ -242,10 +242,10 @@
             CommitKind::End { job: id } => {
                 self.cancelling.remove(&id);
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.ending = false;
+                    job.end_in_flight = false;
                     // Cancelled in the meantime: the first end wins.
                     if watch_cache.ends.contains(&id) {
-                        job.ended.get_or_insert(Ended::learned(now));
+                        job.ended.get_or_insert(KnownEnd::learned(now));
                     }
                     self.ending.insert(id);
                 }
