--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -5,13 +5,11 @@
 //! (`fencing.rs`): it learns of that with the next answer or command, and its heartbeat
 //! after that settles all.
 
-use std::collections::{BTreeSet, VecDeque};
-
 use tokio::time::Instant;
 
-use super::{Leader, Superseded};
+use super::{Leader, Superseded, task_verdict::HeartbeatSource};
 use crate::{
-    fleet::{TaskAttempt, TaskKey},
+    fleet::{Machine, TaskAttempt, TaskKey},
     protocol::{BODY_LIMIT, CommandKind, DirectCommands, MachineId, TaskCommand, WorkerHeartbeat},
 };
 
@@ -23,38 +21,16 @@
 /// part of a heartbeat only.
 const MAX_OPEN_STARTS: usize = BODY_LIMIT / REPORTED_TASK_BYTES / 16;
 
-/// Machines with commands that should not wait for their next report, each once,
-/// the longest waiting first: calls may be fewer than machines.
-#[derive(Default)]
-pub struct CommandQueue {
-    order: VecDeque<MachineId>,
-    queued: BTreeSet<MachineId>,
-}
-
-impl CommandQueue {
-    pub fn push(&mut self, machine: MachineId) {
-        if self.queued.insert(machine.clone()) {
-            self.order.push_back(machine);
-        }
-    }
-
-    fn pop(&mut self) -> Option<MachineId> {
-        let machine = self.order.pop_front()?;
-        self.queued.remove(&machine);
-        Some(machine)
-    }
-
-    fn len(&self) -> usize {
-        self.order.len()
-    }
-}
-
-/// Orders that leave now for one worker.
+/// Commands that leave now for one worker.
 #[derive(Clone, Debug)]
 pub struct DirectRequest {
+    /// The request's number within the term.
     pub id: u64,
+    /// The machine that the commands are for.
     pub machine: MachineId,
+    /// The worker's own address.
     pub address: String,
+    /// The body of the request.
     pub commands: DirectCommands,
 }
 
@@ -69,6 +45,19 @@
     Unknown,
 }
 
+/// What may be asked of a worker by direct commands.
+#[derive(Clone, Copy)]
+struct Authority {
+    /// The incarnation that the commands are for.
+    incarnation: u64,
+    /// The worker is alive and has acknowledged this term. One whose heartbeats reach
+    /// nobody, or not this leader yet, may still take commands: cancelled tasks are
+    /// stopped there, and nothing else is asked of it.
+    commanded: bool,
+    /// Start commands may be sent.
+    may_start: bool,
+}
+
 impl Leader {
     /// The token that commands to a worker carry.
     pub fn token_for(&self, machine: &str) -> u64 {
@@ -80,105 +69,100 @@
     /// waits for a socket after it was decided.
     pub fn take_direct(&mut self, now: Instant) -> Vec<DirectRequest> {
         let mut requests = Vec::new();
-        for _ in 0..self.needs_command.len() {
-            if self.calls.len() >= self.settings.direct_calls() {
+        for _ in 0..self.direct_calls.waiting_machines() {
+            if self.direct_calls.calls_in_flight() >= self.settings.direct_calls() {
                 break;
             }
-            let Some(id) = self.needs_command.pop() else { break };
+            let Some(id) = self.direct_calls.pop() else { break };
             let Some(machine) = self.fleet.machines.get(&id) else { continue };
             if machine.commands_in_flight {
-                self.needs_command.push(id);
+                self.direct_calls.push(id);
                 continue;
             }
-            requests.extend(self.compose(&id, now));
+            requests.extend(self.compose_request(&id, now));
         }
         requests
     }
 
-    /// What a machine should be told now, if anything.
-    fn compose(&mut self, id: &MachineId, now: Instant) -> Option<DirectRequest> {
+    /// The request with all commands that are due for a machine, if any.
+    fn compose_request(&mut self, id: &MachineId, now: Instant) -> Option<DirectRequest> {
         let machine = self.fleet.machines.get(id)?;
-        // A worker whose reports reach nobody, or not this leader yet, may still
-        // take commands: cancelled tasks are stopped there, and nothing else is
-        // asked of it.
-        let heartbeat_interval = self.settings.heartbeat_interval();
-        let usable = machine.is_usable(now, heartbeat_interval) || machine.reclaim_at.is_some();
-        let commanded = usable && machine.acknowledged_term;
-        if (machine.deleting && !commanded) || machine.address.is_empty() {
+        let authority = self.authority_over(machine, now);
+        if (machine.deleting && !authority.commanded) || machine.address.is_empty() {
             return None;
         }
-        let recorded =
-            |key: &TaskKey| Some(self.jobs.get(&key.job)?.bound.get(&key.task)?.incarnation);
-        let incarnation = machine.incarnation(machine.bound.iter().filter_map(recorded));
-        let may_start =
-            commanded && self.starts_allowed && machine.open_starts.len() < MAX_OPEN_STARTS;
-        let commands: Vec<TaskCommand> = machine
-            .bound
-            .iter()
-            .filter_map(|key| self.direct_command(key, incarnation, commanded, may_start))
-            .collect();
+        let due = machine.bound.iter();
+        let due = due.filter_map(|key| Some((key, self.direct_command(key, authority)?)));
+        let (mut commands, mut starts) = (Vec::new(), Vec::new());
+        for (key, command) in due {
+            if command.op == CommandKind::Start {
+                starts.push(TaskAttempt { key: key.clone(), attempt: command.attempt });
+            }
+            commands.push(command);
+        }
         if commands.is_empty() {
             return None;
         }
-        let starts = machine.bound.iter().filter_map(|key| {
-            let binding = self.jobs.get(&key.job)?.bound.get(&key.task)?;
-            let name = key.to_string();
-            let starts = commands.iter().any(|o| o.op == CommandKind::Start && o.task == name);
-            starts.then(|| TaskAttempt { key: key.clone(), attempt: binding.attempt })
-        });
-        let starts: Vec<TaskAttempt> = starts.collect();
-        self.requests_sent += 1;
-        let request = self.requests_sent;
-        self.calls.insert(request);
+        let request = self.direct_calls.begin();
         let token = self.token_for(id);
         let machine = self.fleet.machines.get_mut(id)?;
         machine.commands_in_flight = true;
         machine.open_starts.record_sent(request, token, starts);
         let address = machine.address.clone();
-        let commands = DirectCommands { token, incarnation, commands };
+        let commands = DirectCommands { token, incarnation: authority.incarnation, commands };
         Some(DirectRequest { id: request, machine: id.clone(), address, commands })
     }
 
-    /// What a worker is told directly of one task that is bound to it.
-    fn direct_command(
-        &self,
-        key: &TaskKey,
-        incarnation: u64,
-        commanded: bool,
-        may_start: bool,
-    ) -> Option<TaskCommand> {
+    fn authority_over(&self, machine: &Machine, now: Instant) -> Authority {
+        let heartbeat_interval = self.settings.heartbeat_interval();
+        let usable = machine.is_usable(now, heartbeat_interval) || machine.reclaim_at.is_some();
+        let commanded = usable && machine.acknowledged_term;
+        let recorded =
+            |key: &TaskKey| Some(self.jobs.get(&key.job)?.bound.get(&key.task)?.incarnation);
+        let open_starts = machine.open_starts.len();
+        Authority {
+            incarnation: machine.incarnation(machine.bound.iter().filter_map(recorded)),
+            commanded,
+            may_start: commanded && self.starts_allowed && open_starts < MAX_OPEN_STARTS,
+        }
+    }
+
+    /// The direct command that is due for one task bound to a machine.
+    fn direct_command(&self, key: &TaskKey, authority: Authority) -> Option<TaskCommand> {
+        let Authority { incarnation, commanded, may_start } = authority;
         let job = self.jobs.get(&key.job)?;
         let binding = job.bound.get(&key.task)?;
         if binding.incarnation != incarnation || !binding.durable {
             return None;
         }
         let cancelled = job.ended.is_some();
-        let stop = if cancelled { Some(0.0) } else { binding.stop.map(|stop| stop.grace_s) };
-        let op = match stop {
+        let grace_s = if cancelled { Some(0.0) } else { binding.stop.map(|stop| stop.grace_s) };
+        let op = match grace_s {
             None if may_start && !binding.observed && job.may_start(binding) => CommandKind::Start,
             Some(_) if commanded && binding.observed => CommandKind::Stop,
             Some(_) if !commanded && cancelled => CommandKind::Stop,
             _ => return None,
         };
-        let task = key.to_string();
-        Some(TaskCommand { op, task, attempt: binding.attempt, grace_s: stop })
+        Some(TaskCommand { op, task: key.to_string(), attempt: binding.attempt, grace_s })
     }
 
-    /// Takes in what became of a direct request.
+    /// Takes what became of a direct request.
+    ///
+    /// Fails if the worker has seen a higher token than this term's.
     pub fn on_direct(
         &mut self,
         request: &DirectRequest,
         outcome: DirectOutcome,
         now: Instant,
     ) -> Result<(), Superseded> {
-        self.calls.remove(&request.id);
+        self.direct_calls.finish(request.id);
         let Some(machine) = self.fleet.machines.get_mut(&request.machine) else { return Ok(()) };
         machine.commands_in_flight = false;
         match outcome {
             // Another machine may have its address by now.
             DirectOutcome::Answered(heartbeat) if heartbeat.machine == request.machine => {
                 machine.open_starts.settle(request.id);
-                self.take_heartbeat(heartbeat, true, now).map(|_| ())
+                self.take_heartbeat(heartbeat, HeartbeatSource::DirectResponse, now).map(|_| ())
             }
             DirectOutcome::NotDelivered => {
                 machine.open_starts.settle(request.id);
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::{Duration, Instant};
 
-use super::{Job, Leader};
+use super::{Leader, job::Job};
 use crate::{
     fleet::Machine,
     protocol::{JobId, JobSpec, MachineId, Shape},
@@ -77,7 +77,7 @@
             (id.clone(), self.lendable_machine(machine, &inside, grace_s, now))
         };
         LendingView {
-            settled: self.settled(now),
+            settled: self.is_settled(now),
             machines: machines.map(view).collect(),
             waiting: self.waiting_inside(&inside, waited, now),
         }
@@ -87,13 +87,13 @@
     fn inside_guarantees(&self) -> HashMap<&JobId, bool> {
         let mut asked: HashMap<&str, TeamUse> = HashMap::new();
         let mut inside = HashMap::new();
-        for (_, id) in self.order.keys() {
-            let Some(job) = self.jobs.get(id).filter(|job| job.is_active()) else { continue };
+        for job in self.jobs.by_arrival().filter(|job| job.is_active()) {
             let team = asked.entry(&job.spec.team).or_default();
             team.cpus += job.spec.cpus * f64::from(job.remaining());
             team.gpus += job.spec.gpus * f64::from(job.remaining());
             let settings = self.settings.team(&job.spec.team);
-            inside.insert(id, settings.is_some_and(|t| t.guarantees(team.cpus, team.gpus)));
+            inside
+                .insert(&job.spec.id, settings.is_some_and(|t| t.guarantees(team.cpus, team.gpus)));
         }
         inside
     }
@@ -135,8 +135,7 @@
         waited: Duration,
         now: Instant,
     ) -> Vec<WaitingJob> {
-        let jobs = self.order.keys().filter_map(|(_, id)| self.jobs.get(id));
-        let waiting = jobs.filter(|job| {
+        let waiting = self.jobs.by_arrival().filter(|job| {
             let lacks = (job.bound.len() as u32) < job.remaining();
             let ready = job.is_active() && job.backoff_until.is_none();
             inside.get(&job.spec.id) == Some(&true) && lacks && ready
@@ -176,7 +175,7 @@
         let changed = self.reservations != reservations;
         if changed {
             self.reservations = reservations;
-            self.note_change();
+            self.record_change();
         }
         changed
     }
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -1,34 +1,36 @@
 //! Pages: the durable records of a job's placements and progress, and how they
 //! keep within the size that a value may have, now and after that limit falls.
 //!
-//! A page covers a fixed range of tasks, which follows from its number. While
+//! A page is one record; it holds the placements and the completed tasks of a range of a
+//! job's tasks. It covers a fixed range of tasks, which follows from its number. While
 //! controllers of the version before may lead, that range must be the one that
 //! they use too: they read pages of any layout, but rewrite their own, and what
-//! another layout left beside them would come back to life. That range follows
-//! from today's limit, so a page full of places may exceed the coming one. Two
+//! another layout left beside them would become valid again. That range follows
+//! from today's limit, so a page full of placements may exceed the coming one. Two
 //! things keep it within:
 //!
-//! - Places are given only while the page's record fits the smaller limit. An
+//! - Tasks are placed only while the page's record fits the smaller limit. An
 //!   exit never makes a record longer.
 //! - A page that an older version filled beyond that is not written until it
-//!   fits: some of its tasks are stopped, and no exit is cleared from a worker
-//!   before it is durable.
+//!   fits: some of its tasks are stopped, and workers forget no exit before it is
+//!   durable.
 //!
 //! Work that must start as a whole may never fit such a page. It gets pages of
 //! smaller ranges once every member has said that it knows them, which ends the
 //! time in which older versions lead (`Features` in `peers.rs`). A page then
 //! names the size of its range.
 
-use std::ops::Range;
+use std::{collections::BTreeMap, ops::Range};
 
+use serde_json::value::RawValue;
 use tracing::{info, warn};
 
-use super::{Job, Leader};
+use super::{Leader, job::Job, pending_writes::PageKey};
 use crate::{
     fleet::TaskKey,
-    protocol::{JobId, JobSpec, Shape},
+    protocol::{JobSpec, Shape},
     settings::{LARGEST_BINDING_BYTES, Settings},
-    store::{self, Page},
+    store::{self, BoundTask, Page},
 };
 
 /// A page's record without any task: its keys, the attempt and the width.
@@ -48,10 +50,11 @@
 /// have.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LongestNames {
-    pub machine_bytes: usize,
-    pub incarnation: u64,
+    machine_bytes: usize,
+    incarnation: u64,
 }
 
+/// The number of bytes that one binding takes in a page's record.
 fn binding_bytes(
     task: u32,
     attempt: u64,
@@ -67,6 +70,11 @@
         + BINDING_PUNCTUATION
 }
 
+fn bound_task_bytes(bound: &BoundTask) -> usize {
+    let machine_bytes = bound.machine.len();
+    binding_bytes(bound.task, bound.attempt, machine_bytes, bound.incarnation, bound.zone)
+}
+
 impl Job {
     fn tasks_of_page(&self, page: u32) -> Range<u32> {
         let first = page.saturating_mul(self.page_tasks);
@@ -78,46 +86,45 @@
         task / self.page_tasks
     }
 
-    /// Whether a page holds places whose start waits for its record.
+    /// Whether a page holds placements whose start waits for its record.
     pub(super) fn awaits_record(&self, page: u32) -> bool {
         let range = self.tasks_of_page(page);
         self.bound.range(range).any(|(_, b)| !b.durable)
     }
 
+    /// The content of a page, but for the size of its range.
     pub(super) fn page(&self, page: u32) -> Page {
         let range = self.tasks_of_page(page);
-        let bound =
-            self.bound.range(range.clone()).map(|(task, binding)| binding.record(*task)).collect();
-        let mut done: Vec<(u32, u32)> = Vec::new();
-        for task in range.filter(|t| self.done.contains(t)) {
-            match done.last_mut() {
-                Some((first, n)) if *first + *n == task => *n += 1,
-                _ => done.push((task, 1)),
+        let bound = self.bound.range(range.clone());
+        let bound = bound.map(|(task, binding)| binding.record(*task)).collect();
+        let width = (page == 0 && self.width > 0).then_some(self.width);
+        Page { attempt: self.attempt, width, bound, done: self.done_runs(range), tasks: None }
+    }
+
+    /// The completed tasks of a range, as runs of (first, how many).
+    fn done_runs(&self, range: Range<u32>) -> Vec<(u32, u32)> {
+        let mut runs: Vec<(u32, u32)> = Vec::new();
+        for task in range.filter(|task| self.done.contains(task)) {
+            match runs.last_mut() {
+                Some((first, count)) if *first + *count == task => *count += 1,
+                _ => runs.push((task, 1)),
             }
         }
-        let width = (page == 0 && self.width > 0).then_some(self.width);
-        Page { attempt: self.attempt, width, bound, done, tasks: None }
+        runs
     }
 
     /// No less than what the record of a page takes.
     fn page_bytes(&self, page: u32) -> usize {
         let content = self.page(page);
-        let bound = content.bound.iter().map(|bound| {
-            binding_bytes(
-                bound.task,
-                bound.attempt,
-                bound.machine.len(),
-                bound.incarnation,
-                bound.zone,
-            )
-        });
+        let bound = content.bound.iter().map(bound_task_bytes);
         let done = content.done.iter().map(|(first, count)| {
             digits((*first).into()) + digits((*count).into()) + RUN_PUNCTUATION
         });
         EMPTY_PAGE_BYTES + bound.sum::<usize>() + done.sum::<usize>()
     }
 
-    /// Those of `pending` whose places their pages have room for.
+    /// Those of `pending` whose placements their pages have room for, in values of up to
+    /// `value_bytes`.
     pub(super) fn with_room(
         &self,
         pending: Vec<u32>,
@@ -129,7 +136,7 @@
             return pending;
         }
         let attempt = self.attempt + pending.len() as u64;
-        let mut room = std::collections::BTreeMap::new();
+        let mut room = BTreeMap::new();
         pending
             .into_iter()
             .filter(|&task| {
@@ -157,83 +164,61 @@
 }
 
 impl Leader {
-    /// Every member knows pages of smaller ranges: the time of older versions
-    /// is over.
+    /// Every member knows pages of smaller ranges: no older version leads any more.
     pub fn allow_small_pages(&mut self) {
         if std::mem::replace(&mut self.small_pages, true) {
             return;
         }
         info!("all controllers know small pages");
-        for job in self.jobs.values_mut().filter(|job| job.attempt == 0 && job.pages.is_empty()) {
+        let without_pages = |job: &&mut Job| job.attempt == 0 && job.pages.is_empty();
+        for job in self.jobs.values_mut().filter(without_pages) {
             job.page_tasks = tasks_per_page(&self.settings, &job.spec, true);
         }
-        self.note_change();
+        self.record_change();
     }
 
+    /// The longest names that new bindings may have.
     pub(super) fn longest_names(&self) -> LongestNames {
         let machines = &self.fleet.machines;
+        let incarnations = machines.values().map(|m| m.latest_heartbeat.incarnation);
         LongestNames {
             machine_bytes: machines.keys().map(|id| id.len()).max().unwrap_or(0),
-            incarnation: machines
-                .values()
-                .map(|machine| machine.latest_heartbeat.incarnation)
-                .max()
-                .unwrap_or(0),
+            incarnation: incarnations.max().unwrap_or(0),
         }
     }
 
-    /// Notes that the page of a task has to be written.
+    /// Records that the page of a task has to be written.
     pub(super) fn mark_page(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let page = (key.job.clone(), job.page_of(key.task));
-        self.oversized.remove(&page);
-        self.dirty.insert(page);
-    }
-
-    /// A job's records are gone: none of its pages has to be written any more,
-    /// and its exits may be cleared.
-    pub(super) fn forget_pages(&mut self, id: &JobId) {
-        let all = (id.clone(), 0)..=(id.clone(), u32::MAX);
-        for pages in [&mut self.dirty, &mut self.oversized] {
-            let of_job: Vec<_> = pages.range(all.clone()).cloned().collect();
-            for page in of_job {
-                pages.remove(&page);
-            }
-        }
+        self.writes.mark_changed(PageKey { job: key.job.clone(), page: job.page_of(key.task) });
     }
 
     /// Whether what is known of a task is not durable yet.
-    pub(super) fn unwritten(&self, key: &TaskKey) -> bool {
+    pub(super) fn is_unwritten(&self, key: &TaskKey) -> bool {
         let page_tasks =
             self.jobs.get(&key.job).map_or(self.settings.page_tasks(), |job| job.page_tasks);
-        let page = (key.job.clone(), key.task / page_tasks);
-        self.dirty.contains(&page)
-            || self.inflight.contains(&page)
-            || self.oversized.contains(&page)
+        let page = PageKey { job: key.job.clone(), page: key.task / page_tasks };
+        self.writes.is_unwritten(&page)
     }
 
     /// The record of a page, unless an older version filled it beyond what a
     /// value may take: then some of its tasks are stopped first.
-    pub(super) fn page_record(
-        &mut self,
-        key: &(JobId, u32),
-    ) -> Option<(Page, Box<serde_json::value::RawValue>)> {
+    pub(super) fn page_record(&mut self, key: &PageKey) -> Option<(Page, Box<RawValue>)> {
         let limit = self.settings.state_limits().value_bytes;
-        let common = self.settings.page_tasks();
-        let job = self.jobs.get(&key.0)?;
-        let mut content = job.page(key.1);
-        content.tasks = (job.page_tasks != common).then_some(job.page_tasks);
+        let usual = self.settings.page_tasks();
+        let job = self.jobs.get(&key.job)?;
+        let mut content = job.page(key.page);
+        content.tasks = (job.page_tasks != usual).then_some(job.page_tasks);
         let value = store::value(&content).ok()?;
-        if value.get().len() <= limit {
+        let bytes = value.get().len();
+        if bytes <= limit {
             return Some((content, value));
         }
-        let surplus =
-            (value.get().len() - limit).div_ceil(value.get().len() / content.bound.len().max(1));
-        warn!(job = %key.0, page = key.1, surplus, "a page is too large to be written");
-        self.oversized.insert(key.clone());
-        for bound in content.bound.iter().rev().take(surplus) {
-            self.stop_later.insert(TaskKey { job: key.0.clone(), task: bound.task });
-        }
+        let surplus = (bytes - limit).div_ceil(bytes / content.bound.len().max(1));
+        warn!(job = %key.job, page = key.page, surplus, "a page is too large to be written");
+        let last_bound = content.bound.iter().rev().take(surplus);
+        let tasks = last_bound.map(|bound| TaskKey { job: key.job.clone(), task: bound.task });
+        self.writes.mark_oversized(key.clone(), tasks);
         None
     }
 }
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -1,29 +1,32 @@
-//! Reports in, commands out: what a worker's heartbeat proves of the tasks bound to
-//! its machine, and the commands that go back with the answer or directly.
+//! Reconciliation: what a worker's heartbeat proves of the tasks bound to its machine,
+//! and the commands that go back in the response.
 
 use std::collections::HashMap;
 
 use tokio::time::{Duration, Instant};
-use tracing::{debug, info};
+use tracing::info;
 
-use super::{Leader, StopRequest, Superseded, use_team};
+use super::{
+    Leader, Superseded,
+    binding::StopRequest,
+    task_verdict::{HeartbeatSource, TaskContext, TaskVerdict, task_verdict},
+};
 use crate::{
     fleet::{Freshness, TaskKey},
-    protocol::{
-        CommandKind, ExitCause, MachineId, Shape, TaskCommand, TaskState, TaskStatus,
-        WorkerHeartbeat,
-    },
+    protocol::{CommandKind, MachineId, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat},
     scheduler::Resources,
 };
 
 impl Leader {
-    /// Takes a heartbeat and answers with commands.
+    /// Takes a worker's heartbeat and returns the commands of the response.
+    ///
+    /// Fails if the worker has seen a higher token than this term's.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         now: Instant,
     ) -> Result<Vec<TaskCommand>, Superseded> {
-        let commands = self.take_heartbeat(heartbeat, false, now)?;
+        let commands = self.take_heartbeat(heartbeat, HeartbeatSource::Worker, now)?;
         for command in commands.iter().filter(|o| o.op == CommandKind::Start) {
             if let Some(key) = TaskKey::parse(&command.task)
                 && let Some(binding) =
@@ -35,26 +38,26 @@
         Ok(commands)
     }
 
-    /// Takes a heartbeat whose worker is sent to look for another leader.
-    pub fn send_away(
+    /// Takes the heartbeat of a worker that is redirected to look for another leader.
+    ///
+    /// Fails if the worker has seen a higher token than this term's.
+    pub fn on_redirected_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         now: Instant,
     ) -> Result<(), Superseded> {
-        self.take_heartbeat(heartbeat, false, now)?;
+        self.take_heartbeat(heartbeat, HeartbeatSource::Worker, now)?;
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.redirected_at = Some(now);
         }
         Ok(())
     }
 
-    /// Takes a heartbeat and tells which commands are due. As the answer to direct
-    /// commands it proves no absence: the worker may still be waiting for an
-    /// answer to its last own report, with a start command in it.
+    /// Takes a heartbeat and returns the commands that are due.
     pub(super) fn take_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        direct: bool,
+        source: HeartbeatSource,
         now: Instant,
     ) -> Result<Vec<TaskCommand>, Superseded> {
         if heartbeat.token > self.tokens.last() {
@@ -65,17 +68,44 @@
         match self.fleet.record_heartbeat(heartbeat, self.tokens, lease, now) {
             Freshness::Stale => return Ok(Vec::new()),
             Freshness::NewIncarnation => {
-                self.lose_incarnations(&heartbeat.machine, heartbeat.incarnation, now)
+                self.end_incarnations_before(&heartbeat.machine, heartbeat.incarnation, now)
             }
             Freshness::Newer => {}
         }
-        if !direct && let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
+        if source == HeartbeatSource::Worker
+            && let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine)
+        {
             machine.last_heartbeat = Some(now);
         }
+        let commands = self.reconcile_machine(heartbeat, source, now);
+        if self.is_ready(&heartbeat.machine, now) != was_ready {
+            self.record_change();
+        }
+        let machine = self.fleet.machines.get(&heartbeat.machine);
+        // A worker that has not shown this token yet may still carry out
+        // older commands; it gets the token first, and commands next time.
+        let acknowledged = machine.is_some_and(|m| m.acknowledged_term);
+        Ok(if acknowledged { commands } else { Vec::new() })
+    }
+
+    fn is_ready(&self, machine: &MachineId, now: Instant) -> bool {
+        self.fleet
+            .machines
+            .get(machine)
+            .is_some_and(|m| m.is_ready(now, self.settings.heartbeat_interval()))
+    }
+
+    /// Compares all tasks bound to a machine, and all that its worker reports.
+    fn reconcile_machine(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        source: HeartbeatSource,
+        now: Instant,
+    ) -> Vec<TaskCommand> {
         let reported: HashMap<TaskKey, &TaskStatus> = heartbeat
             .tasks
             .iter()
-            .filter_map(|t| TaskKey::parse(&t.task).map(|key| (key, t)))
+            .filter_map(|status| TaskKey::parse(&status.task).map(|key| (key, status)))
             .collect();
         let bound: Vec<TaskKey> = self
             .fleet
@@ -87,271 +117,169 @@
         self.counters.reviewed += (bound.len() + reported.len()) as u64;
         let mut commands = Vec::new();
         for key in bound {
-            self.review(&key, reported.get(&key).copied(), heartbeat, direct, &mut commands, now);
-        }
-        self.review_strangers(&reported, heartbeat, &mut commands);
-        if self.is_ready(&heartbeat.machine, now) != was_ready {
-            self.note_change();
+            let status = reported.get(&key).copied();
+            if let Some(verdict) = self.verdict(&key, status, heartbeat, source) {
+                commands.extend(self.apply_verdict(&key, verdict, &heartbeat.machine, now));
+            }
         }
-        let mine = self.fleet.machines.get(&heartbeat.machine).is_some_and(|m| m.acknowledged_term);
-        // A worker that has not shown this token yet may still carry out
-        // older commands; it is told the token first, and commands next time.
-        Ok(if mine { commands } else { Vec::new() })
+        self.reconcile_unmanaged_tasks(&reported, heartbeat, &mut commands);
+        commands
     }
 
-    fn is_ready(&self, machine: &MachineId, now: Instant) -> bool {
-        self.fleet
-            .machines
-            .get(machine)
-            .is_some_and(|m| m.is_ready(now, self.settings.heartbeat_interval()))
+    /// What a heartbeat shows of a bound task. None if the binding is of another
+    /// incarnation, of which the heartbeat says nothing.
+    fn verdict<'a>(
+        &self,
+        key: &TaskKey,
+        reported: Option<&'a TaskStatus>,
+        heartbeat: &WorkerHeartbeat,
+        source: HeartbeatSource,
+    ) -> Option<TaskVerdict<'a>> {
+        let machine = self.fleet.machines.get(&heartbeat.machine)?;
+        let job = self.jobs.get(&key.job)?;
+        let binding = job.bound.get(&key.task)?;
+        if binding.incarnation != heartbeat.incarnation {
+            return None;
+        }
+        let context = TaskContext {
+            job_ended: job.ended.is_some(),
+            may_start: self.starts_allowed && job.may_start(binding),
+            acknowledged_term: machine.acknowledged_term,
+            may_still_start: source == HeartbeatSource::DirectResponse
+                || machine.open_starts.contains(key, binding.attempt),
+        };
+        Some(task_verdict(binding, context, reported))
     }
 
-    /// One bound task against what the heartbeat says of it.
-    fn review(
+    /// Acts on a verdict and returns the command that it asks for.
+    fn apply_verdict(
         &mut self,
         key: &TaskKey,
-        reported: Option<&TaskStatus>,
-        heartbeat: &WorkerHeartbeat,
-        direct: bool,
-        commands: &mut Vec<TaskCommand>,
+        verdict: TaskVerdict,
+        machine: &MachineId,
         now: Instant,
-    ) {
-        let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) else { return };
-        let mine = machine.acknowledged_term;
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let ended = job.ended.is_some();
-        let may_start = self.starts_allowed
-            && job.bound.get(&key.task).is_some_and(|binding| job.may_start(binding));
-        let Some(binding) = job.bound.get_mut(&key.task) else { return };
-        if binding.incarnation != heartbeat.incarnation {
-            return;
-        }
-        let may_still_start = direct || machine.open_starts.contains(key, binding.attempt);
-        match reported.filter(|t| t.attempt == binding.attempt) {
-            Some(task) if task.state == TaskState::Exited => {
-                machine.unacknowledged_commands = 0;
-                let cause = task.cause.unwrap_or(ExitCause::Error);
-                self.exited(key, cause, now);
+    ) -> Option<TaskCommand> {
+        match verdict {
+            TaskVerdict::Exited(cause) => {
+                self.fleet.machines.get_mut(machine)?.unacknowledged_commands = 0;
+                self.record_exit(key, cause, now);
+                None
             }
-            Some(task) => {
-                machine.unacknowledged_commands = 0;
-                binding.starts_sent = 0;
-                binding.observed = true;
-                if task.state == TaskState::Running && binding.running_since.is_none() {
-                    binding.running_since = Some(now);
-                }
-                let stop = if ended {
-                    Some(StopRequest { requested_at: now, grace_s: 0.0 })
-                } else {
-                    binding.stop
-                };
-                if let Some(stop) = stop {
-                    let late =
-                        now > stop.requested_at + Duration::from_secs_f64(stop.grace_s * 2.0);
-                    if task.state != TaskState::Saving || ended || late {
-                        commands.push(TaskCommand {
-                            op: CommandKind::Stop,
-                            task: task.task.clone(),
-                            attempt: task.attempt,
-                            grace_s: Some(if late { 0.0 } else { stop.grace_s }),
-                        });
-                    }
-                }
+            TaskVerdict::Present(status) => {
+                self.fleet.machines.get_mut(machine)?.unacknowledged_commands = 0;
+                self.record_present(key, status, now)
             }
-            // Orders in answers are never carried out late, so a newer report
-            // at this token that lacks the task is proof, unless a direct
-            // order may still start it.
-            None if mine && !may_still_start && (ended || binding.stop.is_some()) => {
-                self.gone(key, now)
+            TaskVerdict::Terminated => {
+                self.confirm_terminated(key, now);
+                None
             }
-            None if mine && !may_still_start && binding.starts_sent >= 2 => {
-                // Told twice and still not there: the answers don't arrive.
-                machine.record_unacknowledged_command(now + self.settings.worker_lease());
-                info!(machine = %heartbeat.machine, task = ?key, "the machine does not carry out orders");
-                self.gone(key, now);
+            TaskVerdict::StartUnacknowledged => {
+                let until = now + self.settings.worker_lease();
+                self.fleet.machines.get_mut(machine)?.record_unacknowledged_command(until);
+                info!(%machine, task = ?key, "the machine does not carry out orders");
+                self.confirm_terminated(key, now);
+                None
             }
-            None if mine && may_start && reported.is_none() && !ended && binding.stop.is_none() => {
-                commands.push(TaskCommand {
-                    op: CommandKind::Start,
-                    task: key.to_string(),
-                    attempt: binding.attempt,
-                    grace_s: None,
-                });
+            TaskVerdict::StartDue => {
+                let attempt = self.jobs.get(&key.job)?.bound.get(&key.task)?.attempt;
+                let task = key.to_string();
+                Some(TaskCommand { op: CommandKind::Start, task, attempt, grace_s: None })
             }
-            None => {}
+            TaskVerdict::Undetermined => None,
+        }
+    }
+
+    /// Records that a task is on its machine, and returns the stop command that is due.
+    fn record_present(
+        &mut self,
+        key: &TaskKey,
+        status: &TaskStatus,
+        now: Instant,
+    ) -> Option<TaskCommand> {
+        let job = self.jobs.get_mut(&key.job)?;
+        let job_ended = job.ended.is_some();
+        let binding = job.bound.get_mut(&key.task)?;
+        binding.starts_sent = 0;
+        binding.observed = true;
+        if status.state == TaskState::Running && binding.running_since.is_none() {
+            binding.running_since = Some(now);
+        }
+        let stop = if job_ended {
+            StopRequest { requested_at: now, grace_s: 0.0 }
+        } else {
+            binding.stop?
+        };
+        let overdue = now > stop.requested_at + Duration::from_secs_f64(stop.grace_s * 2.0);
+        if status.state == TaskState::Saving && !job_ended && !overdue {
+            return None;
         }
+        Some(stop_command(status, if overdue { 0.0 } else { stop.grace_s }))
     }
 
-    /// Tasks on the machine that are not bound there: exited ones are cleared
-    /// once their outcome is durable, others are stopped.
-    fn review_strangers(
+    /// Tasks on the machine that are not bound there: workers forget exited ones
+    /// once their outcome is durable, and stop others.
+    fn reconcile_unmanaged_tasks(
         &mut self,
         reported: &HashMap<TaskKey, &TaskStatus>,
         heartbeat: &WorkerHeartbeat,
         commands: &mut Vec<TaskCommand>,
     ) {
-        let mut strangers = Resources::default();
-        for (key, task) in reported {
-            let job = self.jobs.get(&key.job);
-            let bound = job.and_then(|j| j.bound.get(&key.task)).is_some_and(|b| {
-                b.machine == heartbeat.machine
-                    && b.incarnation == heartbeat.incarnation
-                    && b.attempt == task.attempt
-            });
-            if bound {
+        let mut unmanaged = Resources::default();
+        for (key, &status) in reported {
+            if self.is_managed(key, status, heartbeat) {
                 continue;
             }
-            if task.state == TaskState::Exited {
-                // A job's last exit is durable only with the job's end.
-                let finishing = job.is_some_and(|j| j.remaining() == 0);
-                // While it is listed, a late start command has no effect.
-                let machine = self.fleet.machines.get(&heartbeat.machine);
-                let may_still_start =
-                    machine.is_some_and(|m| m.open_starts.contains(key, task.attempt));
-                if !finishing && !may_still_start && !self.unwritten(key) {
-                    commands.push(TaskCommand {
-                        op: CommandKind::Forget,
-                        task: task.task.clone(),
-                        attempt: task.attempt,
-                        grace_s: None,
-                    });
+            if status.state == TaskState::Exited {
+                if self.may_forget(key, status, &heartbeat.machine) {
+                    commands.push(forget_command(status));
                 }
             } else {
-                if let Some(job) = job {
-                    strangers.add(&Resources::of_task(&job.spec));
+                if let Some(job) = self.jobs.get(&key.job) {
+                    unmanaged.add(&Resources::of_task(&job.spec));
                 }
-                commands.push(TaskCommand {
-                    op: CommandKind::Stop,
-                    task: task.task.clone(),
-                    attempt: task.attempt,
-                    grace_s: Some(0.0),
-                });
+                commands.push(stop_command(status, 0.0));
             }
         }
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.unmanaged = strangers;
-        }
-    }
-
-    fn exited(&mut self, key: &TaskKey, cause: ExitCause, now: Instant) {
-        debug!(job = %key.job, task = key.task, ?cause, "task exited");
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let Some(binding) = job.bound.get(&key.task) else { return };
-        let id = binding.machine.clone();
-        match cause {
-            ExitCause::Done => {
-                job.done.insert(key.task);
-                job.failures = 0;
-                if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                    machine.failed_jobs.clear();
-                    machine.quarantined_until = None;
-                }
-            }
-            ExitCause::Error => self.failed(key, &id, now),
-            ExitCause::NoRoom | ExitCause::Busy => {
-                // What is known of the machine is wrong; its heartbeats will correct it.
-                let until = now + self.settings.heartbeat_interval() * 4;
-                if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                    machine.quarantined_until = Some(until);
-                }
-            }
-            ExitCause::Unknown => {
-                job.backoff_until = Some(now + self.settings.heartbeat_interval() * 2)
-            }
-            ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => {}
+            machine.unmanaged = unmanaged;
         }
-        self.gone(key, now);
     }
 
-    /// A task failed. Mostly the machine is at fault, but a job with a mistake
-    /// fails everywhere; each is judged by how many of the other it met.
-    fn failed(&mut self, key: &TaskKey, id: &MachineId, now: Instant) {
-        let heartbeat_interval = self.settings.heartbeat_interval();
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        job.failures += 1;
-        if !job.avoided_machines.contains(id) {
-            job.avoided_machines.push(id.clone());
-        }
-        // Failed on several machines: the job itself waits longer and longer,
-        // and the machines are not held responsible.
-        let mistaken = job.avoided_machines.len() >= 3;
-        if mistaken {
-            let wait = heartbeat_interval * 2_u32.saturating_pow(job.failures.min(6));
-            job.backoff_until = Some(now + wait);
-            info!(job = %key.job, failures = job.failures, wait_s = wait.as_secs_f64(), "fails on every machine: waits");
-            for machine in std::mem::take(&mut job.avoided_machines) {
-                if let Some(machine) = self.fleet.machines.get_mut(&machine) {
-                    machine.failed_jobs.remove(&key.job);
-                    machine.quarantined_until = None;
-                }
-            }
-        } else if let Some(machine) = self.fleet.machines.get_mut(id) {
-            machine.failed_jobs.insert(key.job.clone());
-            let wait = heartbeat_interval * 5 * machine.failed_jobs.len() as u32;
-            machine.quarantined_until = Some(now + wait);
-            info!(machine = %id, task = %key.to_string(), "a task failed: the machine rests");
-        }
+    /// Whether a reported attempt is bound to the machine that reports it.
+    fn is_managed(&self, key: &TaskKey, status: &TaskStatus, heartbeat: &WorkerHeartbeat) -> bool {
+        let binding = self.jobs.get(&key.job).and_then(|job| job.bound.get(&key.task));
+        binding.is_some_and(|binding| {
+            binding.machine == heartbeat.machine
+                && binding.incarnation == heartbeat.incarnation
+                && binding.attempt == status.attempt
+        })
     }
 
-    /// There is proof that the task is not on its machine.
-    fn gone(&mut self, key: &TaskKey, now: Instant) {
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let Some(binding) = job.bound.remove(&key.task) else { return };
-        let done = job.done.contains(&key.task);
-        if !done {
-            job.requeued.insert(key.task);
-        }
-        use_team(&mut self.usage, &job.spec, -1.0);
-        if let Some(machine) = self.fleet.machines.get_mut(&binding.machine) {
-            if !done && machine.open_starts.contains_task(key) {
-                job.machines_with_open_starts.insert(binding.machine.clone());
-            }
-            machine.bound.remove(key);
-            if machine.bound.is_empty() {
-                machine.idle_since = Some(now);
-            }
-        }
-        if job.spec.shape == Shape::Gang && !done {
-            // The rest of a broken gang can't go on; the next attempt starts
-            // when all of this one are gone.
-            let grace_s = job.grace_s();
-            for other in job.bound.values_mut() {
-                other.stop.get_or_insert(StopRequest { requested_at: now, grace_s });
-            }
-        }
-        if job.ended.is_some() || job.remaining() == 0 {
-            self.ending.insert(key.job.clone());
-        }
-        self.mark_page(key);
-        self.note_change();
-        self.round_due = true;
+    /// Whether a worker may forget an exited attempt.
+    fn may_forget(&self, key: &TaskKey, status: &TaskStatus, machine: &MachineId) -> bool {
+        // A job's last exit is durable only with the job's end.
+        let finishing = self.jobs.get(&key.job).is_some_and(|job| job.remaining() == 0);
+        // While it is listed, a late start command has no effect.
+        let machine = self.fleet.machines.get(machine);
+        let may_still_start = machine.is_some_and(|m| m.open_starts.contains(key, status.attempt));
+        !finishing && !may_still_start && !self.is_unwritten(key)
     }
+}
 
-    /// All tasks of incarnations before `incarnation` are gone from a machine.
-    pub(super) fn lose_incarnations(&mut self, id: &MachineId, incarnation: u64, now: Instant) {
-        let Some(machine) = self.fleet.machines.get(id) else { return };
-        let bound: Vec<TaskKey> = machine.bound.iter().cloned().collect();
-        for key in bound {
-            let lost = self
-                .jobs
-                .get(&key.job)
-                .and_then(|j| j.bound.get(&key.task))
-                .is_some_and(|b| b.incarnation < incarnation);
-            if lost {
-                info!(job = %key.job, task = key.task, machine = %id, "task lost with its machine's session");
-                self.gone(&key, now);
-            }
-        }
-        if let Some(machine) = self.fleet.machines.get_mut(id) {
-            machine.idle_since.get_or_insert(now);
-        }
+fn stop_command(status: &TaskStatus, grace_s: f64) -> TaskCommand {
+    TaskCommand {
+        op: CommandKind::Stop,
+        task: status.task.clone(),
+        attempt: status.attempt,
+        grace_s: Some(grace_s),
     }
+}
 
-    /// Whether this node sole_renewer_since seems cut off from the workers. Found out late,
-    /// a successor would have no time left to be found by them within their
-    /// lease: they look for it only after an answer has failed to come.
-    pub fn is_isolated_from_workers(&self, now: Instant) -> bool {
-        now > self.started + self.settings.worker_lease()
-            && self.fleet.is_mostly_silent(now, self.settings.heartbeat_interval() * 5 / 2)
+fn forget_command(status: &TaskStatus) -> TaskCommand {
+    TaskCommand {
+        op: CommandKind::Forget,
+        task: status.task.clone(),
+        attempt: status.attempt,
+        grace_s: None,
     }
 }
--- /dev/null
+++ b/src/controller/records.rs
@@ -0,0 +1,143 @@
+//! Changes of the records: new jobs with their placements, ends, and dependencies.
+
+use tokio::time::Instant;
+use tracing::{info, warn};
+
+use super::{Leader, binding::Binding, job::Job, known_end::KnownEnd, pages};
+use crate::{
+    fleet::{Machine, TaskKey},
+    protocol::JobId,
+    store::{BoundTask, Change, Page, WatchCache},
+};
+
+impl Leader {
+    /// Takes the changes of the watch cache.
+    pub fn on_changes(&mut self, changes: &[Change], watch_cache: &WatchCache, now: Instant) {
+        for change in changes {
+            match change {
+                Change::Arrived(id) => self.add_job(id, watch_cache, now),
+                Change::Ready(id) | Change::PriorityChanged(id) => {
+                    self.follow_dependencies(id, watch_cache, now);
+                }
+                Change::Ended(id) => self.record_end(id, now),
+                Change::Leader | Change::HeartbeatsRejected => {}
+            }
+        }
+    }
+
+    /// Adds a job with what its records say.
+    pub(super) fn add_job(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
+        if !watch_cache.jobs.contains_key(id) {
+            return;
+        }
+        if self.jobs.contains(id) {
+            // All records were read again: what it waits for may be over.
+            self.follow_dependencies(id, watch_cache, now);
+            return;
+        }
+        let Some(mut job) = self.job_from_records(id, watch_cache, now) else { return };
+        for page in readable_pages(id, watch_cache) {
+            self.restore_page(id, &mut job, page);
+        }
+        job.stop_partial_gang(now);
+        if job.is_over() {
+            self.writes.check_end_of(id.clone());
+        }
+        self.jobs.insert(id.clone(), job);
+        self.record_change();
+        self.timers.request_round();
+    }
+
+    /// A job as its records say, but for its placements and progress.
+    fn job_from_records(&self, id: &JobId, watch_cache: &WatchCache, now: Instant) -> Option<Job> {
+        let entry = watch_cache.jobs.get(id)?;
+        let page_tasks = pages::tasks_per_page(&self.settings, &entry.spec, self.small_pages);
+        let mut job = Job::new(entry.spec.clone(), entry.version, page_tasks, now);
+        let has_pages = watch_cache.pages.get(id).is_some_and(|pages| !pages.is_empty());
+        if has_pages {
+            // Pages written before keep their layout.
+            job.page_tasks = self.settings.page_tasks();
+        }
+        let dependencies = &watch_cache.dependencies;
+        let ended = watch_cache.ends.contains(id) || dependencies.is_cancelled(id);
+        job.ended = ended.then(|| KnownEnd::learned(now));
+        job.awaits_dependencies = dependencies.waits(id);
+        job.priority = dependencies.effective_priority(id).unwrap_or(job.priority);
+        Some(job)
+    }
+
+    /// Takes the placements and the progress of one page over into its job.
+    fn restore_page(&mut self, id: &JobId, job: &mut Job, numbered: NumberedPage) {
+        let NumberedPage { number, page } = numbered;
+        job.pages.insert(number);
+        job.page_tasks = page.tasks.filter(|tasks| *tasks > 0).unwrap_or(job.page_tasks);
+        job.attempt = job.attempt.max(page.attempt);
+        job.width = job.width.max(page.width.unwrap_or(0));
+        for (first, count) in page.done {
+            job.done.extend(first..first.saturating_add(count).min(job.spec.tasks));
+        }
+        for bound in page.bound {
+            self.restore_binding(id, job, bound);
+        }
+    }
+
+    fn restore_binding(&mut self, id: &JobId, job: &mut Job, bound: BoundTask) {
+        let machine = self.fleet.machines.entry(bound.machine.clone()).or_insert_with(|| {
+            let zone = self.settings.cluster.zones.get(usize::from(bound.zone)).cloned();
+            // The type is learned from the list or the first heartbeat.
+            Machine::new("".into(), zone.unwrap_or_default(), false, job.known_since)
+        });
+        machine.bound.insert(TaskKey { job: id.clone(), task: bound.task });
+        // What a former leader fetched there is known by what runs.
+        machine.images.record_use(&job.spec.image, job.spec.image_gb, f64::INFINITY, |_| true);
+        job.bound.insert(bound.task, Binding::from_record(bound));
+        self.quota_use.add(&job.spec);
+    }
+
+    /// A job's end is in the records: its tasks have to be stopped.
+    fn record_end(&mut self, id: &JobId, now: Instant) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.ended.get_or_insert(KnownEnd::learned(now));
+        for binding in job.bound.values() {
+            self.direct_calls.push(binding.machine.clone());
+        }
+        self.writes.check_end_of(id.clone());
+        self.record_change();
+        self.timers.request_round();
+    }
+
+    /// Takes over what the watch cache says of a job's dependencies and dependants.
+    fn follow_dependencies(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
+        let waits = watch_cache.dependencies.waits(id);
+        let waited = std::mem::replace(&mut job.awaits_dependencies, waits);
+        if waited && !waits {
+            info!(job = %id, "all that it depends on is done");
+            // Waits are counted from here.
+            job.known_since = now;
+            self.timers.request_round();
+            self.record_change();
+        }
+    }
+}
+
+struct NumberedPage {
+    number: u32,
+    page: Page,
+}
+
+/// A job's pages in order, without those that can't be read.
+fn readable_pages<'a>(
+    id: &'a JobId,
+    watch_cache: &'a WatchCache,
+) -> impl Iterator<Item = NumberedPage> + 'a {
+    let entries = watch_cache.pages.get(id).into_iter().flatten();
+    entries.filter_map(move |(&number, entry)| match serde_json::from_str(entry.raw.get()) {
+        Ok(page) => Some(NumberedPage { number, page }),
+        Err(error) => {
+            warn!(job = %id, page = number, %error, "a page can't be read");
+            None
+        }
+    })
+}
--- a/src/controller/summary.rs
+++ b/src/controller/summary.rs
@@ -35,8 +35,7 @@
             ready += u32::from(machine.is_ready(now, heartbeat_interval));
             idle += u32::from(machine.bound.is_empty());
             let at = usize::from(!machine.spot);
-            held[at] +=
-                self.types.iter().find(|t| t.name == machine.machine_type).map_or(0.0, |t| t.gpus);
+            held[at] += self.types.named(&machine.machine_type).map_or(0.0, |t| t.gpus);
             for spec in machine.bound.iter().filter_map(|key| Some(&self.jobs.get(&key.job)?.spec))
             {
                 used[at] += spec.gpus;
--- /dev/null
+++ b/src/controller/task_exits.rs
@@ -0,0 +1,134 @@
+//! Tasks that are over: what their exits say of job and machine, and the confirmed
+//! termination that frees their places.
+
+use tokio::time::Instant;
+use tracing::{debug, info};
+
+use super::{Leader, binding::StopRequest};
+use crate::{
+    fleet::TaskKey,
+    protocol::{ExitCause, JobId, MachineId, Shape},
+};
+
+/// A job that failed on this many machines is itself at fault.
+const MAX_MACHINES_AT_FAULT: usize = 3;
+
+/// A failing job waits 2 to the power of its failures in heartbeat intervals, with at
+/// most this exponent.
+const MAX_BACKOFF_EXPONENT: u32 = 6;
+
+/// A machine is quarantined this many heartbeat intervals for each job that failed on it.
+const QUARANTINE_INTERVALS_PER_JOB: u32 = 5;
+
+/// A machine that refused a task for lack of resources is quarantined this long, in
+/// heartbeat intervals.
+const REFUSAL_QUARANTINE_INTERVALS: u32 = 4;
+
+/// A job waits this long after an exit of unknown cause, in heartbeat intervals.
+const UNKNOWN_EXIT_BACKOFF_INTERVALS: u32 = 2;
+
+impl Leader {
+    /// Records a reported exit and confirms the task as terminated.
+    pub(super) fn record_exit(&mut self, key: &TaskKey, cause: ExitCause, now: Instant) {
+        debug!(job = %key.job, task = key.task, ?cause, "task exited");
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        let Some(binding) = job.bound.get(&key.task) else { return };
+        let id = binding.machine.clone();
+        match cause {
+            ExitCause::Done => {
+                job.done.insert(key.task);
+                job.failures = 0;
+                if let Some(machine) = self.fleet.machines.get_mut(&id) {
+                    machine.failed_jobs.clear();
+                    machine.quarantined_until = None;
+                }
+            }
+            ExitCause::Error => self.record_failure(key, &id, now),
+            ExitCause::NoRoom | ExitCause::Busy => {
+                // What is known of the machine is wrong; its heartbeats will correct it.
+                let until = now + self.settings.heartbeat_interval() * REFUSAL_QUARANTINE_INTERVALS;
+                if let Some(machine) = self.fleet.machines.get_mut(&id) {
+                    machine.quarantine(until);
+                }
+            }
+            ExitCause::Unknown => {
+                let backoff = self.settings.heartbeat_interval() * UNKNOWN_EXIT_BACKOFF_INTERVALS;
+                job.backoff_until = Some(now + backoff);
+            }
+            ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => {}
+        }
+        self.confirm_terminated(key, now);
+    }
+
+    /// Records a failed task. Mostly the machine is at fault, but a job with a mistake
+    /// fails everywhere; each is judged by how many of the other it met.
+    fn record_failure(&mut self, key: &TaskKey, machine: &MachineId, now: Instant) {
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        job.failures += 1;
+        if !job.avoided_machines.contains(machine) {
+            job.avoided_machines.push(machine.clone());
+        }
+        if job.avoided_machines.len() >= MAX_MACHINES_AT_FAULT {
+            self.back_off_failing_job(&key.job, now);
+        } else {
+            self.quarantine_failing_machine(key, machine, now);
+        }
+    }
+
+    /// A job that failed on several machines waits longer and longer, and the machines
+    /// are not held responsible.
+    fn back_off_failing_job(&mut self, id: &JobId, now: Instant) {
+        let heartbeat_interval = self.settings.heartbeat_interval();
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let exponent = job.failures.min(MAX_BACKOFF_EXPONENT);
+        let wait = heartbeat_interval * 2_u32.saturating_pow(exponent);
+        job.backoff_until = Some(now + wait);
+        info!(job = %id, failures = job.failures, wait_s = wait.as_secs_f64(), "fails on every machine: waits");
+        for machine in std::mem::take(&mut job.avoided_machines) {
+            if let Some(machine) = self.fleet.machines.get_mut(&machine) {
+                machine.failed_jobs.remove(id);
+                machine.quarantined_until = None;
+            }
+        }
+    }
+
+    fn quarantine_failing_machine(&mut self, key: &TaskKey, id: &MachineId, now: Instant) {
+        let heartbeat_interval = self.settings.heartbeat_interval();
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
+        machine.failed_jobs.insert(key.job.clone());
+        let failed_jobs = machine.failed_jobs.len() as u32;
+        machine.quarantine(now + heartbeat_interval * QUARANTINE_INTERVALS_PER_JOB * failed_jobs);
+        info!(machine = %id, task = %key, "a task failed: the machine rests");
+    }
+
+    /// Frees the place of a task: there is proof that it is not on its machine.
+    pub(super) fn confirm_terminated(&mut self, key: &TaskKey, now: Instant) {
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        let Some(binding) = job.bound.remove(&key.task) else { return };
+        let done = job.done.contains(&key.task);
+        if !done {
+            job.requeued.insert(key.task);
+        }
+        self.quota_use.remove(&job.spec);
+        if let Some(machine) = self.fleet.machines.get_mut(&binding.machine) {
+            if !done && machine.open_starts.contains_task(key) {
+                job.machines_with_open_starts.insert(binding.machine.clone());
+            }
+            machine.bound.remove(key);
+            if machine.bound.is_empty() {
+                machine.idle_since = Some(now);
+            }
+        }
+        if job.spec.shape == Shape::Gang && !done {
+            // The rest of a broken gang can't continue; the next attempt starts
+            // when all tasks of this one are gone.
+            job.stop_all(StopRequest { requested_at: now, grace_s: job.grace_s() });
+        }
+        if job.is_over() {
+            self.writes.check_end_of(key.job.clone());
+        }
+        self.mark_page(key);
+        self.record_change();
+        self.timers.request_round();
+    }
+}
--- /dev/null
+++ b/src/controller/write_outcomes.rs
@@ -0,0 +1,86 @@
+//! What the outcome of a write means for the leader's state.
+
+use tokio::time::Instant;
+use tracing::info;
+
+use super::{CommitKind, Leader, known_end::KnownEnd, pending_writes::PageKey};
+use crate::{
+    protocol::JobId,
+    store::{Page, WatchCache},
+};
+
+impl Leader {
+    /// A write is durable. The watch cache has it already.
+    pub fn committed(&mut self, kind: &CommitKind, watch_cache: &WatchCache, now: Instant) {
+        match kind {
+            CommitKind::Page { job, page, content } => {
+                self.writes.finish(&PageKey { job: job.clone(), page: *page });
+                self.page_committed(job, content);
+            }
+            CommitKind::End { job } => {
+                self.writes.finish_cancellation(job);
+                self.end_committed(job, watch_cache, now);
+            }
+            CommitKind::Types => {}
+        }
+    }
+
+    /// The placements of a page are durable: their start commands may leave.
+    fn page_committed(&mut self, id: &JobId, content: &Page) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        for bound in &content.bound {
+            if let Some(binding) = job.bound.get_mut(&bound.task)
+                && binding.attempt == bound.attempt
+            {
+                binding.durable = true;
+                if !binding.observed {
+                    self.direct_calls.push(binding.machine.clone());
+                }
+            }
+        }
+        if job.is_over() {
+            self.writes.check_end_of(id.clone());
+        }
+    }
+
+    fn end_committed(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.end_in_flight = false;
+        if watch_cache.ends.contains(id) {
+            job.ended.get_or_insert(KnownEnd::learned(now));
+        }
+        if watch_cache.jobs.contains_key(id) {
+            // More pages than one transaction drops.
+            self.writes.check_end_of(id.clone());
+        } else {
+            info!(job = %id, "ended");
+            self.jobs.remove(id);
+            self.writes.forget_job(id);
+        }
+    }
+
+    /// A write did not happen, as far as the fresh watch cache tells: it is made again.
+    pub fn not_committed(&mut self, kind: CommitKind, watch_cache: &WatchCache, now: Instant) {
+        match kind {
+            CommitKind::Page { job, page, .. } => {
+                let page = PageKey { job, page };
+                self.writes.finish(&page);
+                // If the job is over by now, its end replaces the page.
+                self.writes.check_end_of(page.job.clone());
+                self.writes.mark_due(page);
+            }
+            CommitKind::End { job: id } => {
+                self.writes.finish_cancellation(&id);
+                if let Some(job) = self.jobs.get_mut(&id) {
+                    job.end_in_flight = false;
+                    // Cancelled in the meantime: the first end wins.
+                    if watch_cache.ends.contains(&id) {
+                        job.ended.get_or_insert(KnownEnd::learned(now));
+                    }
+                    self.writes.check_end_of(id);
+                }
+            }
+            CommitKind::Types => self.types.mark_unstored(),
+        }
+    }
+}
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -1,109 +1,114 @@
 //! What is written, in which order, and what a write's outcome means.
 
-use tokio::time::Instant;
-use tracing::info;
+use std::cmp::Reverse;
 
-use super::{KnownEnd, Leader};
+use super::{Leader, pending_writes::PageKey};
 use crate::{
     protocol::{Condition, JobId, JobState, Write},
     state::IN_FLIGHT,
     store::{self, JobEnd, Page, WatchCache},
 };
 
-/// One write for the committer.
+/// One transaction to commit.
 #[derive(Debug)]
 pub struct Commit {
+    /// What must hold for the writes to happen.
     pub conditions: Vec<Condition>,
+    /// The writes, which happen all or not at all.
     pub writes: Vec<Write>,
+    /// What the transaction is for.
     pub kind: CommitKind,
 }
 
+/// What a transaction is for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommitKind {
+    /// The record of the placements and progress of a range of a job's tasks.
     Page {
+        /// The job.
         job: JobId,
+        /// The page's number within the job.
         page: u32,
+        /// What is written.
         content: Page,
     },
     /// The job's end, or the dropping of an ended job's records.
     End {
+        /// The job.
         job: JobId,
     },
+    /// The record of the machine types.
     Types,
 }
 
 impl Leader {
-    /// Writes that are due, as many as may be under way at once: after a loss
-    /// of hundreds of tasks the budget decides who comes back first, so ends go
-    /// first, then pages with new places by priority and arrival, then the
-    /// rest. A page leaves only once at a time, so what it says of a task is
-    /// never overtaken by an older version.
+    /// Writes that are due, as many as may be in flight at once: after a loss
+    /// of hundreds of tasks the budget decides who is started again first, so ends go
+    /// first, then pages with new placements by priority and arrival, then the
+    /// rest.
     ///
     /// `spare`: how many writes the budget has beyond what is kept for urgent
-    /// ones. Pages without new places wait for those: nobody waits for them, and
+    /// ones. Pages without new placements wait for those: nobody waits for them, and
     /// the more exits one of them takes in, the fewer are written.
     pub fn take_commits(&mut self, watch_cache: &WatchCache, spare: usize) -> Vec<Commit> {
+        let leads = Condition { key: store::LEADER_KEY.into(), version: self.lead_version };
+        let mut commits = self.end_commits(&leads, watch_cache);
+        commits.extend(self.types_commit(&leads, watch_cache));
+        for key in self.due_pages(spare) {
+            commits.extend(self.page_commit(key, &leads, watch_cache));
+        }
+        commits
+    }
+
+    /// The ends that may be written now; the others are checked again.
+    fn end_commits(&mut self, leads: &Condition, watch_cache: &WatchCache) -> Vec<Commit> {
+        let max_cancellations = self.settings.state_limits().transaction_writes;
         let mut commits = Vec::new();
-        let lead = Condition { key: store::LEADER_KEY.into(), version: self.lead_version };
-        for id in std::mem::take(&mut self.ending) {
-            if watch_cache.dependencies.is_cancelled(&id) && !self.may_cancel(&id) {
-                self.ending.insert(id);
-            } else if let Some(commit) = self.end_commit(&id, &lead, watch_cache) {
+        for id in self.writes.take_ending() {
+            if watch_cache.dependencies.is_cancelled(&id)
+                && !self.writes.begin_cancellation(&id, max_cancellations)
+            {
+                self.writes.check_end_of(id);
+            } else if let Some(commit) = self.end_commit(&id, leads, watch_cache) {
                 commits.push(commit);
             } else if self.jobs.get(&id).is_none_or(|job| !job.end_in_flight) {
-                self.cancelling.remove(&id);
+                self.writes.finish_cancellation(&id);
             }
         }
-        if !self.types_stored && !self.types.is_empty() {
-            self.types_stored = true;
-            let version = watch_cache.types.as_ref().map_or(0, |(v, _)| *v);
-            if let Ok(value) = store::value(&*self.types) {
-                let key = store::MACHINE_TYPES_KEY.to_owned();
-                commits.push(Commit {
-                    conditions: vec![lead.clone(), Condition { key: key.clone(), version }],
-                    writes: vec![Write::Put { key, value, lease: None }],
-                    kind: CommitKind::Types,
-                });
-            }
-        }
-        for key in self.due_pages(spare) {
-            commits.extend(self.page_commit(key, &lead, watch_cache));
-        }
         commits
     }
 
-    /// Whether the end of a job that is cancelled with another one may be
-    /// written now. Its users are told without that record, so thousands of
-    /// these must not hold up other writes.
-    fn may_cancel(&mut self, id: &JobId) -> bool {
-        let room = self.cancelling.len() < self.settings.state_limits().transaction_writes;
-        if room {
-            self.cancelling.insert(id.clone());
-        }
-        room
+    /// The write of the machine types, if their record is out of date.
+    fn types_commit(&mut self, leads: &Condition, watch_cache: &WatchCache) -> Option<Commit> {
+        let types = self.types.take_unstored()?;
+        let version = watch_cache.types.as_ref().map_or(0, |(version, _)| *version);
+        let value = store::value(&*types).ok()?;
+        let key = store::MACHINE_TYPES_KEY.to_owned();
+        Some(Commit {
+            conditions: vec![leads.clone(), Condition { key: key.clone(), version }],
+            writes: vec![Write::Put { key, value, lease: None }],
+            kind: CommitKind::Types,
+        })
     }
 
-    fn writes_under_way(&self) -> usize {
+    /// How many pages may be in flight at once.
+    fn max_pages_in_flight(&self) -> usize {
         self.settings.state_limits().transaction_writes * IN_FLIGHT
     }
 
     /// The pages that should be written next.
-    fn due_pages(&self, spare: usize) -> Vec<(JobId, u32)> {
-        let room = self.writes_under_way().saturating_sub(self.inflight.len());
+    fn due_pages(&self, spare: usize) -> Vec<PageKey> {
+        let room = self.max_pages_in_flight().saturating_sub(self.writes.pages_in_flight());
         if room == 0 {
             return Vec::new();
         }
-        let mut due: Vec<_> = self
-            .dirty
-            .iter()
-            .filter(|key| !self.inflight.contains(*key))
-            .map(|key| {
-                let job = self.jobs.get(&key.0);
-                let places = job.is_some_and(|j| j.awaits_record(key.1));
-                let rank = job.map(|j| (std::cmp::Reverse(j.priority), j.arrival));
-                (!places, rank, key)
-            })
-            .collect();
+        let due = self.writes.due().map(|key| {
+            let job = self.jobs.get(&key.job);
+            let has_new_placements = job.is_some_and(|job| job.awaits_record(key.page));
+            let rank = job.map(|job| (Reverse(job.priority), job.arrival));
+            (!has_new_placements, rank, key)
+        });
+        let mut due: Vec<_> = due.collect();
         due.sort();
         due.truncate(room);
         let urgent = due.iter().take_while(|(can_wait, ..)| !can_wait).count();
@@ -113,35 +118,35 @@
 
     fn page_commit(
         &mut self,
-        key: (JobId, u32),
-        lead: &Condition,
+        key: PageKey,
+        leads: &Condition,
         watch_cache: &WatchCache,
     ) -> Option<Commit> {
-        self.dirty.remove(&key);
-        let job = self.jobs.get(&key.0)?;
+        self.writes.clear_due(&key);
+        let job = self.jobs.get(&key.job)?;
         // An ended job's pages only matter while tasks are bound.
         if (job.ended.is_some() && job.bound.is_empty()) || job.remaining() == 0 {
             return None;
         }
         let (content, value) = self.page_record(&key)?;
-        let job = self.jobs.get_mut(&key.0)?;
-        job.pages.insert(key.1);
-        let page = store::page_key(&key.0, key.1);
-        let job_key = store::job_key(&key.0);
+        let job = self.jobs.get_mut(&key.job)?;
+        job.pages.insert(key.page);
         let arrival = job.arrival;
-        let version =
-            watch_cache.pages.get(&key.0).and_then(|p| p.get(&key.1)).map_or(0, |p| p.version);
-        self.inflight.insert(key.clone());
+        self.writes.begin(key.clone());
+        let PageKey { job, page } = key;
+        let page_key = store::page_key(&job, page);
+        let pages = watch_cache.pages.get(&job);
+        let version = pages.and_then(|pages| pages.get(&page)).map_or(0, |page| page.version);
         Some(Commit {
             // Conditioned on the job too: a first page that is carried out late,
             // when the job is over and its pages are gone, finds version 0 again.
             conditions: vec![
-                lead.clone(),
-                Condition { key: job_key, version: arrival },
-                Condition { key: page.clone(), version },
+                leads.clone(),
+                Condition { key: store::job_key(&job), version: arrival },
+                Condition { key: page_key.clone(), version },
             ],
-            writes: vec![Write::Put { key: page, value, lease: None }],
-            kind: CommitKind::Page { job: key.0, page: key.1, content },
+            writes: vec![Write::Put { key: page_key, value, lease: None }],
+            kind: CommitKind::Page { job, page, content },
         })
     }
 
@@ -150,18 +155,18 @@
     fn end_commit(
         &mut self,
         id: &JobId,
-        lead: &Condition,
+        leads: &Condition,
         watch_cache: &WatchCache,
     ) -> Option<Commit> {
         let job = self.jobs.get(id)?;
         if job.end_in_flight || !job.bound.is_empty() {
             return None;
         }
-        if self.inflight.range((id.clone(), 0)..=(id.clone(), u32::MAX)).next().is_some() {
-            // Asked again when that write is through.
+        if self.writes.is_job_in_flight(id) {
+            // Checked again when that write is through.
             return None;
         }
-        let mut conditions = vec![lead.clone()];
+        let mut conditions = vec![leads.clone()];
         let mut writes = Vec::new();
         if !watch_cache.ends.contains(id) {
             // Nothing is dropped before the end is in the records: without it the
@@ -188,74 +193,9 @@
         done.then_some(JobEnd { state: JobState::Done, done: job.spec.tasks })
     }
 
-    /// A write is durable. The watch cache has it already.
-    pub fn committed(&mut self, kind: &CommitKind, watch_cache: &WatchCache, now: Instant) {
-        match kind {
-            CommitKind::Page { job: id, page, content } => {
-                self.inflight.remove(&(id.clone(), *page));
-                let Some(job) = self.jobs.get_mut(id) else { return };
-                for bound in &content.bound {
-                    if let Some(binding) = job.bound.get_mut(&bound.task)
-                        && binding.attempt == bound.attempt
-                    {
-                        binding.durable = true;
-                        if !binding.observed {
-                            self.needs_command.push(binding.machine.clone());
-                        }
-                    }
-                }
-                if job.ended.is_some() || job.remaining() == 0 {
-                    self.ending.insert(id.clone());
-                }
-            }
-            CommitKind::End { job: id } => {
-                self.cancelling.remove(id);
-                let Some(job) = self.jobs.get_mut(id) else { return };
-                job.end_in_flight = false;
-                if watch_cache.ends.contains(id) {
-                    job.ended.get_or_insert(KnownEnd::learned(now));
-                }
-                if watch_cache.jobs.contains_key(id) {
-                    // More pages than one transaction drops.
-                    self.ending.insert(id.clone());
-                } else {
-                    let arrival = job.arrival;
-                    info!(job = %id, "ended");
-                    self.jobs.remove(id);
-                    self.forget_pages(id);
-                    self.order.remove(&(arrival, id.clone()));
-                }
-            }
-            CommitKind::Types => {}
-        }
-    }
-
-    /// A write did not happen, as far as the fresh watch cache tells: again.
-    pub fn not_committed(&mut self, kind: CommitKind, watch_cache: &WatchCache, now: Instant) {
-        match kind {
-            CommitKind::Page { job, page, .. } => {
-                self.inflight.remove(&(job.clone(), page));
-                // If the job is over by now, its end replaces the page.
-                self.ending.insert(job.clone());
-                self.dirty.insert((job, page));
-            }
-            CommitKind::End { job: id } => {
-                self.cancelling.remove(&id);
-                if let Some(job) = self.jobs.get_mut(&id) {
-                    job.end_in_flight = false;
-                    // Cancelled in the meantime: the first end wins.
-                    if watch_cache.ends.contains(&id) {
-                        job.ended.get_or_insert(KnownEnd::learned(now));
-                    }
-                    self.ending.insert(id);
-                }
-            }
-            CommitKind::Types => self.types_stored = false,
-        }
-    }
-
+    /// Whether anything may have to be written.
     pub fn has_writes(&self) -> bool {
-        !self.dirty.is_empty() || !self.ending.is_empty() || !self.types_stored
+        !self.writes.is_empty() || !self.types.is_stored()
     }
 }
 
--- a/src/node/cloud_loop.rs
+++ b/src/node/cloud_loop.rs
@@ -26,7 +26,7 @@
                 continue;
             }
         };
-        node.with_leader(version, |leader| leader.rented(&rental, answer, Instant::now()));
+        node.with_leader(version, |leader| leader.on_provisioned(&rental, answer, Instant::now()));
         return node.work.notify_one();
     }
 }
@@ -35,12 +35,12 @@
 pub(super) async fn give_back(node: Arc<Node>, version: u64, machines: Vec<MachineId>) {
     match node.cloud.delete(machines.clone()).await {
         Ok(()) => {
-            node.with_leader(version, |leader| leader.deleted(&machines, Instant::now()));
+            node.with_leader(version, |leader| leader.on_deleted(&machines, Instant::now()));
         }
         Err(error) => {
             debug!(%error, "deletion");
             tokio::time::sleep(node.settings.heartbeat_interval()).await;
-            node.with_leader(version, |leader| leader.not_deleted(machines));
+            node.with_leader(version, |leader| leader.on_deletion_failed(machines));
         }
     }
     node.work.notify_one();
@@ -60,7 +60,7 @@
         if types_due <= Instant::now() {
             match node.cloud.machine_types().await {
                 Ok(types) => {
-                    node.with_leader(version, |leader| leader.on_types(types));
+                    node.with_leader(version, |leader| leader.on_machine_types(types));
                     types_due = Instant::now() + every * 10;
                     node.work.notify_one();
                 }
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -13,7 +13,7 @@
     until,
 };
 use crate::{
-    controller::{Commit, CommitKind, DirectOutcome, DirectRequest, Leader},
+    controller::{Commit, CommitKind, DirectOutcome, DirectRequest, Leader, StateService},
     http::client::CallError,
     protocol::{MachineId, ProvisionRequest},
     state::{StateError, lock},
@@ -68,7 +68,7 @@
     let now = Instant::now();
     let mut leader = Leader::new(node.settings.clone(), version, held.tokens, &watch_cache, now);
     for (id, at) in lock(&node.confirmed_since).iter() {
-        leader.confirmed_since(id, *at);
+        leader.record_confirmed_end(id, *at);
     }
     info!(token = held.tokens.first(), "{}", leader.summary(now));
     held.leader = Some(leader);
@@ -98,14 +98,16 @@
             leader.allow_small_pages();
         }
         leader.allow_starts(!paused && knows_cancellations);
-        leader.tick(now, paused, alone);
-        leader.took(now, now.elapsed());
+        let state_service =
+            if paused { StateService::Unavailable } else { StateService::Available };
+        leader.tick(now, state_service, alone);
+        leader.record_tick_duration(now, now.elapsed());
         let commits =
             if leader.has_writes() { leader.take_commits(&watch_cache, spare) } else { Vec::new() };
         Due {
             commits,
             direct: leader.take_direct(now),
-            rentals: leader.take_rentals(),
+            rentals: leader.take_provision_requests(),
             deletions: leader.take_deletions(),
             next_tick: leader.next_tick(),
         }
@@ -138,7 +140,7 @@
 fn summarise(node: &Node, version: u64) {
     node.with_leader(version, |leader| {
         info!("{}", leader.summary(Instant::now()));
-        if leader.outnumbered() {
+        if leader.take_connection_shortage() {
             warn!("cluster.quota.fd_limit: more machines than sockets for them");
         }
     });
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -43,7 +43,7 @@
             leader.on_changes(changes, &watch_cache, Instant::now());
             let confirmed_since = lock(&self.confirmed_since);
             for (id, at) in ended(changes).filter_map(|id| confirmed_since.get_key_value(id)) {
-                leader.confirmed_since(id, *at);
+                leader.record_confirmed_end(id, *at);
             }
             self.work.notify_one();
         }
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -109,7 +109,7 @@
         // All are sent away in one second, and a leader that seemed to have
         // lost them would give way, in an outage to nobody.
         let heard = if away {
-            leader.send_away(heartbeat, now).map(|()| HeartbeatReply::Redirect(None))
+            leader.on_redirected_heartbeat(heartbeat, now).map(|()| HeartbeatReply::Redirect(None))
         } else {
             let answered = leader.on_heartbeat(heartbeat, now);
             let token = leader.token_for(&heartbeat.machine);
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 use stonewheel::{
-    controller::{Commit, Leader},
+    controller::{Commit, Leader, StateService},
     fencing::TermTokens,
     protocol::{
         CommandKind, ExitCause, JobSpec, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat, Write,
@@ -96,7 +96,7 @@
 
     pub fn pass(&mut self, seconds: f64) {
         self.now += Duration::from_secs_f64(seconds);
-        self.leader.tick(self.now, false, self.alone);
+        self.leader.tick(self.now, StateService::Available, self.alone);
     }
 
     pub fn commits(&mut self) -> Vec<Commit> {
--- a/tests/guest_array.rs
+++ b/tests/guest_array.rs
@@ -41,9 +41,9 @@
         harness.submit(&format!("j-{number:06}"), json!({"Spokes": 1}));
     }
     for _ in 0..3 {
-        for rental in harness.leader.take_rentals() {
+        for rental in harness.leader.take_provision_requests() {
             let rented = (!sold_out).then(Vec::new);
-            harness.leader.rented(&rental, rented, harness.now);
+            harness.leader.on_provisioned(&rental, rented, harness.now);
         }
         harness.pass(5.0);
         report_all(&mut harness);
--- a/tests/late_commands/cancelled_tasks.rs
+++ b/tests/late_commands/cancelled_tasks.rs
@@ -6,7 +6,10 @@
 use crate::open_starts::send_one;
 use serde_json::json;
 use std::time::Duration;
-use stonewheel::protocol::{JobState, MachineId};
+use stonewheel::{
+    controller::StateService,
+    protocol::{JobState, MachineId},
+};
 use tokio::time::Instant;
 
 #[tokio::test(start_paused = true)]
@@ -20,7 +23,7 @@
     for _ in 0..25 {
         harness.now += Duration::from_secs(1);
         harness.heartbeat("n-1", 1, &[]);
-        harness.leader.tick(harness.now, true, None);
+        harness.leader.tick(harness.now, StateService::Unavailable, None);
     }
     assert_eq!(harness.leader.take_deletions(), ["n-1".into()] as [MachineId; 1]);
 }
@@ -36,11 +39,11 @@
     no_answer(&mut harness, &sent);
     let confirmed = harness.now - Duration::from_secs(confirmed_before_s);
     harness.cancel("j-000001");
-    harness.leader.confirmed_since("j-000001", confirmed);
+    harness.leader.record_confirmed_end("j-000001", confirmed);
     for after in 1..40 {
         harness.now += Duration::from_secs(1);
         harness.heartbeat("n-1", 1, &[]);
-        harness.leader.tick(harness.now, false, harness.alone);
+        harness.leader.tick(harness.now, StateService::Available, harness.alone);
         if !harness.leader.take_deletions().is_empty() {
             return after;
         }
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use stonewheel::{
-    controller::Leader,
+    controller::{Leader, StateService},
     fencing::TermTokens,
     protocol::{CommandKind, MachineType, TaskStatus},
 };
@@ -17,13 +17,13 @@
     let mut harness = LeaderHarness::new(5);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
-    let rental = harness.leader.take_rentals().pop().expect("a rental");
-    harness.leader.rented(&rental, Some(vec!["n-9".into()]), harness.now);
+    let rental = harness.leader.take_provision_requests().pop().expect("a rental");
+    harness.leader.on_provisioned(&rental, Some(vec!["n-9".into()]), harness.now);
     harness.settle();
-    assert!(harness.leader.take_rentals().is_empty(), "it waits for the boot");
+    assert!(harness.leader.take_provision_requests().is_empty(), "it waits for the boot");
     // A boot takes 20 s as a rule; past one and a half of it another is rented.
     harness.pass(33.0);
-    let second = harness.leader.take_rentals().pop().expect("another rental");
+    let second = harness.leader.take_provision_requests().pop().expect("another rental");
     assert_ne!(second.request, rental.request, "a name is never used twice");
     harness.pass(20.0);
     let deletions = harness.leader.take_deletions();
@@ -38,7 +38,7 @@
     harness.set_aim("wait", 10.0);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 25, "Gpus": 8.0}));
     harness.settle();
-    let rented: u32 = harness.leader.take_rentals().iter().map(|r| r.count).sum();
+    let rented: u32 = harness.leader.take_provision_requests().iter().map(|r| r.count).sum();
     assert_eq!(rented, 27, "0.4 of the root of 25 machines more");
 }
 
@@ -48,7 +48,7 @@
     harness.set_aim("finished", 100.0);
     harness.submit("j-000001", json!({"Spokes": 64, "Driftwood": true}));
     harness.pass(5.0);
-    let rentals = harness.leader.take_rentals();
+    let rentals = harness.leader.take_provision_requests();
     assert!(rentals.iter().all(|r| r.spot));
     assert_eq!(
         rentals.iter().map(|r| r.count).sum::<u32>(),
@@ -115,16 +115,16 @@
     harness.submit("j-000001", json!({"Spokes": 64, "Driftwood": true}));
     harness.pass(4.0);
     let mut rented = 0;
-    for rental in harness.leader.take_rentals() {
+    for rental in harness.leader.take_provision_requests() {
         let names = (0..rental.count).map(|n| format!("{}-{n}", rental.request).into()).collect();
-        harness.leader.rented(&rental, Some(names), harness.now);
+        harness.leader.on_provisioned(&rental, Some(names), harness.now);
         rented += rental.count;
     }
     assert_eq!(rented, 8 + 4 + 8, "its own, 0.4 of the root times 20/6, and its growth again");
     // A boot later without growth nothing more is rented.
     harness.pass(21.0);
     harness.pass(5.0);
-    assert!(harness.leader.take_rentals().is_empty());
+    assert!(harness.leader.take_provision_requests().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
@@ -141,21 +141,21 @@
     for machine in ["n-1", "n-2"] {
         harness.heartbeat(machine, 1, &[]);
     }
-    harness.leader.tick(harness.now, true, harness.alone);
+    harness.leader.tick(harness.now, StateService::Unavailable, harness.alone);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 2, "Gpus": 8.0}));
     for _ in 0..50 {
         harness.now += Duration::from_secs(1);
         for machine in ["n-1", "n-2"] {
             harness.heartbeat(machine, 1, &[]);
         }
-        harness.leader.tick(harness.now, true, harness.alone);
+        harness.leader.tick(harness.now, StateService::Unavailable, harness.alone);
     }
     // The first look after it is one over all machines.
     harness.pass(1.0);
     harness.settle();
     assert!(harness.leader.take_deletions().is_empty());
     assert_eq!(harness.bound("j-000001").len(), 2);
-    assert!(harness.leader.take_rentals().is_empty());
+    assert!(harness.leader.take_provision_requests().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/leader/failover.rs
+++ b/tests/leader/failover.rs
@@ -50,7 +50,7 @@
     next.pass(2.0);
     let deletions = next.leader.take_deletions();
     assert_eq!(deletions.iter().map(|m| &**m).collect::<Vec<_>>(), ["n-1"]);
-    next.leader.deleted(&deletions, next.now);
+    next.leader.on_deleted(&deletions, next.now);
     next.heartbeat("n-2", 1, &[]);
     next.settle();
     assert_ne!(next.bound("j-000001")[0].1, "n-1");
@@ -181,15 +181,15 @@
     let mut harness = harness.succeed(6);
     harness.submit("j-000002", json!({"Shape": "service", "Spokes": 1, "Gpus": 4.0}));
     harness.pass(0.3);
-    assert!(harness.leader.take_rentals().is_empty());
+    assert!(harness.leader.take_provision_requests().is_empty());
     harness.heartbeat("n-1", 1, &tasks);
     harness.settle();
     assert_eq!(harness.bound("j-000002"), [(0, "n-1".into())]);
-    assert!(harness.leader.take_rentals().is_empty());
+    assert!(harness.leader.take_provision_requests().is_empty());
     // A machine that stays silent is not waited for.
     harness.submit("j-000003", json!({"Shape": "service", "Spokes": 1, "Gpus": 4.0}));
     harness.settle();
-    assert_eq!(harness.leader.take_rentals().len(), 1);
+    assert_eq!(harness.leader.take_provision_requests().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/leader/placement.rs
+++ b/tests/leader/placement.rs
@@ -183,7 +183,7 @@
         .submit("j-000002", json!({"Shape": "service", "Spokes": 1, "Gpus": 2.0, "Rank": "high"}));
     harness.settle();
     assert_eq!(harness.bound("j-000002"), [], "the machine is held");
-    let rentals = harness.leader.take_rentals();
+    let rentals = harness.leader.take_provision_requests();
     assert_eq!(
         rentals.iter().map(|r| r.count).sum::<u32>(),
         2,
