--- a/src/controller/summary.rs
+++ b/src/controller/summary.rs
@@ -12,7 +12,7 @@
     pub reviewed: u64,
     /// Turns of the leader's loop.
     pub ticks: u64,
-    /// Looks over all machines and jobs for what time alone brings.
+    /// Looks over all machines and jobs for what time sole_renewer_since brings.
     pub sweeps: u64,
     pub passes: u64,
     /// Places weighed in them.
@@ -28,16 +28,15 @@
         // and what work that may use spot machines has of the latter.
         let (mut used, mut held, mut misplaced) = ([0.0; 2], [0.0; 2], 0.0);
         for machine in self.fleet.machines.values() {
-            if !machine.heard() {
+            if !machine.has_reported() {
                 booting += 1;
                 continue;
             }
-            ready += u32::from(machine.ready(now, heartbeat_interval));
+            ready += u32::from(machine.is_ready(now, heartbeat_interval));
             idle += u32::from(machine.bound.is_empty());
             let at = usize::from(!machine.spot);
-            held[at] +=
-                self.types.iter().find(|t| t.name == machine.machine_type).map_or(0.0, |t| t.gpus);
-            for spec in machine.bound.iter().filter_map(|(job, _)| Some(&self.jobs.get(job)?.spec))
+            held[at] += self.types.named(&machine.machine_type).map_or(0.0, |t| t.gpus);
+            for spec in machine.bound.iter().filter_map(|key| Some(&self.jobs.get(&key.job)?.spec))
             {
                 used[at] += spec.gpus;
                 if spec.spot && !machine.spot {
@@ -47,7 +46,7 @@
         }
         let waiting = self.jobs.values().filter(|j| j.bound.is_empty() && j.is_active()).count();
         let dependent =
-            self.jobs.values().filter(|j| j.waits_for_others && j.ended.is_none()).count();
+            self.jobs.values().filter(|j| j.awaits_dependencies && j.ended.is_none()).count();
         format!(
             "jobs {} (waiting {waiting}, for others {dependent}), GPUs {} of {} ordinary ({misplaced} by work for spot) and {} of {} spot, machines {} (booting {booting}, ready {ready}, idle {idle}), {:?}",
             self.jobs.len(),
--- a/src/node/cloud_loop.rs
+++ b/src/node/cloud_loop.rs
@@ -32,7 +32,9 @@
                 continue;
             }
         };
-        node.with_leader(version, |leader| leader.rented(&request, machines, Instant::now()));
+        node.with_leader(version, |leader| {
+            leader.on_provisioned(&request, machines, Instant::now())
+        });
         return node.tick_requested.notify_one();
     }
 }
@@ -41,12 +43,12 @@
 pub(super) async fn return_machines(node: Arc<Node>, version: u64, machines: Vec<MachineId>) {
     match node.cloud.delete(machines.clone()).await {
         Ok(()) => {
-            node.with_leader(version, |leader| leader.deleted(&machines, Instant::now()));
+            node.with_leader(version, |leader| leader.on_deleted(&machines, Instant::now()));
         }
         Err(error) => {
             debug!(%error, machines = machines.len(), "return of machines failed");
             tokio::time::sleep(node.settings.heartbeat_interval()).await;
-            node.with_leader(version, |leader| leader.not_deleted(machines));
+            node.with_leader(version, |leader| leader.on_deletion_failed(machines));
         }
     }
     node.tick_requested.notify_one();
@@ -77,7 +79,7 @@
 async fn read_machine_types(node: &Node, version: u64, list_interval: Duration) -> Duration {
     match node.cloud.machine_types().await {
         Ok(types) => {
-            node.with_leader(version, |leader| leader.on_types(types));
+            node.with_leader(version, |leader| leader.on_machine_types(types));
             node.tick_requested.notify_one();
             list_interval * LISTS_PER_TYPES
         }
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -12,7 +12,7 @@
     tasks::until_cancelled,
 };
 use crate::{
-    controller::{Commit, CommitKind, DirectOutcome, DirectRequest, Leader},
+    controller::{Commit, CommitKind, DirectOutcome, DirectRequest, Leader, StateService},
     http::client::CallError,
     protocol::{MachineId, ProvisionRequest},
     state::{StateError, lock},
@@ -73,7 +73,7 @@
     let now = Instant::now();
     let mut leader = Leader::new(node.settings.clone(), version, held.tokens, &watch_cache, now);
     for (id, at) in lock(&node.confirmed_since).iter() {
-        leader.confirmed_since(id, *at);
+        leader.record_confirmed_end(id, *at);
     }
     info!(token = held.tokens.first(), "{}", leader.summary(now));
     held.leader = Some(leader);
@@ -103,8 +103,10 @@
             leader.allow_small_pages();
         }
         leader.allow_starts(!paused && knows_cancellations);
-        leader.tick(now, paused, sole_renewer_since);
-        leader.took(now, now.elapsed());
+        let state_service =
+            if paused { StateService::Unavailable } else { StateService::Available };
+        leader.tick(now, state_service, sole_renewer_since);
+        leader.record_tick_duration(now, now.elapsed());
         let commits = if leader.has_writes() {
             leader.take_commits(&watch_cache, spare_writes)
         } else {
@@ -113,7 +115,7 @@
         Decisions {
             commits,
             direct_requests: leader.take_direct(now),
-            provision_requests: leader.take_rentals(),
+            provision_requests: leader.take_provision_requests(),
             returned_machines: leader.take_deletions(),
             next_tick: leader.next_tick(),
         }
@@ -150,7 +152,7 @@
 fn log_summary(node: &Node, version: u64) {
     node.with_leader(version, |leader| {
         info!("{}", leader.summary(Instant::now()));
-        if leader.outnumbered() {
+        if leader.take_connection_shortage() {
             warn!("fewer sockets than machines: cluster.quota.fd_limit is too low");
         }
     });
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -6,7 +6,7 @@
 use super::instance::Node;
 use crate::{
     controller::{DirectOutcome, DirectRequest},
-    fleet::parse_task,
+    fleet::TaskKey,
     protocol::{CommandKind, JobState, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat},
     replies::HeartbeatReply,
     state::lock,
@@ -96,7 +96,7 @@
         // still counts as received, since a leader that seemed to have lost its workers
         // would resign, in an outage in favour of nobody.
         let reply = if probes || withholds_renewals {
-            leader.send_away(heartbeat, now).map(|()| HeartbeatReply::Redirect(None))
+            leader.on_redirected_heartbeat(heartbeat, now).map(|()| HeartbeatReply::Redirect(None))
         } else {
             let answered = leader.on_heartbeat(heartbeat, now);
             let token = leader.token_for(&heartbeat.machine);
@@ -151,7 +151,8 @@
     fn stop_cancelled_tasks(&self, heartbeat: &WorkerHeartbeat) -> Vec<TaskCommand> {
         let watch_cache = lock(&self.watch_cache);
         let is_cancelled = |task: &&TaskStatus| {
-            let end = parse_task(&task.task).and_then(|(job, _)| watch_cache.ended_jobs.get(&job));
+            let end =
+                TaskKey::parse(&task.task).and_then(|key| watch_cache.ended_jobs.get(&key.job));
             task.state != TaskState::Exited
                 && end.is_some_and(|end| end.state == JobState::Cancelled)
         };
