--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -17,7 +17,7 @@
 impl Node {
     /// A term begins: this node has a leader's share of the state service's limits.
     pub fn begin_term(&self, version: u64, tokens: TermTokens) {
-        lock(&self.peers.abstentions).begin_term();
+        self.peers.begin_term();
         *lock(&self.term) = Some(Term::new(version, tokens));
         let limits = self.settings.state_limits();
         self.requests.set_rate(self.settings.leader_share(limits.requests_per_s));
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -93,7 +93,7 @@
 fn tick(node: &Node, version: u64) -> Option<Decisions> {
     let now = Instant::now();
     let paused = node.is_in_doubt();
-    let sole_renewer_since = lock(&node.peers.abstentions).sole_renewer_since(now);
+    let sole_renewer_since = node.peers.sole_renewer_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
     let spare_writes = node.writer.spare();
     let small_pages = node.peers.all_support_small_pages(node.other_members());
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -64,8 +64,7 @@
 
     /// The heartbeat for another controller now.
     pub fn controller_heartbeat(&self, receiver: &str) -> ControllerHeartbeat {
-        let OutgoingHeartbeat { id, acknowledged } =
-            lock(&self.peers.abstentions).next_heartbeat(receiver, Instant::now());
+        let OutgoingHeartbeat { id, acknowledged } = self.peers.next_heartbeat(receiver);
         let (leads, state_ok) = (self.leads(), self.state_ok());
         let watch_cache = lock(&self.watch_cache);
         // A watch cache that was never read holds nothing of what a former process of
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -92,7 +92,7 @@
 
     /// Records a read that was requested at `requested_at` and was answered.
     fn record_read(&self, requested_at: Instant) {
-        lock(&self.peers.cancellation_watermarks).record_read(requested_at);
+        self.peers.record_read(requested_at);
         self.state_health.record_answer();
     }
 
@@ -195,7 +195,7 @@
         match node.state.follow(KEY_PREFIX, revision, wait).await {
             Ok(events) => {
                 node.apply_events(events);
-                lock(&node.peers.cancellation_watermarks).record_read(requested_at);
+                node.peers.record_read(requested_at);
                 tokio::time::sleep(spacing.saturating_sub(requested_at.elapsed())).await;
             }
             Err(StateError::TooOld) => lock(&node.watch_cache).loaded = false,
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -121,7 +121,7 @@
             && now < self.follower_renewal_deadline()
             && heartbeat.token > 0
             && !self.leads()
-            && lock(&self.peers.abstentions).may_renew(now);
+            && self.peers.may_renew(now);
         if !may_renew {
             self.follower_renewals.clear();
             return None;
@@ -138,7 +138,7 @@
     /// that it doesn't know could outlive `cancel_s`.
     fn follower_renewal_deadline(&self) -> Instant {
         let limit = self.settings.renewal_limit();
-        match lock(&self.peers.cancellation_watermarks).last_read_at() {
+        match self.peers.last_read_at() {
             Some(at) => at + limit,
             // This process knows nothing of the time before it: half of the
             // limit is left for that.
@@ -183,7 +183,7 @@
     /// The moment up to which every cancellation that may have been confirmed is known
     /// here.
     pub(super) fn cancellations_known_until(&self) -> Option<Instant> {
-        lock(&self.peers.cancellation_watermarks).known_until(self.other_members())
+        self.peers.cancellations_known_until(self.other_members())
     }
 
     /// Processes what became of direct commands.
--- a/src/peers/peer_status.rs
+++ b/src/peers/peer_status.rs
@@ -10,7 +10,7 @@
 
 use super::frames::MIN_FRAME_LIMIT;
 use crate::{
-    lease_renewal::{CancellationWatermarks, RenewalAbstentions},
+    lease_renewal::{CancellationWatermarks, OutgoingHeartbeat, RenewalAbstentions},
     protocol::{ControllerHeartbeat, Features, WorkerContact},
 };
 
@@ -48,9 +48,9 @@
 pub struct Peers {
     statuses: Mutex<HashMap<String, PeerStatus>>,
     /// Who abstains from renewing workers' leases, this controller and the others.
-    pub abstentions: Mutex<RenewalAbstentions>,
+    abstentions: Mutex<RenewalAbstentions>,
     /// Up to when the cancellations that each controller may have confirmed are known.
-    pub cancellation_watermarks: Mutex<CancellationWatermarks>,
+    cancellation_watermarks: Mutex<CancellationWatermarks>,
     /// Changed when heartbeats are to be sent at once.
     immediate_heartbeats: watch::Sender<()>,
 }
@@ -69,6 +69,47 @@
         }
     }
 
+    /// A term as leader begins: only abstentions from now on count.
+    pub fn begin_term(&self) {
+        lock(&self.abstentions).begin_term();
+    }
+
+    /// The identity of the next heartbeat to a member, and what it acknowledges.
+    pub fn next_heartbeat(&self, receiver: &str) -> OutgoingHeartbeat {
+        lock(&self.abstentions).next_heartbeat(receiver, Instant::now())
+    }
+
+    /// Whether this controller may renew workers' leases as a follower: no abstention
+    /// binds it.
+    pub fn may_renew(&self, now: Instant) -> bool {
+        lock(&self.abstentions).may_renew(now)
+    }
+
+    /// Since when certainly no other controller has answered worker heartbeats, or none
+    /// if one might be answering now.
+    pub fn sole_renewer_since(&self, now: Instant) -> Option<Instant> {
+        lock(&self.abstentions).sole_renewer_since(now)
+    }
+
+    /// Records a read of the state service that was requested at this moment.
+    pub fn record_read(&self, requested_at: Instant) {
+        lock(&self.cancellation_watermarks).record_read(requested_at);
+    }
+
+    /// When the latest read of the state service was requested.
+    pub fn last_read_at(&self) -> Option<Instant> {
+        lock(&self.cancellation_watermarks).last_read_at()
+    }
+
+    /// The moment up to which every cancellation that any of `members` may have
+    /// confirmed is known.
+    pub fn cancellations_known_until<'a>(
+        &self,
+        members: impl Iterator<Item = &'a str>,
+    ) -> Option<Instant> {
+        lock(&self.cancellation_watermarks).known_until(members)
+    }
+
     /// Records a heartbeat. `revision`: what this node's watch cache has reached,
     /// with the cancellations of the heartbeat in it.
     pub fn record_heartbeat(&self, heartbeat: ControllerHeartbeat, revision: u64) {
