--- a/src/election.rs
+++ b/src/election.rs
@@ -20,7 +20,7 @@
     protocol::{Condition, Transaction, Write},
     replies::Unavailable,
     settings::Settings,
-    state::{Budget, StateApi, StateError, lock},
+    state::{Budget, StateApi, StateError, Versioned, lock},
     store::{self, LEADER_KEY, LeaderRecord, TOKEN_KEY, WatchCache},
 };
 
@@ -99,10 +99,10 @@
     loop {
         let leader = {
             let watch_cache = lock(candidate.watch_cache());
-            watch_cache.loaded.then(|| watch_cache.lead.clone())
+            watch_cache.loaded.then(|| watch_cache.leader.clone())
         };
         match leader {
-            Some(Some((version, record))) if is_own(&**candidate, &record) => {
+            Some(Some(Versioned { version, value: record })) if is_own(&**candidate, &record) => {
                 let end = lead(candidate, version, &record, stop).await;
                 // Workers may reach another controller better.
                 hold_off = (end == TermEnd::IsolatedFromWorkers)
@@ -110,14 +110,16 @@
             }
             // A former process of this member held it: nobody else can be using
             // that lease.
-            Some(Some((version, record))) if record.member == settings.member => {
+            Some(Some(Versioned { version, value: record }))
+                if record.member == settings.member =>
+            {
                 acquire(&**candidate, version).await;
             }
             Some(None) if hold_off.is_none_or(|until| until <= Instant::now()) => {
                 // Not all at the same instant: the first request wins.
                 let jitter = candidate.jitter(lease_duration / 32);
                 sleep(deference(&**candidate) + jitter).await;
-                if lock(candidate.watch_cache()).lead.is_none() {
+                if lock(candidate.watch_cache()).leader.is_none() {
                     acquire(&**candidate, ABSENT).await;
                 }
             }
@@ -152,9 +154,9 @@
 /// One attempt to replace the leader record of this version by an own one.
 async fn acquire<C: Candidate>(candidate: &C, version: u64) {
     let lease_duration = candidate.settings().leader_lease();
-    let (token_version, token) = lock(candidate.watch_cache()).token;
+    let Versioned { version: token_version, value: token } = lock(candidate.watch_cache()).token;
     candidate.requests().take(1.0).await;
-    let lease = match candidate.state().lease(lease_duration).await {
+    let lease = match candidate.state().grant_lease(lease_duration).await {
         Ok(lease) => lease,
         Err(_) => return sleep(lease_duration / 8).await,
     };
@@ -172,7 +174,7 @@
     ];
     let transaction = Transaction { conditions, writes };
     candidate.requests().take(1.0).await;
-    match candidate.state().multi(&transaction).await {
+    match candidate.state().transact(&transaction).await {
         Ok(revision) => candidate.apply_committed(&transaction.writes, revision),
         Err(error) => {
             // Lost, or unsure: the watch cache shows who leads. An unsure attempt
@@ -230,9 +232,9 @@
     loop {
         let requested_at = Instant::now();
         candidate.requests().take(1.0).await;
-        match candidate.state().touch(record.lease).await {
+        match candidate.state().renew_lease(record.lease).await {
             Ok(()) => candidate.record_renewal(version, requested_at),
-            Err(StateError::NoLease) => {
+            Err(StateError::LeaseExpired) => {
                 warn!(token = record.token, "leader lease expired");
                 return TermEnd::LeaseExpired;
             }
@@ -269,13 +271,14 @@
 async fn release<C: Candidate>(candidate: &C, version: u64, record: &LeaderRecord) {
     // It lets a successor start at once. After a loss this frees nothing that is
     // still this leader's.
-    let _ = candidate.state().drop_lease(record.lease).await;
+    let _ = candidate.state().revoke_lease(record.lease).await;
     // The record must not pass for an own one at the next election.
-    while lock(candidate.watch_cache()).lead.as_ref().is_some_and(|(v, _)| *v == version) {
+    while lock(candidate.watch_cache()).leader.as_ref().is_some_and(|held| held.version == version)
+    {
         if candidate.refresh().await.is_err() {
             sleep(candidate.settings().leader_lease() / 8).await;
-            if candidate.state().touch(record.lease).await.is_ok() {
-                let _ = candidate.state().drop_lease(record.lease).await;
+            if candidate.state().renew_lease(record.lease).await.is_ok() {
+                let _ = candidate.state().revoke_lease(record.lease).await;
             }
         }
     }
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -52,7 +52,8 @@
 
     /// Whether this node still holds the term, as far as it knows.
     pub fn holds_term(&self, version: u64) -> bool {
-        let held = lock(&self.watch_cache).lead.as_ref().is_some_and(|(v, _)| *v == version);
+        let held =
+            lock(&self.watch_cache).leader.as_ref().is_some_and(|held| held.version == version);
         held && lock(&self.term).as_ref().is_some_and(|t| t.version == version)
     }
 
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -95,7 +95,7 @@
     let paused = node.is_in_doubt();
     let sole_renewer_since = node.peers.sole_renewer_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
-    let spare_writes = node.writer.spare();
+    let spare_writes = node.writer.available_writes();
     let small_pages = node.peers.all_support_small_pages(node.other_members());
     let watch_cache = lock(&node.watch_cache);
     node.with_leader(version, |leader| {
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -77,7 +77,7 @@
             id,
             acknowledged: acknowledged.map(|acknowledged| acknowledged.id),
             leads,
-            token: watch_cache.token.1,
+            token: watch_cache.token.value,
             state_ok,
             // The same to every member: counted once for whoever received it first, it
             // never reached the leader that needed it.
@@ -98,8 +98,7 @@
         // A frame that is longer than the receiver's limit would be lost as a whole.
         let receivable = max_cancellations_per_frame(self.peers.frame_limit(receiver));
         let max = self.settings.noticed_cancellations().min(receivable);
-        let (jobs, all) = watch_cache.cancelled_since(since, max);
-        CancellationNotice { since, all, jobs }
+        watch_cache.cancelled_since(since, max)
     }
 
     /// Whether this node rejected a worker heartbeat lately.
@@ -182,10 +181,11 @@
     /// durable, though the state service may not let this node see them.
     fn apply_cancellation_notice(&self, notice: Option<&CancellationNotice>) {
         let mut changes = Vec::new();
-        for (id, version, done) in notice.into_iter().flat_map(|notice| &notice.jobs) {
-            let end = JobEnd { state: JobState::Cancelled, done: *done };
+        for job in notice.into_iter().flat_map(|notice| &notice.jobs) {
+            let end = JobEnd { state: JobState::Cancelled, done: job.done };
             if let Ok(value) = store::value(&end) {
-                changes.extend(lock(&self.watch_cache).put(&store::end_key(id), value, *version));
+                let key = store::end_key(&job.id);
+                changes.extend(lock(&self.watch_cache).put(&key, value, job.version));
             }
         }
         self.dispatch(&changes);
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -105,7 +105,7 @@
     async fn load(&self) -> Result<(), StateError> {
         let LoadedItems { items, first_revision } = self.load_items().await?;
         self.requests.take(1.0).await;
-        let events = self.state.follow(KEY_PREFIX, first_revision, Duration::ZERO).await?;
+        let events = self.state.watch(KEY_PREFIX, first_revision, Duration::ZERO).await?;
         let changes = lock(&self.watch_cache).replace(items, first_revision, events);
         self.dispatch(&changes);
         Ok(())
@@ -136,7 +136,7 @@
                 since.clone_from(&last.key);
             }
             let more = page.more && !page.items.is_empty();
-            let (changes, others) = lock(&self.watch_cache).note_ends(page.items);
+            let (changes, others) = lock(&self.watch_cache).record_ends(page.items);
             self.dispatch(&changes);
             items.extend(others);
             if !more {
@@ -149,7 +149,7 @@
     async fn read_changes(&self) -> Result<(), Unavailable> {
         let revision = lock(&self.watch_cache).revision;
         let requested_at = Instant::now();
-        match self.state.follow(KEY_PREFIX, revision, Duration::ZERO).await {
+        match self.state.watch(KEY_PREFIX, revision, Duration::ZERO).await {
             Ok(events) => {
                 self.apply_events(events);
                 // Only once the watch cache holds what was read.
@@ -157,7 +157,7 @@
                 Ok(())
             }
             Err(error) => {
-                if matches!(error, StateError::TooOld) {
+                if matches!(error, StateError::RevisionTooOld) {
                     lock(&self.watch_cache).loaded = false;
                 }
                 self.record_failed_read();
@@ -192,13 +192,13 @@
         node.requests.take_leaving(1.0, Reserve::Half).await;
         let revision = lock(&node.watch_cache).revision;
         let requested_at = Instant::now();
-        match node.state.follow(KEY_PREFIX, revision, wait).await {
+        match node.state.watch(KEY_PREFIX, revision, wait).await {
             Ok(events) => {
                 node.apply_events(events);
                 node.peers.record_read(requested_at);
                 tokio::time::sleep(spacing.saturating_sub(requested_at.elapsed())).await;
             }
-            Err(StateError::TooOld) => lock(&node.watch_cache).loaded = false,
+            Err(StateError::RevisionTooOld) => lock(&node.watch_cache).loaded = false,
             Err(error) => {
                 debug!(%error, revision, "watch failed");
                 tokio::time::sleep(retry_interval).await;
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -170,7 +170,7 @@
             self.refresh().await?;
         }
         let watch_cache = lock(&self.watch_cache);
-        if spec.dependencies.iter().any(|id| watch_cache.unreadable.contains(id)) {
+        if spec.dependencies.iter().any(|id| watch_cache.unreadable_jobs.contains(id)) {
             return Err(Unavailable::Record);
         }
         if let Some(id) = watch_cache.first_unknown(&spec.dependencies) {
@@ -193,7 +193,8 @@
             Condition { key: store::end_key(&spec.id), version: 0 },
         ];
         let watch_cache = lock(&self.watch_cache);
-        let mut unfinished = spec.dependencies.iter().filter(|id| !watch_cache.ends.contains(id));
+        let mut unfinished =
+            spec.dependencies.iter().filter(|id| !watch_cache.ended_jobs.contains(id));
         let room = self.settings.state_limits().transaction_conditions() - conditions.len();
         let covered = unfinished.by_ref().take(room);
         conditions.extend(covered.map(|id| Condition { key: store::end_key(id), version: 0 }));
@@ -206,7 +207,7 @@
         let Some(team) = self.settings.team(&spec.team) else {
             return Ok(Some("no such team".into()));
         };
-        let types = lock(&self.watch_cache).types.clone().ok_or(Unavailable::Types)?.1;
+        let types = lock(&self.watch_cache).machine_types.clone().ok_or(Unavailable::Types)?.value;
         let zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
         if !types.iter().any(|t| placement::allows(spec, t, false) && zone(t)) {
             return Ok(Some("a task fits no allowed machine type".into()));
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -45,7 +45,7 @@
     /// away, for then nobody can be elected.
     fn expects_successor(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let leads = self.leads();
-        let is_elected = lock(&self.watch_cache).lead.is_some();
+        let is_elected = lock(&self.watch_cache).leader.is_some();
         heartbeat.token > 0
             && !leads
             && self.state_ok()
@@ -65,7 +65,7 @@
     /// The leader to which a worker is redirected, if that is of use to it.
     fn leader_for(&self, heartbeat: &WorkerHeartbeat) -> Option<String> {
         let watch_cache = lock(&self.watch_cache);
-        let (_, record) = watch_cache.lead.as_ref()?;
+        let record = &watch_cache.leader.as_ref()?.value;
         // A worker that knows this leader and comes here could not reach it. Redirected
         // to one that itself reports hardly any worker heartbeats, it would wait
         // for a whole time-out there while its lease runs out. It tries the next
@@ -151,7 +151,7 @@
     fn stop_cancelled_tasks(&self, heartbeat: &WorkerHeartbeat) -> Vec<TaskCommand> {
         let watch_cache = lock(&self.watch_cache);
         let is_cancelled = |task: &&TaskStatus| {
-            let end = parse_task(&task.task).and_then(|(job, _)| watch_cache.ends.get(&job));
+            let end = parse_task(&task.task).and_then(|(job, _)| watch_cache.ended_jobs.get(&job));
             task.state != TaskState::Exited
                 && end.is_some_and(|end| end.state == JobState::Cancelled)
         };
--- a/src/peers/peer_status.rs
+++ b/src/peers/peer_status.rs
@@ -123,7 +123,7 @@
             received_at,
         );
         let notice = heartbeat.cancellations.as_ref();
-        let is_complete = notice.is_some_and(|notice| notice.all && notice.since <= revision);
+        let is_complete = notice.is_some_and(|notice| notice.complete && notice.since <= revision);
         if let Some(sent) = sent.filter(|_| is_complete) {
             lock(&self.cancellation_watermarks).record_complete_notice(&heartbeat.member, sent);
         }
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -11,14 +11,15 @@
 use serde_json::value::RawValue;
 use stonewheel::{
     node::InternalJobReply,
-    protocol::{Condition, JobSpec, JobState, MachineType},
+    protocol::{CancellationNotice, CancelledJob, Condition, JobSpec, JobState, MachineType},
+    state::Versioned,
     store::{self, Change, JobEnd, LeaderRecord, WatchCache},
 };
 use stonewheel_activation::record as activation;
 use stonewheel_coordination::{Owner, Session, session_key};
 use stonewheel_rollout::{
     command::{Command, CommandKind, apply},
-    planner::{Seen, Sighting, Sightings},
+    planner::{ReplicaHealth, ReplicaObservation, ReplicaObservations},
     record as rollout,
 };
 
@@ -112,14 +113,16 @@
     assert_eq!(put("sw/p/j-000007/12", PAGE), []);
     assert_eq!(put("sw/e/j-8", r#"{"s":"aborted","d":3}"#), [Change::Ended("j-8".into())]);
     let lead = LeaderRecord { member: "m-1".into(), incarnation: 77, token: 2, lease: 9 };
-    assert_eq!(watch_cache.lead, Some((5, lead)));
-    assert_eq!(watch_cache.token, (5, 1_048_577));
-    assert_eq!(watch_cache.types.as_ref().map(|(_, held)| &**held), Some(&types()));
+    assert_eq!(watch_cache.leader, Some(Versioned { version: 5, value: lead }));
+    assert_eq!(watch_cache.token, Versioned { version: 5, value: 1_048_577 });
+    assert_eq!(watch_cache.machine_types.as_ref().map(|held| &*held.value), Some(&types()));
     let status = watch_cache.status("j-000007").expect("known");
     assert_eq!((status.done, status.running), (2, 1));
     assert_eq!(watch_cache.machines_of("j-000007"), ["n-000231".into()]);
     assert!(watch_cache.pages["j-000007"].contains_key(&12));
-    assert_eq!(watch_cache.cancelled_since(0, 9), (vec![("j-8".into(), 5, 3)], true));
+    let cancelled = CancelledJob { id: "j-8".into(), version: 5, done: 3 };
+    let notice = CancellationNotice { since: 0, complete: true, jobs: vec![cancelled] };
+    assert_eq!(watch_cache.cancelled_since(0, 9), notice);
 }
 
 #[tokio::test(start_paused = true)]
@@ -156,7 +159,7 @@
     is_stored(&UseMarker { lease: 9 }, r#"{"lease":9}"#);
     let record = |state| ActivationRecord { generation: 4, epoch: 6, state };
     let asleep = r#"{"generation":4,"epoch":6,"state":"asleep"}"#;
-    is_stored(&record(ModelState::Asleep), asleep);
+    is_stored(&record(ModelState::ScaledToZero), asleep);
     is_stored(&ActivationRecord::default(), r#"{"generation":0,"epoch":0,"state":"asleep"}"#);
     let failed = r#"{"generation":4,"epoch":6,"state":{"failed":{"reason":"no room"}}}"#;
     is_stored(&record(ModelState::Failed { reason: "no room".into() }), failed);
@@ -171,7 +174,7 @@
             Stage::Draining { endpoints: endpoints() },
             r#"{"draining":{"endpoints":["10.0.0.7:8000","10.0.0.8:8000"]}}"#,
         ),
-        (Stage::Stopping { then: AfterStop::Sleep }, r#"{"stopping":{"then":"sleep"}}"#),
+        (Stage::Stopping { then: AfterStop::ScaleToZero }, r#"{"stopping":{"then":"sleep"}}"#),
         (Stage::Stopping { then: AfterStop::Retry }, r#"{"stopping":{"then":"retry"}}"#),
         (Stage::Stopping { then: AfterStop::GiveUp }, r#"{"stopping":{"then":"give_up"}}"#),
     ] {
@@ -257,9 +260,12 @@
 
 #[test]
 fn rollout_commands_are_remembered_as_before() {
-    let seen =
-        Sighting { seen: Seen::Answering, machine: Some("n-000231".into()), ..Sighting::default() };
-    let sightings = Sightings(BTreeMap::from([(2, seen)]));
+    let seen = ReplicaObservation {
+        health: ReplicaHealth::Answering,
+        machine: Some("n-000231".into()),
+        ..ReplicaObservation::default()
+    };
+    let observations = ReplicaObservations(BTreeMap::from([(2, seen)]));
     let start = CommandKind::Start { to: "v2".into(), steps: vec![25, 100], surge: 2 };
     let under_way = service();
     let mut before = service();
@@ -272,7 +278,7 @@
         (&under_way, CommandKind::Abort, r#"{"id":"c-1","kind":"abort"}"#),
     ] {
         let command = Command { id: "c-1".into(), kind };
-        let after = apply(record, &command, &sightings).expect("taken").expect("new");
+        let after = apply(record, &command, &observations).expect("taken").expect("new");
         let remembered = after.commands.last().expect("it is remembered");
         is_stored(remembered, text);
     }
