--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -4,7 +4,10 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use super::{instance::Node, users::is_final};
+use super::{
+    instance::Node,
+    users::{absent, is_final},
+};
 use crate::{
     protocol::{Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Shape, Write},
     replies::{Unavailable, UserReply},
@@ -188,16 +191,14 @@
     /// The conditions under which a job is accepted: it doesn't exist, and as many of
     /// its dependencies as a transaction has room for have not ended.
     pub(super) fn acceptance_conditions(&self, spec: &JobSpec) -> AcceptanceConditions {
-        let mut conditions = vec![
-            Condition { key: store::job_key(&spec.id), version: 0 },
-            Condition { key: store::end_key(&spec.id), version: 0 },
-        ];
+        let mut conditions =
+            vec![absent(store::job_key(&spec.id)), absent(store::end_key(&spec.id))];
         let watch_cache = lock(&self.watch_cache);
         let mut unfinished =
             spec.dependencies.iter().filter(|id| !watch_cache.ended_jobs.contains(id));
         let room = self.settings.state_limits().transaction_conditions() - conditions.len();
         let covered = unfinished.by_ref().take(room);
-        conditions.extend(covered.map(|id| Condition { key: store::end_key(id), version: 0 }));
+        conditions.extend(covered.map(|id| absent(store::end_key(id))));
         let cover_dependencies = unfinished.next().is_none();
         AcceptanceConditions { conditions, cover_dependencies }
     }
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -10,6 +10,9 @@
     store::{self, JobEnd},
 };
 
+/// The version that a condition names for a key that must not exist.
+const ABSENT: u64 = 0;
+
 impl Node {
     /// The status of a job. A final state may come from the watch cache; anything else
     /// only from one that reached a revision read after the question.
@@ -59,13 +62,15 @@
     }
 }
 
+/// The condition that a key doesn't exist.
+pub(super) fn absent(key: String) -> Condition {
+    Condition { key, version: ABSENT }
+}
+
 /// The conditions under which a job is cancelled: it has not ended, and its record is
 /// that of this version.
 pub(super) fn cancellation_conditions(id: &str, version: u64) -> Vec<Condition> {
-    vec![
-        Condition { key: store::end_key(id), version: 0 },
-        Condition { key: store::job_key(id), version },
-    ]
+    vec![absent(store::end_key(id)), Condition { key: store::job_key(id), version }]
 }
 
 /// The write that cancels a job of which so many tasks are done.
