--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -297,7 +297,7 @@
         let mut progress = lock(&self.progress);
         progress.follow(&record.value, situation.jitter, now);
         let owner_alive =
-            record.value.activation().is_none_or(|activation| records.lives(&activation.owner));
+            record.value.activation().is_none_or(|activation| records.is_alive(&activation.owner));
         if owner_alive {
             progress.owner_gone_since = None;
         } else {
--- a/crates/stonewheel-coordination/src/coordinator.rs
+++ b/crates/stonewheel-coordination/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! One controller's part in the coordination: its session, its watch over the shared
+//! One controller's part in the coordination: its session, its watch of the shared
 //! records, and its writes.
 
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,10 +18,10 @@
     store::{Store, put},
 };
 
-/// A session is renewed so many times within its lease.
-const RENEWALS: u32 = 3;
+/// How often a session is renewed within the time of its lease.
+const RENEWALS_PER_LEASE: u32 = 3;
 /// What failed is tried again after this part of its usual time.
-const PAUSE_PARTS: u32 = 4;
+const RETRY_DELAY_PARTS: u32 = 4;
 
 /// One controller's part in the coordination. All parts of a controller share it.
 pub struct Coordinator {
@@ -62,14 +62,15 @@
         &self.members
     }
 
-    /// What follows from the settings of the deployment.
+    /// Durations that follow from the settings of the deployment.
     pub fn timing(&self) -> Timing {
         self.timing
     }
 
-    /// How often a session is renewed, and so how soon one may be had again.
+    /// The time between two renewals of a session, and so how soon a lost one may be
+    /// there again.
     pub fn renewal_interval(&self) -> Duration {
-        self.timing.session / RENEWALS
+        self.timing.session / RENEWALS_PER_LEASE
     }
 
     /// The records, as last read.
@@ -77,28 +78,29 @@
         lock(&self.records)
     }
 
-    /// The session, if this process holds one. It may have lapsed: see its time.
+    /// The session, if this process holds one. Its lease may have expired meanwhile: see
+    /// [`HeldSession::valid_until`].
     pub fn session(&self) -> Option<HeldSession> {
         *lock(&self.session)
     }
 
-    /// Tells when records or session change.
+    /// A receiver that is notified when records or session change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    fn tell_change(&self) {
+    fn notify_change(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Runs until told to stop, and then gives the session back, so that others go on
-    /// at once with what this process owned.
+    /// Runs until told to stop, and then ends the session, so that others adopt at once
+    /// what this process owned.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
-        let duties = TaskTracker::new();
-        duties.spawn(until(stop.clone(), self.clone().watch_records()));
-        duties.spawn(until(stop.clone(), self.clone().keep_session()));
-        duties.close();
-        duties.wait().await;
+        let loops = TaskTracker::new();
+        loops.spawn(run_until(stop.clone(), self.clone().watch_records()));
+        loops.spawn(run_until(stop.clone(), self.clone().keep_session()));
+        loops.close();
+        loops.wait().await;
         let held = lock(&self.session).take();
         if let Some(session) = held {
             let _ =
@@ -109,8 +111,8 @@
     // Records.
 
     /// The pause after a failure.
-    pub fn pause(&self) -> Duration {
-        self.timing.state_timeout / PAUSE_PARTS
+    pub fn retry_delay(&self) -> Duration {
+        self.timing.state_timeout / RETRY_DELAY_PARTS
     }
 
     async fn load(&self) -> Result<(), StateError> {
@@ -118,7 +120,7 @@
         let since = self.store.watch(began, Duration::ZERO).await?;
         lock(&self.records).replace(items, began, since);
         self.check_session();
-        self.tell_change();
+        self.notify_change();
         Ok(())
     }
 
@@ -127,7 +129,7 @@
         let events = self.store.watch(revision, wait).await?;
         if lock(&self.records).apply(events) {
             self.check_session();
-            self.tell_change();
+            self.notify_change();
         }
         Ok(())
     }
@@ -141,35 +143,35 @@
                 Ok(()) => {}
                 Err(StateError::RevisionTooOld) => lock(&self.records).loaded = false,
                 Err(error) => {
-                    debug!(%error, "shared records can't be read");
-                    sleep(self.pause()).await;
+                    debug!(%error, "shared records not read");
+                    sleep(self.retry_delay()).await;
                 }
             }
         }
     }
 
-    /// Reads what changed, if that can be had, and pauses.
+    /// Reads what changed, if the state service answers, and pauses.
     pub async fn refresh(&self) {
         if let Err(StateError::RevisionTooOld) = self.follow(Duration::ZERO).await {
             lock(&self.records).loaded = false;
         }
-        sleep(self.pause()).await;
+        sleep(self.retry_delay()).await;
     }
 
-    /// Commits, and notes what was committed. What happened otherwise shows in the
-    /// records.
+    /// Commits, and records what was committed before the watch brings it. If the
+    /// outcome is unknown, it shows in the records later.
     pub async fn commit(
         &self,
         conditions: Vec<Condition>,
         writes: Vec<Write>,
     ) -> Result<u64, StateError> {
         let revision = self.store.commit(conditions, writes.clone()).await?;
-        lock(&self.records).note(&writes, revision);
+        lock(&self.records).record(&writes, revision);
         Ok(revision)
     }
 
-    /// Commits on condition that this process still holds `session`: whoever lost it,
-    /// or stood still past its lease, is refused.
+    /// Commits on condition that this process still holds `session`: a process that
+    /// lost it, or was suspended past the expiry of its lease, gets a conflict.
     pub async fn commit_under(
         &self,
         session: HeldSession,
@@ -204,20 +206,20 @@
             self.session_lost.notify_one();
         }
         drop(session);
-        self.tell_change();
+        self.notify_change();
     }
 
     async fn keep_session(self: Arc<Self>) {
         loop {
             match self.open_session().await {
                 Ok(session) => {
-                    self.tell_change();
+                    self.notify_change();
                     self.renew_session(session).await;
-                    warn!("the session was lost");
-                    self.tell_change();
+                    warn!("session lost");
+                    self.notify_change();
                 }
                 Err(error) => {
-                    debug!(%error, "no session");
+                    debug!(%error, "session not opened");
                     self.refresh().await;
                 }
             }
@@ -226,9 +228,9 @@
 
     async fn open_session(&self) -> Result<HeldSession, StateError> {
         while !lock(&self.records).loaded {
-            sleep(self.pause()).await;
+            sleep(self.retry_delay()).await;
         }
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let lease = self.store.grant_lease(self.timing.session).await?;
         let key = session_key(&self.me.member);
         let version = lock(&self.records).version(&key);
@@ -241,7 +243,7 @@
                 return Err(error);
             }
         };
-        let valid_until = valid_until(asked, self.timing.session);
+        let valid_until = valid_until(sent_at, self.timing.session);
         let session = HeldSession { lease, version, valid_until };
         *lock(&self.session) = Some(session);
         Ok(session)
@@ -252,36 +254,37 @@
         let every = self.renewal_interval();
         let mut wait = every;
         loop {
-            // A word of an earlier loss may come here, and is no loss of this one.
+            // A notification of an earlier loss may come here, and is no loss of this
+            // session.
             let _ = timeout(wait, self.session_lost.notified()).await;
             if lock(&self.session).is_none_or(|held| held.lease != session.lease) {
                 return;
             }
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             wait = every;
             match self.store.renew_lease(session.lease).await {
                 Ok(()) => {
                     if let Some(held) = lock(&self.session).as_mut() {
-                        held.valid_until = valid_until(asked, self.timing.session);
+                        held.valid_until = valid_until(sent_at, self.timing.session);
                     }
-                    self.tell_change();
+                    self.notify_change();
                 }
                 Err(StateError::LeaseExpired) => {
                     *lock(&self.session) = None;
                     return;
                 }
                 Err(error) => {
-                    debug!(%error, "the session is not renewed");
-                    wait = every / PAUSE_PARTS;
+                    debug!(%error, "session not renewed");
+                    wait = every / RETRY_DELAY_PARTS;
                 }
             }
         }
     }
 }
 
-async fn until(stop: CancellationToken, duty: impl Future<Output = ()>) {
+async fn run_until(stop: CancellationToken, task: impl Future<Output = ()>) {
     tokio::select! {
-        () = duty => {}
+        () = task => {}
         () = stop.cancelled() => {}
     }
 }
--- a/crates/stonewheel-coordination/src/lib.rs
+++ b/crates/stonewheel-coordination/src/lib.rs
@@ -1,5 +1,8 @@
-//! What parts of several controllers agree through: each controller's session, the
-//! records that they share, and writes that are refused once their writer was replaced.
+//! Coordination between controllers: each controller's session, the records that they
+//! share, and writes that are refused once their writer was replaced.
+//!
+//! A session is a key under a lease, as in etcd: it is there as long as its holder
+//! renews the lease, and others see it end.
 //!
 //! All keys begin with [`PREFIX`], so that one watch and one session serve all parts:
 //!
--- a/crates/stonewheel-coordination/src/records.rs
+++ b/crates/stonewheel-coordination/src/records.rs
@@ -16,8 +16,8 @@
     pub(crate) revision: u64,
     pub(crate) loaded: bool,
     held: BTreeMap<String, Versioned<Box<RawValue>>>,
-    /// Keys that this process deleted: the watch may still bring what stood there
-    /// before.
+    /// Keys that this process deleted, with the revision of that: the watch may still
+    /// bring their former values.
     deleted: HashMap<String, u64>,
 }
 
@@ -44,7 +44,7 @@
         self.loaded = true;
     }
 
-    /// Takes what a watch brought; true if anything changed.
+    /// Applies what a watch brought; true if anything changed.
     pub(crate) fn apply(&mut self, events: Events) -> bool {
         let mut changed = false;
         for event in events.events {
@@ -63,8 +63,8 @@
         changed
     }
 
-    /// Notes what this process committed, before the watch brings it.
-    pub(crate) fn note(&mut self, writes: &[Write], revision: u64) {
+    /// Records what this process committed, before the watch brings it.
+    pub(crate) fn record(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
                 Write::Put { key, value, .. } => {
@@ -95,11 +95,11 @@
         older && self.held.remove(key).is_some()
     }
 
-    /// A record. One that can't be read is as good as none, but keeps its version.
+    /// A record. One that can't be decoded is treated as absent, but keeps its version.
     pub fn get<T: DeserializeOwned>(&self, key: &str) -> Option<Versioned<T>> {
         let held = self.held.get(key)?;
         let value = serde_json::from_str(held.value.get())
-            .inspect_err(|e| error!(key, error = %e, "a record can't be read"))
+            .inspect_err(|error| error!(key, %error, "record unreadable"))
             .ok()?;
         Some(Versioned { version: held.version, value })
     }
@@ -116,7 +116,7 @@
     }
 
     /// Whether this very process holds a session.
-    pub fn lives(&self, owner: &Owner) -> bool {
+    pub fn is_alive(&self, owner: &Owner) -> bool {
         let session = self.get::<Session>(&session_key(&owner.member));
         session.is_some_and(|session| session.value.incarnation == owner.incarnation)
     }
--- a/crates/stonewheel-coordination/src/records/tests.rs
+++ b/crates/stonewheel-coordination/src/records/tests.rs
@@ -21,7 +21,7 @@
     let mut records = Records::default();
     assert!(records.apply(events(vec![put(KEY, "1", 4)], 4)));
     assert_eq!(records.version(KEY), 4);
-    records.note(&[Write::Delete { key: KEY.into() }], 9);
+    records.record(&[Write::Delete { key: KEY.into() }], 9);
     assert_eq!(records.version(KEY), 0);
     // The watch lags behind what this process committed.
     assert!(!records.apply(events(vec![put(KEY, "1", 7)], 7)), "it was deleted after that");
@@ -33,7 +33,7 @@
 #[test]
 fn what_was_committed_while_all_records_were_read_stays() {
     let mut records = Records::default();
-    records.note(&[Write::Put { key: KEY.into(), value: raw("5"), lease: None }], 20);
+    records.record(&[Write::Put { key: KEY.into(), value: raw("5"), lease: None }], 20);
     let item = Item { key: "sp/x".into(), value: raw("1"), version: 3 };
     records.replace(vec![item], 10, events(vec![put("sp/y", "1", 12)], 15));
     assert!(records.loaded());
@@ -52,13 +52,13 @@
     };
     records.apply(events(vec![session("m-1", 7, 2), session("m-0", 8, 3)], 3));
     let process = |incarnation| Owner { member: "m-1".into(), incarnation };
-    assert!(records.lives(&process(7)));
-    assert!(!records.lives(&process(6)), "the process before it");
+    assert!(records.is_alive(&process(7)));
+    assert!(!records.is_alive(&process(6)), "the process before it");
     assert_eq!(records.live_members(), ["m-0", "m-1"]);
     assert_eq!((records.rank("m-0"), records.rank("m-2")), (0, 2));
     let gone = Event { put: None, delete: Some(session_key("m-1")), value: None, version: 4 };
     assert!(records.apply(events(vec![gone], 4)));
-    assert!(!records.lives(&process(7)));
+    assert!(!records.is_alive(&process(7)));
 }
 
 #[test]
--- a/crates/stonewheel-coordination/src/store.rs
+++ b/crates/stonewheel-coordination/src/store.rs
@@ -1,5 +1,5 @@
-//! How parts reach the state service: through the controller's own budget and writer,
-//! so that all together keep within its share.
+//! Access to the state service through the controller's own budget and writer, so that all
+//! parts together keep within its share.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::PREFIX;
 
-/// The state service, within this controller's share.
+/// The state service within this controller's share.
 #[derive(Clone)]
 pub struct Store {
     api: Arc<dyn StateApi>,
@@ -73,7 +73,7 @@
 
     pub(crate) async fn revoke_lease(&self, lease: u64) {
         self.requests.take(1.0).await;
-        // If it can't be given back it ends by itself.
+        // If it can't be revoked it expires by itself.
         let _ = self.api.revoke_lease(lease).await;
     }
 }
--- a/crates/stonewheel-protocol/src/controllers.rs
+++ b/crates/stonewheel-protocol/src/controllers.rs
@@ -1,44 +1,46 @@
 //! Between controllers, in bitcode, which doesn't describe itself: a struct here
 //! never changes, and new facts get a section of their own (`peers.rs`).
 
-/// What a controller tells the others about itself, several times per worker
-/// lease. It carries no authority: only the state service does.
+/// What controllers tell each other several times per leader lease. It carries no
+/// authority: only the state service does.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct ControllerHeartbeat {
+    /// The sender's name in the settings.
     pub member: String,
-    /// Which process says this, and its how manieth heartbeat it is.
+    /// The sender's incarnation, and the heartbeat's number within it.
     pub id: (u64, u64),
-    /// The latest heartbeat that this node heard from the receiver as a leader:
-    /// it answers no reports of workers for a while after that.
+    /// The latest heartbeat that this node received from the receiver as a leader:
+    /// it renews no worker's lease for a while after that.
     pub acknowledged: Option<(u64, u64)>,
+    /// Whether the sender leads.
     pub leads: bool,
     /// The highest fencing token this node has seen anywhere.
     pub token: u64,
     /// Whether the state service answered this node lately.
     pub state_ok: bool,
-    /// Whether this node turned reports away lately: proof that workers live
-    /// although the leader may not hear them.
+    /// Whether this node rejected worker heartbeats lately: proof that workers live
+    /// although the leader may not receive theirs.
     pub rejected_heartbeats: bool,
     /// The revision of this node's watch cache: it knows every cancellation up to it.
     pub revision: u64,
-    /// What this node may have told users since the receiver's watch cache. It
-    /// travels in a section of its own (`peers.rs`).
+    /// Cancellations that this node may have confirmed to users after the receiver's
+    /// revision. They travel in a section of their own (`peers.rs`).
     pub cancellations: Option<CancellationNotice>,
 }
 
-/// What the sender's version can do, beyond the one that first had no such
-/// section. It says so for good: a member never returns to an older version
-/// once it has run this one.
+/// What the sender's version can do that the first one without this section could
+/// not. It holds for good: a member never returns to an older version once it has
+/// run this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct Features {
     /// It reads and writes pages whose records name the range of their tasks.
     pub small_pages: bool,
 }
 
-/// What a leader says of its workers, in a section of its own (`peers.rs`).
+/// A leader's contact with its workers, in a section of its own (`peers.rs`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct WorkerContact {
-    /// The sender leads and has lately heard hardly any of its workers.
+    /// The sender leads and has lately received heartbeats of hardly any worker.
     pub lost: bool,
 }
 
--- a/crates/stonewheel-protocol/src/users.rs
+++ b/crates/stonewheel-protocol/src/users.rs
@@ -9,71 +9,98 @@
 
 /// The most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
-/// Names (images, classes, zones) beyond this length are taken for mistakes.
-const NAME_LIMIT: usize = 200;
+/// Names (images, classes, zones) of more bytes are taken for mistakes.
+const MAX_NAME_BYTES: usize = 200;
 
 /// How the tasks of a job run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
+    /// A job array: independent tasks.
     #[serde(rename = "batch")]
     Array,
+    /// Gang scheduling: all tasks start together, and none goes on without the others.
     #[serde(rename = "ensemble")]
     Gang,
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
 }
 
-/// Ordered from the least to the most urgent.
+/// How urgent a job is, ordered from the least to the most urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
+    /// The least urgent.
     BestEffort,
+    /// The usual one.
     Standard,
+    /// More urgent than the usual one.
     High,
+    /// The most urgent.
     Production,
 }
 
 /// A job as its user describes it. The durable job record is the same text.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Chosen by the user: a repeated submission with it is answered as the first.
     #[serde(rename = "Ref")]
     pub id: JobId,
+    /// The class of work, which objectives name.
     #[serde(rename = "Grain")]
     pub class: Arc<str>,
+    /// The team whose quota it uses.
     #[serde(rename = "Crew")]
     pub team: Arc<str>,
+    /// How its tasks run.
     #[serde(rename = "Shape")]
     pub shape: Shape,
+    /// Its own priority; jobs that depend on it can raise the effective one.
     #[serde(rename = "Rank")]
     pub priority: Priority,
+    /// How many tasks it has, 1 to [`MAX_TASKS`].
     #[serde(rename = "Spokes")]
     pub tasks: u32,
+    /// CPU cores of each task.
     #[serde(rename = "Cores")]
     pub cpus: f64,
+    /// GPUs of each task.
     #[serde(rename = "Gpus")]
     pub gpus: f64,
+    /// Memory of each task, in GB.
     #[serde(rename = "MemoryGb")]
     pub memory_gb: f64,
+    /// The image that its tasks run.
     #[serde(rename = "Mould")]
     pub image: Arc<str>,
+    /// Size of the image in GB.
     #[serde(rename = "ImageGb")]
     pub image_gb: f64,
+    /// The machine types that it may use; none: any.
     #[serde(rename = "Frames", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<Arc<str>>>,
+    /// The zone that it must run in, if it must.
     #[serde(rename = "Yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Arc<str>>,
+    /// Whether all its tasks must run in one zone.
     #[serde(rename = "Together")]
     pub one_zone: bool,
+    /// Whether its tasks must run on different machines.
     #[serde(rename = "Scatter")]
     pub spread: bool,
+    /// Whether it may run on spot machines.
     #[serde(rename = "Driftwood")]
     pub spot: bool,
+    /// The user's estimate of how long a task runs, in seconds.
     #[serde(rename = "ReckonS")]
     pub estimate_s: f64,
+    /// Seconds of work between two checkpoints; 0: it saves none.
     #[serde(rename = "NotchS")]
     pub checkpoint_s: f64,
+    /// Seconds that saving a checkpoint takes.
     #[serde(rename = "StashS")]
     pub save_s: f64,
+    /// Seconds from its submission by which it should be done.
     #[serde(rename = "DueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
@@ -93,26 +120,41 @@
 /// What is wrong with a submission, in one sentence for its user.
 #[derive(Debug, Error)]
 pub enum SubmissionError {
+    /// The body is not the JSON of a job.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
+    /// The job's id has not the form of one.
     #[error("Ref is not a job id")]
     JobId,
+    /// It has no task or too many.
     #[error("Spokes must lie within 1 and {MAX_TASKS}")]
     TaskCount,
+    /// An amount is negative, infinite or not a number.
     #[error("{field} must be a number of at least 0")]
-    Amount { field: &'static str },
-    #[error("names must have 1 to {NAME_LIMIT} bytes")]
+    Amount {
+        /// Its name in the body.
+        field: &'static str,
+    },
+    /// A name is empty or too long.
+    #[error("names must have 1 to {MAX_NAME_BYTES} bytes")]
     NameLength,
+    /// The list of machine types is empty.
     #[error("Frames must name a type or be null")]
     NoMachineType,
+    /// A dependency has not the form of a job id.
     #[error("Awaits names {0:?}, which is not a job id")]
     DependencyId(JobId),
+    /// It depends on itself.
     #[error("Awaits must not name the job itself")]
     DependsOnItself,
 }
 
 impl JobSpec {
-    /// Reads a submission.
+    /// Reads a submission. A dependency that is named twice counts once.
+    ///
+    /// # Errors
+    ///
+    /// If it is not the JSON of a job, or a field has a value that it must not have.
     pub fn parse(body: &[u8]) -> Result<Self, SubmissionError> {
         let mut spec: Self = serde_json::from_slice(body)?;
         spec.check()?;
@@ -139,6 +181,21 @@
         if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(SubmissionError::TaskCount);
         }
+        self.check_amounts()?;
+        self.check_names()?;
+        if self.types.as_ref().is_some_and(Vec::is_empty) {
+            return Err(SubmissionError::NoMachineType);
+        }
+        if let Some(wrong) = self.dependencies.iter().find(|id| !is_job_id(id)) {
+            return Err(SubmissionError::DependencyId(wrong.clone()));
+        }
+        if self.dependencies.contains(&self.id) {
+            return Err(SubmissionError::DependsOnItself);
+        }
+        Ok(())
+    }
+
+    fn check_amounts(&self) -> Result<(), SubmissionError> {
         let amounts = [
             ("Cores", self.cpus),
             ("Gpus", self.gpus),
@@ -154,21 +211,16 @@
                 return Err(SubmissionError::Amount { field });
             }
         }
+        Ok(())
+    }
+
+    fn check_names(&self) -> Result<(), SubmissionError> {
         let mut names = vec![&self.class, &self.team, &self.image];
         names.extend(self.zone.iter());
         names.extend(self.types.iter().flatten());
-        if names.iter().any(|n| n.is_empty() || n.len() > NAME_LIMIT) {
+        if names.iter().any(|name| name.is_empty() || name.len() > MAX_NAME_BYTES) {
             return Err(SubmissionError::NameLength);
         }
-        if self.types.as_ref().is_some_and(Vec::is_empty) {
-            return Err(SubmissionError::NoMachineType);
-        }
-        if let Some(wrong) = self.dependencies.iter().find(|id| !is_job_id(id)) {
-            return Err(SubmissionError::DependencyId(wrong.clone()));
-        }
-        if self.dependencies.contains(&self.id) {
-            return Err(SubmissionError::DependsOnItself);
-        }
         Ok(())
     }
 }
@@ -182,29 +234,38 @@
 /// The state of a job as its user sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
+    /// None of its tasks runs.
     #[serde(rename = "pending")]
     Pending,
+    /// Some of its tasks are bound to machines.
     #[serde(rename = "running")]
     Running,
+    /// All its tasks completed.
     #[serde(rename = "done")]
     Done,
+    /// Its user cancelled it, or a job that it depends on was.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// What a user is told of a job.
+/// The state of a job with its counts, as its user gets it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobStatus {
+    /// The job.
     #[serde(rename = "Ref")]
     pub id: JobId,
+    /// Its state.
     #[serde(rename = "Stance")]
     pub state: JobState,
+    /// Completed tasks.
     pub done: u32,
+    /// Tasks that are bound to machines.
     pub running: u32,
 }
 
-/// The body of a refusal: one sentence.
+/// The body of an error response: one sentence.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
+    /// The sentence.
     pub error: String,
 }
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -272,7 +272,7 @@
         let now = Instant::now();
         let session = self.coordinator.session();
         let owner = record.value.owner.as_ref();
-        let owner_alive = owner.is_some_and(|owner| self.coordinator.records().lives(owner));
+        let owner_alive = owner.is_some_and(|owner| self.coordinator.records().is_alive(owner));
         let may_adopt = lock(&service.succession).may_adopt(&self.coordinator, owner);
         let mut observer = lock(&service.observer);
         observer.follow(&record.value, now);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -184,7 +184,7 @@
         let ended =
             watch_cache.ended_jobs.contains(id) || watch_cache.dependencies.is_cancelled(id);
         job.ended = ended.then(|| Ended::learned(now));
-        job.waits_for_others = watch_cache.dependencies.waits(id);
+        job.waits_for_others = watch_cache.dependencies.is_waiting(id);
         job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
         for (number, entry) in watch_cache.pages.get(id).into_iter().flatten() {
             let page: Page = match serde_json::from_str(entry.raw.get()) {
@@ -263,7 +263,7 @@
     fn follow_dependencies(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
-        let waits = watch_cache.dependencies.waits(id);
+        let waits = watch_cache.dependencies.is_waiting(id);
         let waited = std::mem::replace(&mut job.waits_for_others, waits);
         if waited && !waits {
             info!(job = %id, "all that it depends on is done");
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,5 +1,5 @@
-//! What parts of several controllers agree through, over this controller's own client
-//! and budget.
+//! Coordination with the other controllers, through this controller's own client and
+//! budget.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 
 /// The coordination of this controller. Its parts share it.
 pub fn coordinator(node: &Arc<Node>) -> Arc<Coordinator> {
-    let me = Owner { member: node.settings.member.clone(), incarnation: node.incarnation };
+    let owner = Owner { member: node.settings.member.clone(), incarnation: node.incarnation };
     let mut members: Vec<String> =
         node.settings.members.iter().map(|member| member.member.clone()).collect();
-    members.push(me.member.clone());
+    members.push(owner.member.clone());
     let timing = Timing {
         session: node.settings.worker_lease(),
         state_timeout: node.settings.state_timeout(),
     };
     let store = Store::new(node.state.clone(), node.requests.clone(), node.writer());
-    Coordinator::new(me, members, timing, store)
+    Coordinator::new(owner, members, timing, store)
 }
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,14 +1,14 @@
 //! The graph of unfinished jobs and the jobs that they depend on.
 //!
 //! It answers three questions about a job: does it still wait for another one,
-//! is it cancelled together with one that it needs, and which priority does it
-//! inherit from the jobs that need it. The graph does no I/O and is updated by
+//! is it cancelled together with one that it depends on, and which priority does
+//! it inherit from its dependants. The graph does no I/O and is updated by
 //! change: the cost of an update is proportional to the jobs that it affects.
 //!
 //! Edges can't form a cycle, so none is searched for: a job names only jobs
 //! that were accepted before it, and what it names never changes.
 //!
-//! A job becomes ready only when all that it needs is recorded as done, and a
+//! A job becomes ready only when all its dependencies are recorded as done, and a
 //! recorded end is final. A job that is cancelled with another one has therefore
 //! never been ready, and has never had a task.
 
@@ -21,7 +21,7 @@
 pub enum Outcome {
     /// All its tasks completed.
     Done,
-    /// Its user cancelled it, or a job that it needs.
+    /// Its user cancelled it, or a job that it depends on.
     Cancelled,
 }
 
@@ -30,7 +30,7 @@
 pub struct Effects {
     /// Jobs all of whose dependencies are done now.
     pub ready: Vec<JobId>,
-    /// Jobs that are cancelled because one that they need is.
+    /// Jobs that are cancelled because one that they depend on is.
     pub cancelled: Vec<JobId>,
     /// Jobs whose effective priority changed.
     pub priority_changed: Vec<JobId>,
@@ -39,59 +39,59 @@
 #[derive(Clone, Debug)]
 struct Node {
     own_priority: Priority,
-    /// The highest priority among the job and all jobs that need it.
+    /// The highest priority among the job and all its dependants.
     effective_priority: Priority,
-    needs: Vec<JobId>,
-    /// Those of `needs` that are not done.
+    dependencies: Vec<JobId>,
+    /// Those of `dependencies` that are not done.
     unfinished: HashSet<JobId>,
     cancelled: bool,
 }
 
-/// Unfinished jobs, what each needs and who needs it.
+/// Unfinished jobs with their dependencies and dependants.
 #[derive(Clone, Debug, Default)]
 pub struct DependencyGraph {
     nodes: HashMap<JobId, Node>,
-    /// Direct dependants by the job that they need, known here or not.
+    /// Direct dependants by the job that they depend on, known here or not.
     dependants: HashMap<JobId, BTreeSet<JobId>>,
 }
 
 impl DependencyGraph {
-    /// Adds an unfinished job. `outcome` tells how a job ended, if it did.
+    /// Adds an unfinished job. `outcome` returns how a job ended, if it did.
     pub fn insert(
         &mut self,
         job: &JobId,
         priority: Priority,
-        needs: &[JobId],
+        dependencies: &[JobId],
         outcome: impl Fn(&JobId) -> Option<Outcome>,
     ) -> Effects {
         let mut effects = Effects::default();
         let mut cancelled = false;
         let mut unfinished = HashSet::new();
-        for need in needs {
-            match outcome(need) {
+        for dependency in dependencies {
+            match outcome(dependency) {
                 Some(Outcome::Done) => {}
                 Some(Outcome::Cancelled) => cancelled = true,
                 None => {
-                    cancelled |= self.is_cancelled(need);
-                    unfinished.insert(need.clone());
-                    self.dependants.entry(need.clone()).or_default().insert(job.clone());
+                    cancelled |= self.is_cancelled(dependency);
+                    unfinished.insert(dependency.clone());
+                    self.dependants.entry(dependency.clone()).or_default().insert(job.clone());
                 }
             }
         }
         let node = Node {
             own_priority: priority,
             effective_priority: priority,
-            needs: needs.to_vec(),
+            dependencies: dependencies.to_vec(),
             unfinished,
             cancelled: false,
         };
         self.nodes.insert(job.clone(), node);
         // Dependants may have been added first when all records are read.
-        self.rerank(vec![job.clone()], &mut effects);
+        self.update_priorities(vec![job.clone()], &mut effects);
         if cancelled {
             self.cancel_from(job, &mut effects);
         } else {
-            self.rerank(needs.to_vec(), &mut effects);
+            self.update_priorities(dependencies.to_vec(), &mut effects);
         }
         effects
     }
@@ -121,7 +121,7 @@
         effects
     }
 
-    /// Marks a job and all that need it, directly or through others.
+    /// Marks a job and all its dependants, direct and indirect, as cancelled.
     fn cancel_from(&mut self, job: &JobId, effects: &mut Effects) {
         let mut pending = vec![job.clone()];
         while let Some(job) = pending.pop() {
@@ -129,29 +129,29 @@
             if std::mem::replace(&mut node.cancelled, true) {
                 continue;
             }
-            let needs = node.needs.clone();
+            let dependencies = node.dependencies.clone();
             effects.cancelled.push(job.clone());
             pending.extend(self.dependants.get(&job).into_iter().flatten().cloned());
-            self.rerank(needs, effects);
+            self.update_priorities(dependencies, effects);
         }
     }
 
     fn remove(&mut self, job: &JobId, effects: &mut Effects) {
         let Some(node) = self.nodes.remove(job) else { return };
-        for need in &node.needs {
-            if let Some(dependants) = self.dependants.get_mut(need) {
+        for dependency in &node.dependencies {
+            if let Some(dependants) = self.dependants.get_mut(dependency) {
                 dependants.remove(job);
                 if dependants.is_empty() {
-                    self.dependants.remove(need);
+                    self.dependants.remove(dependency);
                 }
             }
         }
-        self.rerank(node.needs, effects);
+        self.update_priorities(node.dependencies, effects);
     }
 
-    /// Brings the effective priorities of these jobs, and of all that they
-    /// need, up to date.
-    fn rerank(&mut self, mut pending: Vec<JobId>, effects: &mut Effects) {
+    /// Brings the effective priorities of these jobs, and of all that they depend
+    /// on, up to date.
+    fn update_priorities(&mut self, mut pending: Vec<JobId>, effects: &mut Effects) {
         while let Some(job) = pending.pop() {
             let dependants = self.dependants.get(&job).into_iter().flatten();
             let inherited = dependants
@@ -163,24 +163,24 @@
             let effective = inherited.map_or(node.own_priority, |p| p.max(node.own_priority));
             if std::mem::replace(&mut node.effective_priority, effective) != effective {
                 effects.priority_changed.push(job);
-                pending.extend(node.needs.iter().cloned());
+                pending.extend(node.dependencies.iter().cloned());
             }
         }
     }
 
-    /// Whether a job that it needs is not done yet, or the graph doesn't know the
+    /// Whether a dependency of the job is not done yet, or the graph doesn't know the
     /// job: nothing is started without knowing what it waits for.
-    pub fn waits(&self, job: &str) -> bool {
+    pub fn is_waiting(&self, job: &str) -> bool {
         self.nodes.get(job).is_none_or(|node| !node.unfinished.is_empty() || node.cancelled)
     }
 
-    /// Whether it is cancelled with a job that it needs, and its own end is not
+    /// Whether it is cancelled with a job that it depends on, and its own end is not
     /// recorded yet.
     pub fn is_cancelled(&self, job: &str) -> bool {
         self.nodes.get(job).is_some_and(|node| node.cancelled)
     }
 
-    /// The highest priority among an unfinished job and all jobs that need it.
+    /// The highest priority among an unfinished job and all its dependants.
     pub fn effective_priority(&self, job: &str) -> Option<Priority> {
         self.nodes.get(job).map(|node| node.effective_priority)
     }
--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -31,12 +31,16 @@
 #[test]
 fn a_job_is_ready_when_the_last_job_that_it_needs_is_done() {
     let mut graph = diamond();
-    assert!(!graph.waits("j-000001") && graph.waits("j-000002") && graph.waits("j-000004"));
+    assert!(
+        !graph.is_waiting("j-000001")
+            && graph.is_waiting("j-000002")
+            && graph.is_waiting("j-000004")
+    );
     assert_eq!(sorted(graph.end(&id(1), Outcome::Done).ready), ids(&[2, 3]));
     assert_eq!(graph.end(&id(2), Outcome::Done).ready, ids(&[]));
-    assert!(graph.waits("j-000004"));
+    assert!(graph.is_waiting("j-000004"));
     assert_eq!(graph.end(&id(3), Outcome::Done).ready, ids(&[4]));
-    assert!(!graph.waits("j-000004"));
+    assert!(!graph.is_waiting("j-000004"));
 }
 
 #[test]
@@ -48,7 +52,7 @@
     assert!(graph.is_cancelled("j-000004") && !graph.is_cancelled("j-000003"));
     // Its other dependency may still end either way.
     assert_eq!(graph.end(&id(3), Outcome::Done).ready, ids(&[]));
-    assert!(graph.waits("j-000004"), "a cancelled job never becomes ready");
+    assert!(graph.is_waiting("j-000004"), "a cancelled job never becomes ready");
     assert_eq!(graph.end(&id(4), Outcome::Cancelled), Effects::default());
 }
 
@@ -68,7 +72,7 @@
     // The dependant's id sorts before that of the job which it needs.
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, Priority::High, &[2]);
-    assert!(graph.waits("j-000001"), "a job that is not known yet is not done");
+    assert!(graph.is_waiting("j-000001"), "a job that is not known yet is not done");
     let cancelled = |job: &JobId| (*job == id(9)).then_some(Outcome::Cancelled);
     let effects = graph.insert(&id(2), Priority::Standard, &ids(&[9]), cancelled);
     assert_eq!(sorted(effects.cancelled), ids(&[1, 2]));
@@ -96,7 +100,7 @@
     let mut graph = DependencyGraph::default();
     let effects = graph.insert(&id(2), Priority::High, &ids(&[1]), |_| Some(Outcome::Done));
     assert_eq!(effects, Effects::default());
-    assert!(!graph.waits("j-000002"));
+    assert!(!graph.is_waiting("j-000002"));
 }
 
 #[test]
@@ -111,5 +115,5 @@
 #[test]
 fn a_job_that_the_graph_does_not_know_waits() {
     let graph = diamond();
-    assert!(graph.waits("j-000099"));
+    assert!(graph.is_waiting("j-000099"));
 }
--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -1,10 +1,10 @@
-//! Fencing tokens: whose commands a worker takes.
+//! Fencing tokens: whose commands a worker carries out.
 //!
 //! A worker refuses commands with a lower token than the highest that it has seen.
 //! The transaction that takes the leadership also takes a range of tokens, so that
 //! a leader can raise the token of one worker by itself: whatever it sent that
-//! worker before and got no answer to is void as soon as the worker shows the
-//! higher one. The record of the last token holds the end of the range, so the
+//! worker before and got no response to is void as soon as a heartbeat of the worker
+//! shows the higher one. The record of the last token holds the end of the range, so the
 //! next term begins beyond it, whichever version leads then.
 
 /// How often a leader can raise a worker's token. Each worker has its own, so this
@@ -26,11 +26,11 @@
     }
 
     /// A term that has a single token and can't raise it.
-    pub fn only(token: u64) -> Self {
+    pub fn single(token: u64) -> Self {
         Self { first: token, last: token }
     }
 
-    /// The term's token, as the leadership record names it.
+    /// The term's first token, which the leader record holds.
     pub fn first(&self) -> u64 {
         self.first
     }
@@ -40,13 +40,12 @@
         self.last
     }
 
-    /// Whether a worker that has seen this token has heard of this term, and of
-    /// none after it.
+    /// Whether a worker that has seen this token knows this term, and none after it.
     pub fn contains(&self, token: u64) -> bool {
         (self.first..=self.last).contains(&token)
     }
 
-    /// The next higher token, as far as there is one.
+    /// The next higher token of the term; its last one if there is none.
     pub fn above(&self, token: u64) -> u64 {
         token.saturating_add(1).clamp(self.first, self.last)
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,5 @@
-//! The state service as this deployment's settings have it.
+//! The client of the state service and the writer, as the deployment's settings have
+//! them.
 
 use std::sync::Arc;
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -195,7 +195,7 @@
             let graph = &watch_cache.dependencies;
             let unfinished = !watch_cache.ended_jobs.contains(id.as_str());
             let live = unfinished.then(|| {
-                (graph.waits(&id), graph.is_cancelled(&id), graph.effective_priority(&id))
+                (graph.is_waiting(&id), graph.is_cancelled(&id), graph.effective_priority(&id))
             });
             format!("{id}: {:?}, {live:?}", watch_cache.status(&id))
         };
@@ -215,7 +215,8 @@
         for change in changes {
             match change {
                 Change::Arrived(id) | Change::Ready(id) | Change::PriorityChanged(id) => {
-                    let known = self.waits.insert(id.clone(), watch_cache.dependencies.waits(id));
+                    let known =
+                        self.waits.insert(id.clone(), watch_cache.dependencies.is_waiting(id));
                     if known.is_some() {
                         continue;
                     }
@@ -235,7 +236,7 @@
             let graph = &watch_cache.dependencies;
             let ended = watch_cache.ended_jobs.contains(id) || graph.is_cancelled(id);
             assert_eq!(self.ended.contains(id), ended, "{id} ended");
-            assert!(ended || self.waits[id] == graph.waits(id), "{id} waits");
+            assert!(ended || self.waits[id] == graph.is_waiting(id), "{id} waits");
         }
     }
 }
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -31,7 +31,7 @@
 
 impl LeaderHarness {
     pub fn new(token: u64) -> Self {
-        Self::with(settings("m-0"), TermTokens::only(token))
+        Self::with(settings("m-0"), TermTokens::single(token))
     }
 
     pub fn with(mut settings: Settings, tokens: TermTokens) -> Self {
@@ -62,7 +62,7 @@
         Self {
             sequences: self.sequences,
             revision: self.revision,
-            ..Self::over(self.settings, self.watch_cache, TermTokens::only(token))
+            ..Self::over(self.settings, self.watch_cache, TermTokens::single(token))
         }
     }
 
@@ -75,7 +75,7 @@
             within_s: Some(within_s),
         });
         self.leader =
-            Leader::new(Arc::new(settings), 1, TermTokens::only(5), &self.watch_cache, self.now);
+            Leader::new(Arc::new(settings), 1, TermTokens::single(5), &self.watch_cache, self.now);
     }
 
     pub fn submit(&mut self, id: &str, changes: serde_json::Value) {
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -135,7 +135,7 @@
     harness.leader = Leader::new(
         Arc::new(settings("m-0")),
         1,
-        TermTokens::only(5),
+        TermTokens::single(5),
         &harness.watch_cache,
         harness.now,
     );
@@ -170,7 +170,7 @@
     harness.leader = Leader::new(
         Arc::new(settings("m-0")),
         1,
-        TermTokens::only(5),
+        TermTokens::single(5),
         &harness.watch_cache,
         harness.now,
     );
--- a/tests/leader/page_records.rs
+++ b/tests/leader/page_records.rs
@@ -70,7 +70,8 @@
 
 /// Machines with room for many tasks of the kind `tiny`.
 pub(crate) fn many_tiny_tasks() -> LeaderHarness {
-    let mut harness = LeaderHarness::with(settings_with_coming_limits("m-0"), TermTokens::only(5));
+    let mut harness =
+        LeaderHarness::with(settings_with_coming_limits("m-0"), TermTokens::single(5));
     for machine in 0..4 {
         harness.heartbeat(&format!("n-00000{machine}"), 1, &[]);
     }
@@ -119,7 +120,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_page_too_large_for_the_coming_limit_is_written_once_some_tasks_have_left_it() {
-    let mut before = LeaderHarness::with(settings_with_coming_limits("m-0"), TermTokens::only(4));
+    let mut before = LeaderHarness::with(settings_with_coming_limits("m-0"), TermTokens::single(4));
     before.submit("j-000001", tiny(120, "batch"));
     page_of_the_version_before(&mut before, "j-000001", 120);
     let mut harness = before.succeed(5);
