--- a/crates/stonewheel-protocol/src/controllers.rs
+++ b/crates/stonewheel-protocol/src/controllers.rs
@@ -1,5 +1,14 @@
 //! Between controllers, in bitcode, which doesn't describe itself: a struct here
-//! never changes, and new facts get a section of their own (`peers.rs`).
+//! never changes, and new facts get a section of their own (`peers/frames.rs`).
+
+/// The identity of a controller heartbeat. The two integers are fixed on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
+pub struct HeartbeatId {
+    /// The process that sends it, drawn at each start.
+    pub incarnation: u64,
+    /// It only rises within an incarnation.
+    pub sequence: u64,
+}
 
 /// What controllers tell each other several times per leader lease. It carries no
 /// authority: only the state service does.
@@ -7,11 +16,11 @@
 pub struct ControllerHeartbeat {
     /// The sender's name in the settings.
     pub member: String,
-    /// The sender's incarnation, and the heartbeat's number within it.
-    pub id: (u64, u64),
+    /// The identity of this heartbeat.
+    pub id: HeartbeatId,
     /// The latest heartbeat that this node received from the receiver as a leader:
     /// it renews no worker's lease for a while after that.
-    pub acknowledged: Option<(u64, u64)>,
+    pub acknowledged: Option<HeartbeatId>,
     /// Whether the sender leads.
     pub leads: bool,
     /// The highest fencing token this node has seen anywhere.
@@ -24,7 +33,7 @@
     /// The revision of this node's watch cache: it knows every cancellation up to it.
     pub revision: u64,
     /// Cancellations that this node may have confirmed to users after the receiver's
-    /// revision. They travel in a section of their own (`peers.rs`).
+    /// revision. They travel in a section of their own (`peers/frames.rs`).
     pub cancellations: Option<CancellationNotice>,
 }
 
@@ -37,7 +46,7 @@
     pub small_pages: bool,
 }
 
-/// A leader's contact with its workers, in a section of its own (`peers.rs`).
+/// A leader's contact with its workers, in a section of its own (`peers/frames.rs`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct WorkerContact {
     /// The sender leads and has lately received heartbeats of hardly any worker.
