--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -6,13 +6,16 @@
 
 use std::collections::HashMap;
 
-use crate::protocol::Shape;
-
 use super::{
-    Decisions, JobView, Resources, Snapshot, TeamUse,
+    decisions::Decisions,
     optimizer::{Curve, Program},
-    team_room,
+    quota::team_room,
+    resources::Resources,
+    snapshot::Snapshot,
+    team_use::TeamUse,
+    view::JobView,
 };
+use crate::protocol::Shape;
 
 /// Units of room in one machine when types have no GPUs.
 const UNITS_WITHOUT_GPUS: f64 = 8.0;
--- /dev/null
+++ b/src/scheduler/bin_packing.rs
@@ -0,0 +1,177 @@
+//! The machines that a job's tasks take: the cheapest places one after the other.
+
+use std::{
+    cmp::Ordering,
+    collections::{BinaryHeap, HashMap},
+};
+
+use super::{
+    eligibility::{Allowed, Zones, allows},
+    resources::Resources,
+    snapshot::Snapshot,
+    view::{JobView, MachineView},
+};
+
+/// A fetch may take a third longer than its machine type says.
+const SLOW_FETCH: f64 = 4.0 / 3.0;
+
+/// How long a machine needs for a job's image, if it has to be fetched.
+pub fn fetch_s(snapshot: &Snapshot<'_>, at: usize, machine: usize) -> f64 {
+    let (job, view) = (&snapshot.jobs[at], &snapshot.machines[machine]);
+    let rate = snapshot.types[view.kind].fetch_gb_per_s;
+    if rate <= 0.0 || view.images.contains(&job.spec.image) {
+        0.0
+    } else {
+        job.spec.image_gb / rate
+    }
+}
+
+/// Machines for up to `count` more tasks of a job, in one zone if it must be.
+pub fn find(snapshot: &Snapshot<'_>, at: usize, count: usize, ready: bool) -> Vec<usize> {
+    let job = &snapshot.jobs[at];
+    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
+    // An empty ordinary machine is dear and wanted whole by others: work that
+    // may use spot machines leaves it alone while the cloud has those.
+    let spot_comes = job.spec.spot && spot_obtainable(snapshot, job);
+    let allowed = Allowed::of(snapshot, job);
+    let open: Vec<usize> = (0..snapshot.machines.len())
+        .filter(|&m| {
+            let machine = &snapshot.machines[m];
+            machine.ready == ready
+                && allowed.takes(machine)
+                && machine.takes_tasks_of(&job.id)
+                && !job.avoid.contains(&machine.id)
+                && !(spot_comes && machine.empty && !machine.spot)
+        })
+        .collect();
+    if job.spec.one_zone && job.spec.tasks > 1 && job.bound.is_empty() {
+        // The zone that takes the most tasks takes them all; if none takes
+        // all, rather one where more machines can be had.
+        return (0..snapshot.settings.cluster.zones.len() as u8)
+            .map(|zone| {
+                let here: Vec<usize> =
+                    open.iter().copied().filter(|&m| snapshot.machines[m].zone == zone).collect();
+                (zone, fill(snapshot, job, &here, count, zones.clone()))
+            })
+            .max_by_key(|(zone, found)| {
+                (found.len() == count || obtainable(snapshot, job, *zone), found.len())
+            })
+            .map(|(_, found)| found)
+            .unwrap_or_default();
+    }
+    fill(snapshot, job, &open, count, zones)
+}
+
+/// Whether the cloud may have machines for a job in this zone.
+pub(super) fn obtainable(snapshot: &Snapshot<'_>, job: &JobView, zone: u8) -> bool {
+    snapshot.types.iter().enumerate().any(|(kind, t)| {
+        let here = t.zones.iter().any(|z| snapshot.settings.zone_index(z) == Some(zone));
+        here && [false, true].iter().any(|&spot| {
+            allows(&job.spec, t, spot) && !snapshot.refused.contains(&(kind, zone, spot))
+        })
+    })
+}
+
+fn spot_obtainable(snapshot: &Snapshot<'_>, job: &JobView) -> bool {
+    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
+    snapshot.types.iter().enumerate().any(|(kind, t)| {
+        allows(&job.spec, t, true)
+            && t.zones
+                .iter()
+                .filter_map(|z| snapshot.settings.zone_index(z))
+                .any(|zone| zones.allow(zone) && !snapshot.refused.contains(&(kind, zone, true)))
+    })
+}
+
+/// The cheapest places one after the other. A place taken changes the cost of
+/// its own machine only, so the others keep their order.
+fn fill(
+    snapshot: &Snapshot<'_>,
+    job: &JobView,
+    open: &[usize],
+    count: usize,
+    mut zones: Zones<'_>,
+) -> Vec<usize> {
+    let need = Resources::of_task(&job.spec);
+    snapshot.weigh(open.len());
+    let mut free: HashMap<usize, Resources> = HashMap::new();
+    let mut places: BinaryHeap<Place> = open
+        .iter()
+        .map(|&m| (m, &snapshot.machines[m].free))
+        .filter(|(_, free)| free.holds(&need))
+        .map(|(machine, free)| Place { cost: cost(snapshot, job, machine, free, false), machine })
+        .collect();
+    let mut found = Vec::new();
+    while found.len() < count
+        && let Some(Place { machine, .. }) = places.pop()
+    {
+        // What a zone refuses it goes on refusing as more places are taken.
+        if !zones.allow(snapshot.machines[machine].zone) {
+            continue;
+        }
+        zones.take(snapshot.machines[machine].zone);
+        found.push(machine);
+        let free = free.entry(machine).or_insert(snapshot.machines[machine].free);
+        free.sub(&need);
+        if free.holds(&need) {
+            snapshot.weigh(1);
+            places.push(Place { cost: cost(snapshot, job, machine, free, true), machine });
+        }
+    }
+    found
+}
+
+/// A machine that could take one more task: the cheapest is the greatest, of
+/// equal ones the first.
+struct Place {
+    cost: f64,
+    machine: usize,
+}
+
+impl Ord for Place {
+    fn cmp(&self, other: &Self) -> Ordering {
+        other.cost.total_cmp(&self.cost).then(other.machine.cmp(&self.machine))
+    }
+}
+
+impl PartialOrd for Place {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl PartialEq for Place {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other).is_eq()
+    }
+}
+
+impl Eq for Place {}
+
+/// What a place costs, in seconds: the fetch of an image it lacks, the whole
+/// machine it breaks into, the room it leaves scattered, and an ordinary
+/// machine given to work that spot machines could do.
+fn cost(
+    snapshot: &Snapshot<'_>,
+    job: &JobView,
+    machine: usize,
+    free: &Resources,
+    taken: bool,
+) -> f64 {
+    let view: &MachineView = &snapshot.machines[machine];
+    let kind = &snapshot.types[view.kind];
+    let fetch = if taken || view.images.contains(&job.spec.image) || kind.fetch_gb_per_s <= 0.0 {
+        0.0
+    } else {
+        job.spec.image_gb / kind.fetch_gb_per_s
+    };
+    // A fetch that may make the job miss its aim on waiting costs more.
+    let late = job.patience_s.is_some_and(|p| p > 0.0 && fetch * SLOW_FETCH > p);
+    let fetch = if late { fetch + kind.boot_s } else { fetch };
+    let total = Resources::of_type(kind);
+    let fills = Resources::of_task(&job.spec).share_of(&total) > 0.5;
+    let breaks = if view.empty && !taken && !fills { kind.boot_s / 4.0 } else { 0.0 };
+    let scattered = free.share_of(&total) * kind.boot_s / 4.0;
+    let dear = if job.spec.spot && !view.spot { kind.boot_s / 2.0 } else { 0.0 };
+    fetch + breaks + scattered + dear
+}
--- a/src/scheduler/moving.rs
+++ b/src/scheduler/consolidation.rs
@@ -6,12 +6,15 @@
 //! is away for as long as its image takes at the new place, and for a moment
 //! if the image is there.
 
-use crate::protocol::Shape;
-
 use super::{
-    BoundView, Decisions, Resources, Slot, Snapshot, Stopping,
-    placement::{Allowed, Zones, bind_tentatively, fetch_s, find},
+    bin_packing::{fetch_s, find},
+    decisions::{Decisions, Stopping},
+    eligibility::{Allowed, Zones},
+    resources::Resources,
+    snapshot::{Slot, Snapshot, bind_tentatively},
+    view::BoundView,
 };
+use crate::protocol::Shape;
 
 /// Makes room for all tasks of a gang by moving replicas that have room
 /// elsewhere. True if it did, and the room is then held.
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,11 +1,13 @@
 //! Room for work of higher priority: which running tasks are stopped for it.
 
-use crate::protocol::Shape;
-
 use super::{
-    BoundView, Decisions, Resources, Slot, Snapshot, Stopping,
-    placement::{Allowed, Zones},
+    decisions::{Decisions, Stopping},
+    eligibility::{Allowed, Zones},
+    resources::Resources,
+    snapshot::{Slot, Snapshot},
+    view::BoundView,
 };
+use crate::protocol::Shape;
 
 /// Makes room for `count` tasks of a job by stopping work of lower priority,
 /// the least lost work first, and holds that room for them. Returns for how
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -3,10 +3,14 @@
 
 use std::collections::HashMap;
 
+use super::{
+    decisions::{Decisions, Stopping},
+    resources::Resources,
+    snapshot::Snapshot,
+    view::JobView,
+};
 use crate::protocol::{JobId, Shape};
 
-use super::{Decisions, JobView, Resources, Snapshot, Stopping};
-
 /// Stops the work that reserved machines are to be cleared of.
 pub fn clear_reserved(snapshot: &mut Snapshot<'_>, decisions: &mut Decisions) {
     if snapshot.machines.iter().all(|machine| machine.reservation.is_none()) {
--- /dev/null
+++ b/src/scheduler/view.rs
@@ -0,0 +1,113 @@
+//! The state that a pass decides on: machines, jobs and what is bound where.
+
+use std::sync::Arc;
+
+use super::resources::Resources;
+use crate::protocol::{JobId, JobSpec, MachineId, Priority, Shape};
+
+#[derive(Clone, Debug)]
+pub struct MachineView {
+    pub id: MachineId,
+    pub kind: usize,
+    pub zone: u8,
+    pub spot: bool,
+    pub free: Resources,
+    /// What tasks that are being stopped here will give back.
+    pub stopping: Resources,
+    /// Takes tasks now; otherwise it is still booting.
+    pub ready: bool,
+    /// Holds no task.
+    pub empty: bool,
+    /// A place on it was given or held in this pass.
+    pub awaited: bool,
+    /// It is reclaimed for one job.
+    pub reservation: Option<Reservation>,
+    pub images: Vec<Arc<str>>,
+}
+
+/// A machine that is reclaimed for one job, and given to no other.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Reservation {
+    pub job: JobId,
+    /// The grant is durable: before it nothing is placed there.
+    pub granted: bool,
+}
+
+impl MachineView {
+    /// Whether a job may count on its room.
+    pub fn open_to(&self, job: &JobId) -> bool {
+        self.reservation.as_ref().is_none_or(|reservation| reservation.job == *job)
+    }
+
+    /// Whether a job's tasks may be placed on it now.
+    pub fn takes_tasks_of(&self, job: &JobId) -> bool {
+        self.open_to(job) && self.reservation.as_ref().is_none_or(|held| held.granted)
+    }
+}
+
+#[derive(Clone, Debug)]
+pub struct BoundView {
+    pub task: u32,
+    pub machine: Option<usize>,
+    pub zone: u8,
+    pub stopping: bool,
+    /// Has run for long enough to be moved without harm to any aim.
+    pub settled: bool,
+    /// Seconds of work that stopping it now would lose.
+    pub loss_s: f64,
+}
+
+impl BoundView {
+    /// The task of a place that is held tentatively.
+    pub const HELD: u32 = u32::MAX;
+
+    /// A place held on a machine, as if a task were bound there.
+    pub fn held(machine: usize, zone: u8, stopping: bool) -> Self {
+        let machine = Some(machine);
+        Self { task: Self::HELD, machine, zone, stopping, settled: false, loss_s: 0.0 }
+    }
+}
+
+#[derive(Clone, Debug)]
+pub struct JobView {
+    pub id: JobId,
+    pub spec: Arc<JobSpec>,
+    /// Order of arrival.
+    pub arrival: u64,
+    /// The highest priority among the job and those that depend on it.
+    pub priority: Priority,
+    /// Tasks that could start now, lowest first.
+    pub pending: Vec<u32>,
+    /// Tasks not done yet.
+    pub remaining: u32,
+    pub bound: Vec<BoundView>,
+    /// Width granted, or 0 for a job not admitted yet.
+    pub width: u32,
+    /// Seconds left to meet its class's aim on waiting, if it has one.
+    pub patience_s: Option<f64>,
+    /// Fits its team's guarantee together with the team's earlier jobs.
+    pub guaranteed: bool,
+    /// Waits out a failure of its own.
+    pub held: bool,
+    /// Machines that failed its tasks.
+    pub avoid: Vec<MachineId>,
+}
+
+impl JobView {
+    /// Tasks that its width still lets start.
+    pub fn startable(&self) -> usize {
+        if self.held {
+            return 0;
+        }
+        match self.spec.shape {
+            Shape::Service => self.pending.len(),
+            // All tasks of a gang start together, after the last attempt's
+            // tasks are gone.
+            Shape::Gang if self.bound.is_empty() => self.pending.len(),
+            Shape::Gang => 0,
+            Shape::Array => {
+                self.pending.len().min((self.width as usize).saturating_sub(self.bound.len()))
+            }
+        }
+    }
+}
