--- a/crates/stonewheel-protocol/src/controllers.rs
+++ b/crates/stonewheel-protocol/src/controllers.rs
@@ -10,44 +10,46 @@
     pub sequence: u64,
 }
 
-/// What a controller tells the others about itself, several times per worker
-/// lease. It carries no authority: only the state service does.
+/// What controllers tell each other several times per leader lease. It carries no
+/// authority: only the state service does.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct ControllerHeartbeat {
+    /// The sender's name in the settings.
     pub member: String,
     /// The identity of this heartbeat.
     pub id: HeartbeatId,
     /// The latest heartbeat that this node received from the receiver as a leader:
-    /// it answers no worker heartbeats for a while after that.
+    /// it renews no worker's lease for a while after that.
     pub acknowledged: Option<HeartbeatId>,
+    /// Whether the sender leads.
     pub leads: bool,
     /// The highest fencing token this node has seen anywhere.
     pub token: u64,
     /// Whether the state service answered this node lately.
     pub state_ok: bool,
-    /// Whether this node turned reports away lately: proof that workers live
-    /// although the leader may not hear them.
+    /// Whether this node rejected worker heartbeats lately: proof that workers live
+    /// although the leader may not receive theirs.
     pub rejected_heartbeats: bool,
     /// The revision of this node's watch cache: it knows every cancellation up to it.
     pub revision: u64,
-    /// What this node may have told users since the receiver's watch cache. It
-    /// travels in a section of its own (`peers/frames.rs`).
+    /// Cancellations that this node may have confirmed to users after the receiver's
+    /// revision. They travel in a section of their own (`peers/frames.rs`).
     pub cancellations: Option<CancellationNotice>,
 }
 
-/// What the sender's version can do, beyond the one that first had no such
-/// section. It says so for good: a member never returns to an older version
-/// once it has run this one.
+/// What the sender's version can do that the first one without this section could
+/// not. It holds for good: a member never returns to an older version once it has
+/// run this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct Features {
     /// It reads and writes pages whose records name the range of their tasks.
     pub small_pages: bool,
 }
 
-/// What a leader says of its workers, in a section of its own (`peers/frames.rs`).
+/// A leader's contact with its workers, in a section of its own (`peers/frames.rs`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct WorkerContact {
-    /// The sender leads and has lately heard hardly any of its workers.
+    /// The sender leads and has lately received heartbeats of hardly any worker.
     pub lost: bool,
 }
 
