--- a/src/controller/pending_writes.rs
+++ b/src/controller/pending_writes.rs
@@ -65,7 +65,7 @@
         std::mem::take(&mut self.tasks_to_stop)
     }
 
-    /// A page is looked at for writing.
+    /// The write of a page is decided on now.
     pub(super) fn clear_due(&mut self, page: &PageKey) {
         self.dirty.remove(page);
     }
@@ -142,3 +142,6 @@
         self.dirty.is_empty() && self.ending.is_empty()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/pending_writes/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+
+fn page(job: &str, page: u32) -> PageKey {
+    PageKey { job: job.into(), page }
+}
+
+#[test]
+fn a_page_is_in_flight_only_once_and_then_due_again() {
+    let mut writes = PendingWrites::default();
+    writes.mark_changed(page("a", 0));
+    writes.clear_due(&page("a", 0));
+    writes.begin(page("a", 0));
+    assert!(writes.is_unwritten(&page("a", 0)) && writes.is_job_in_flight(&"a".into()));
+    writes.mark_changed(page("a", 0));
+    assert_eq!(writes.due().count(), 0, "one write at a time");
+    writes.finish(&page("a", 0));
+    assert_eq!(writes.due().collect::<Vec<_>>(), [&page("a", 0)]);
+}
+
+#[test]
+fn an_oversized_page_counts_as_unwritten_until_it_changes() {
+    let mut writes = PendingWrites::default();
+    let task = TaskKey { job: "a".into(), task: 3 };
+    writes.mark_oversized(page("a", 0), [task.clone()].into_iter());
+    assert!(writes.is_unwritten(&page("a", 0)));
+    assert!(writes.take_tasks_to_stop().contains(&task));
+    writes.mark_changed(page("a", 0));
+    writes.clear_due(&page("a", 0));
+    assert!(!writes.is_unwritten(&page("a", 0)));
+}
+
+#[test]
+fn forgetting_a_job_leaves_the_pages_of_others() {
+    let mut writes = PendingWrites::default();
+    for job in ["a", "b", "c"] {
+        writes.mark_changed(page(job, 0));
+        writes.mark_changed(page(job, u32::MAX));
+    }
+    writes.forget_job(&"b".into());
+    let jobs: Vec<&str> = writes.due().map(|page| &*page.job).collect();
+    assert_eq!(jobs, ["a", "a", "c", "c"]);
+}
+
+#[test]
+fn cancellations_in_flight_are_limited() {
+    let mut writes = PendingWrites::default();
+    assert!(writes.begin_cancellation(&"a".into(), 1));
+    assert!(!writes.begin_cancellation(&"b".into(), 1));
+    writes.finish_cancellation(&"a".into());
+    assert!(writes.begin_cancellation(&"b".into(), 1));
+}
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -110,3 +110,6 @@
         self.loads.front().map(|sample| sample.load)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/provisioning/tests.rs
@@ -0,0 +1,35 @@
+use super::*;
+
+fn request(spot: bool, count: u32) -> ProvisionRequest {
+    ProvisionRequest {
+        request: String::new(),
+        machine_type: "t".into(),
+        zone: "z".into(),
+        spot,
+        count,
+    }
+}
+
+#[test]
+fn one_request_per_kind_and_no_name_twice() {
+    let mut provisioning = Provisioning::default();
+    let first = provisioning.request(5, request(false, 1)).expect("the first").clone();
+    assert_eq!(first.request, "r-5-1");
+    assert!(provisioning.request(5, request(false, 2)).is_none(), "it waits");
+    assert!(provisioning.request(5, request(true, 2)).is_some(), "another kind");
+    assert_eq!(provisioning.take_requests().len(), 2);
+    assert!(provisioning.request(5, request(false, 2)).is_none(), "it is in flight");
+    provisioning.finish(&first);
+    let next = provisioning.request(5, request(false, u32::MAX)).expect("answered");
+    assert_eq!((&*next.request, next.count), ("r-5-3", RENT_LIMIT));
+}
+
+#[tokio::test(start_paused = true)]
+async fn an_exhausted_kind_is_so_until_its_time() {
+    let mut provisioning = Provisioning::default();
+    let now = Instant::now();
+    let until = now + Duration::from_secs(5);
+    provisioning.mark_exhausted((0, 1, true), until);
+    assert_eq!(provisioning.exhausted(now), [(0, 1, true)]);
+    assert!(provisioning.exhausted(until).is_empty());
+}
--- a/src/controller/task_verdict.rs
+++ b/src/controller/task_verdict.rs
@@ -86,3 +86,6 @@
     }
     TaskVerdict::Undetermined
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/fleet/machine_return.rs
+++ b/src/fleet/machine_return.rs
@@ -128,3 +128,6 @@
         && machine.listed_state != Some(MachineState::Running)
         && machine.bound.is_empty()
 }
+
+#[cfg(test)]
+mod tests;
