--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -99,7 +99,7 @@
         machine.deleting = true;
         info!(
             machine = %id, zone = %machine.zone, spot = machine.spot, reason = reason.as_str(),
-            silent_s = machine.silence(now).as_secs_f64(), "returning a machine"
+            silent_s = machine.silence(now).as_secs_f64(), "machine return requested"
         );
         self.provisioning.delete([id.clone()]);
     }
@@ -121,7 +121,7 @@
                 count,
             };
             if let Some(request) = self.provisioning.request(token, request) {
-                info!(request = %request.request, zone = %request.zone, spot, count, "renting");
+                info!(request = %request.request, machine_type = %request.machine_type, zone = %request.zone, spot, count, "machines requested");
             }
         }
     }
@@ -162,7 +162,10 @@
         let Some(zone) = self.settings.zone_index(&request.zone) else { return };
         let boot_s = self.types.boot_s(&request.machine_type);
         let until = now + Duration::from_secs_f64(boot_s / EXHAUSTED_WAIT_BOOT_PARTS);
-        info!(zone = %request.zone, spot = request.spot, "the cloud has no more of these");
+        info!(
+            machine_type = %request.machine_type, zone = %request.zone, spot = request.spot,
+            "machines exhausted in the cloud"
+        );
         self.provisioning.mark_exhausted((kind, zone, request.spot), until);
     }
 
--- a/src/controller/incarnations.rs
+++ b/src/controller/incarnations.rs
@@ -29,7 +29,7 @@
             .map(|(id, _, incarnation)| (id, incarnation))
             .collect();
         for (id, incarnation) in expired {
-            info!(machine = %id, incarnation, "silent past its lease: its tasks are gone");
+            info!(machine = %id, incarnation, "worker lease expired");
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
                 machine.dead_incarnation = incarnation;
             }
@@ -58,7 +58,7 @@
         for key in bound {
             let binding = self.jobs.get(&key.job).and_then(|job| job.bound.get(&key.task));
             if binding.is_some_and(|binding| binding.incarnation < incarnation) {
-                info!(job = %key.job, task = key.task, machine = %id, "task lost with its machine's session");
+                info!(job = %key.job, task = key.task, machine = %id, "task lost with its worker's incarnation");
                 self.confirm_terminated(&key, now);
             }
         }
@@ -69,7 +69,7 @@
 
     /// Whether this controller alone seems cut off from the workers. Found out late,
     /// a successor would have no time left to be found by them within their
-    /// lease: they look for it only after an answer has failed to come.
+    /// lease: they search for it only after a response has failed to come.
     pub fn is_isolated_from_workers(&self, now: Instant) -> bool {
         now > self.started + self.settings.worker_lease()
             && self.fleet.is_mostly_silent(now, self.settings.heartbeat_interval() * 5 / 2)
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -1,8 +1,8 @@
 //! What lending sees of the leader's machines and jobs, and the reservations that it makes.
 //!
-//! A reserved machine is given to no other job, and revocable work on it is stopped with
-//! time to save. That it is gone is what the leader's own records say: a task counts until
-//! there is proof.
+//! A reserved machine is given to no other job, and revocable work on it is preempted with a
+//! grace period. That it has terminated is what the leader's own records say: a task counts
+//! until there is proof.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -22,7 +22,7 @@
     pub team: std::sync::Arc<str>,
     /// Seconds between its checkpoints; the rarest of all.
     pub checkpoint_s: f64,
-    /// Seconds that it takes to save; the longest of all.
+    /// Seconds that it takes to save a checkpoint; the longest of all.
     pub save_s: f64,
     /// Seconds since its last checkpoint, at the most.
     pub unsaved_s: f64,
@@ -35,13 +35,14 @@
     pub zone: u8,
     /// It takes tasks now.
     pub ready: bool,
-    /// All that it holds is outside its teams' guarantees, and saves.
+    /// What it holds, if all of that is outside its teams' guaranteed quotas and saves
+    /// checkpoints.
     pub lent: Option<LentWork>,
     /// The jobs that hold it.
     pub jobs: Vec<JobId>,
 }
 
-/// A job inside its team's guarantee that lacks room.
+/// A job inside its team's guaranteed quota that lacks machines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingJob {
     /// The job.
@@ -59,19 +60,19 @@
 /// What lending sees of a leader.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LendingView {
-    /// The leader has heard what it should: absent machines are gone.
+    /// The leader was in contact with all machines that hold tasks: others are gone.
     pub settled: bool,
     /// Ordinary machines.
     pub machines: BTreeMap<MachineId, LendableMachine>,
-    /// Jobs inside their guarantees that lack room, in order of arrival.
+    /// Jobs inside their teams' guaranteed quotas that lack machines, in order of arrival.
     pub waiting: Vec<WaitingJob>,
 }
 
 impl Leader {
-    /// What lending may act on. `grace_s`: the longest save that it waits for.
+    /// What lending may act on. `grace_s`: the longest save that it waits for, in seconds.
     /// `waited`: how long a job has waited before machines are reclaimed for it.
     pub fn lending_view(&self, grace_s: f64, waited: Duration, now: Instant) -> LendingView {
-        let inside = self.inside_guarantees();
+        let inside = self.inside_guaranteed_quota();
         let machines = self.fleet.machines.iter().filter(|(_, machine)| !machine.spot);
         let view = |(id, machine): (&MachineId, &Machine)| {
             (id.clone(), self.lendable_machine(machine, &inside, grace_s, now))
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Jobs that fit their teams' guarantees together with all earlier ones.
-    fn inside_guarantees(&self) -> HashMap<&JobId, bool> {
+    /// Whether each job fits its team's guaranteed quota together with all earlier ones.
+    fn inside_guaranteed_quota(&self) -> HashMap<&JobId, bool> {
         let mut asked: HashMap<&str, TeamUse> = HashMap::new();
         let mut inside = HashMap::new();
         for job in self.jobs.by_arrival().filter(|job| job.is_active()) {
@@ -107,8 +108,7 @@
     ) -> LendableMachine {
         let mut jobs: Vec<JobId> = machine.bound.iter().map(|key| key.job.clone()).collect();
         jobs.dedup();
-        let residents = jobs.iter().filter_map(|id| self.jobs.get(id));
-        let residents: Vec<&Job> = residents.collect();
+        let residents: Vec<&Job> = jobs.iter().filter_map(|id| self.jobs.get(id)).collect();
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
         let lendable = |job: &&Job| {
             let outside = inside.get(&job.spec.id) == Some(&false);
@@ -121,9 +121,9 @@
         let first = residents.first().filter(|_| all);
         let lent = first.map(|first| LentWork {
             team: first.spec.team.clone(),
-            checkpoint_s: most(&residents, |job| job.spec.checkpoint_s),
-            save_s: most(&residents, |job| job.spec.save_s),
-            unsaved_s: most(&residents, |job| unsaved_s(job, now)),
+            checkpoint_s: max_over(&residents, |job| job.spec.checkpoint_s),
+            save_s: max_over(&residents, |job| job.spec.save_s),
+            unsaved_s: max_over(&residents, |job| unsaved_s(job, now)),
         });
         let zone = self.settings.zone_index(&machine.zone).unwrap_or(u8::MAX);
         LendableMachine { zone, ready, lent, jobs }
@@ -169,8 +169,8 @@
         Some(WaitingJob { id, team, machines, gpus, overdue: false })
     }
 
-    /// Machines that are kept for one job each, in place of those before. True if these
-    /// are others.
+    /// Replaces the reservations, machines that are kept for one job each. True if that
+    /// changes them.
     pub fn reserve(&mut self, reservations: BTreeMap<MachineId, Reservation>) -> bool {
         let changed = self.reservations != reservations;
         if changed {
@@ -181,18 +181,19 @@
     }
 }
 
-/// Whether work saves when it is stopped, and soon enough.
+/// Whether work saves a checkpoint when it is preempted, within the grace period.
 fn is_revocable(spec: &JobSpec, grace_s: f64) -> bool {
     spec.shape != Shape::Service && spec.checkpoint_s > 0.0 && spec.save_s <= grace_s
 }
 
-/// A gang is stopped whole: one that lies on several machines stays.
+/// A gang is preempted whole: one that lies on several machines stays.
 fn is_on_one_machine(job: &Job) -> bool {
     let mut machines = job.bound.values().map(|binding| &binding.machine);
     let first = machines.next();
     job.spec.shape != Shape::Gang || machines.all(|machine| Some(machine) == first)
 }
 
+/// Seconds since the last checkpoint of a job, at the most.
 fn unsaved_s(job: &Job, now: Instant) -> f64 {
     let ran = |since: Instant| now.saturating_duration_since(since).as_secs_f64();
     let since = job.bound.values().filter_map(|binding| binding.running_since);
@@ -200,6 +201,7 @@
     unsaved.fold(0.0, f64::max)
 }
 
-fn most(jobs: &[&Job], amount: impl Fn(&Job) -> f64) -> f64 {
+/// The largest amount among jobs, at least 0.
+fn max_over(jobs: &[&Job], amount: impl Fn(&Job) -> f64) -> f64 {
     jobs.iter().map(|job| amount(job)).fold(0.0, f64::max)
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -70,7 +70,7 @@
 pub use writes::{Commit, CommitKind};
 
 /// A heartbeat shows a higher token than this term's: another controller leads.
-#[derive(Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Superseded;
 
 /// The state of one term of leadership.
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -169,7 +169,7 @@
         if std::mem::replace(&mut self.small_pages, true) {
             return;
         }
-        info!("all controllers know small pages");
+        info!("small pages enabled on all controllers");
         let without_pages = |job: &&mut Job| job.attempt == 0 && job.pages.is_empty();
         for job in self.jobs.values_mut().filter(without_pages) {
             job.page_tasks = tasks_per_page(&self.settings, &job.spec, true);
@@ -215,7 +215,7 @@
             return Some((content, value));
         }
         let surplus = (bytes - limit).div_ceil(bytes / content.bound.len().max(1));
-        warn!(job = %key.job, page = key.page, surplus, "a page is too large to be written");
+        warn!(job = %key.job, page = key.page, surplus, "page too large to be written");
         let last_bound = content.bound.iter().rev().take(surplus);
         let tasks = last_bound.map(|bound| TaskKey { job: key.job.clone(), task: bound.task });
         self.writes.mark_oversized(key.clone(), tasks);
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -29,7 +29,7 @@
         let settled = self.is_settled(now);
         let decisions = self.decide(round, now);
         self.counters.passes += 1;
-        self.counters.weighed += decisions.weighed;
+        self.counters.candidates_evaluated += decisions.weighed;
         self.apply_decisions(decisions, settled, now);
     }
 
@@ -64,7 +64,7 @@
 
     fn set_width(&mut self, id: JobId, width: u32) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.width != width) {
-            info!(job = %id, from = job.width, to = width, "width");
+            info!(job = %id, from = job.width, to = width, "array width changed");
             job.width = width;
             // The first page holds the width.
             self.writes.mark_due(PageKey { job: id, page: 0 });
@@ -73,7 +73,7 @@
 
     fn preempt(&mut self, stopping: Stopping, now: Instant) {
         let Stopping { job, task, at_once } = stopping;
-        info!(%job, task, at_once, "stopped to make room");
+        info!(%job, task, at_once, "task preempted");
         let grace = if at_once { GracePeriod::None } else { GracePeriod::OfJob };
         self.stop(&TaskKey { job, task }, grace, now);
     }
@@ -110,7 +110,7 @@
             job.attempt += 1;
         }
         let incarnation = machine.latest_heartbeat.incarnation;
-        debug!(job = %key.job, task = key.task, machine = %machine_id, attempt = job.attempt, "bound");
+        debug!(job = %key.job, task = key.task, machine = %machine_id, attempt = job.attempt, "task bound");
         job.bind(key.task, Binding::new(machine_id.clone(), job.attempt, incarnation, zone));
         self.quota_use.add(&job.spec);
         machine.bound.insert(key.clone());
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -38,7 +38,7 @@
         Ok(commands)
     }
 
-    /// Takes the heartbeat of a worker that is redirected to look for another leader.
+    /// Takes the heartbeat of a worker that is redirected, to find another leader.
     ///
     /// Fails if the worker has seen a higher token than this term's.
     pub fn on_redirected_heartbeat(
@@ -114,7 +114,7 @@
             .map(|m| m.bound.iter().cloned().collect())
             .unwrap_or_default();
         self.counters.heartbeats += 1;
-        self.counters.reviewed += (bound.len() + reported.len()) as u64;
+        self.counters.tasks_reconciled += (bound.len() + reported.len()) as u64;
         let mut commands = Vec::new();
         for key in bound {
             let status = reported.get(&key).copied();
@@ -176,7 +176,7 @@
             TaskVerdict::StartUnacknowledged => {
                 let until = now + self.settings.worker_lease();
                 self.fleet.machines.get_mut(machine)?.record_unacknowledged_command(until);
-                info!(%machine, task = ?key, "the machine does not carry out orders");
+                info!(%machine, task = %key, "start command not acknowledged");
                 self.confirm_terminated(key, now);
                 None
             }
--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -1,7 +1,7 @@
 //! Changes of the records: new jobs with their placements, ends, and dependencies.
 
 use tokio::time::Instant;
-use tracing::{info, warn};
+use tracing::{error, info};
 
 use super::{Leader, binding::Binding, job::Job, known_end::KnownEnd, pages};
 use crate::{
@@ -113,7 +113,7 @@
         let waits = watch_cache.dependencies.waits(id);
         let waited = std::mem::replace(&mut job.awaits_dependencies, waits);
         if waited && !waits {
-            info!(job = %id, "all that it depends on is done");
+            info!(job = %id, "job dependencies done");
             // Waits are counted from here.
             job.known_since = now;
             self.timers.request_round();
@@ -136,7 +136,7 @@
     entries.filter_map(move |(&number, entry)| match serde_json::from_str(entry.raw.get()) {
         Ok(page) => Some(NumberedPage { number, page }),
         Err(error) => {
-            warn!(job = %id, page = number, %error, "a page can't be read");
+            error!(job = %id, page = number, %error, "page record unreadable");
             None
         }
     })
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -83,7 +83,7 @@
         let exponent = job.failures.min(MAX_BACKOFF_EXPONENT);
         let wait = heartbeat_interval * 2_u32.saturating_pow(exponent);
         job.backoff_until = Some(now + wait);
-        info!(job = %id, failures = job.failures, wait_s = wait.as_secs_f64(), "fails on every machine: waits");
+        info!(job = %id, failures = job.failures, wait_s = wait.as_secs_f64(), "job backed off after failures on several machines");
         for machine in std::mem::take(&mut job.avoided_machines) {
             if let Some(machine) = self.fleet.machines.get_mut(&machine) {
                 machine.failed_jobs.remove(id);
@@ -97,8 +97,9 @@
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         machine.failed_jobs.insert(key.job.clone());
         let failed_jobs = machine.failed_jobs.len() as u32;
-        machine.quarantine(now + heartbeat_interval * QUARANTINE_INTERVALS_PER_JOB * failed_jobs);
-        info!(machine = %id, task = %key, "a task failed: the machine rests");
+        let wait = heartbeat_interval * QUARANTINE_INTERVALS_PER_JOB * failed_jobs;
+        machine.quarantine(now + wait);
+        info!(machine = %id, task = %key, wait_s = wait.as_secs_f64(), "machine quarantined after a failed task");
     }
 
     /// Frees the place of a task: there is proof that it is not on its machine.
--- a/src/controller/write_outcomes.rs
+++ b/src/controller/write_outcomes.rs
@@ -53,7 +53,7 @@
             // More pages than one transaction drops.
             self.writes.check_end_of(id.clone());
         } else {
-            info!(job = %id, "ended");
+            info!(job = %id, "job ended");
             self.jobs.remove(id);
             self.writes.forget_job(id);
         }
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -42,9 +42,9 @@
     assert_no_violation(&deployment);
     QuietCost {
         heartbeats: after.heartbeats - before.heartbeats,
-        reviewed: after.reviewed - before.reviewed,
+        reviewed: after.tasks_reconciled - before.tasks_reconciled,
         ticks: after.ticks - before.ticks,
-        weighed: after.weighed - before.weighed,
+        weighed: after.candidates_evaluated - before.candidates_evaluated,
         writes: revision() - began,
     }
 }
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -76,7 +76,7 @@
     harness.pass(0.2);
     let filled = harness.leader.counters;
     assert_eq!(filled.passes - before.passes, 1, "one pass places all of it");
-    let weighed = filled.weighed - before.weighed;
+    let weighed = filled.candidates_evaluated - before.candidates_evaluated;
     // Each machine twice for each job (free room, and room that holds its
     // image), and once more for each task.
     assert!(weighed < 2 * 440 * MACHINES + 2800, "{weighed} places weighed");
@@ -100,7 +100,11 @@
     }
     let after = harness.leader.counters;
     assert_eq!(after.heartbeats - before.heartbeats, MACHINES);
-    assert_eq!(after.reviewed - before.reviewed, 2 * held as u64, "its own tasks each, twice");
+    assert_eq!(
+        after.tasks_reconciled - before.tasks_reconciled,
+        2 * held as u64,
+        "its own tasks each, twice"
+    );
     assert!(after.sweeps - before.sweeps <= 8, "not one for each report");
     assert_eq!(after.passes, before.passes, "nothing changed");
 }
