--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -115,7 +115,7 @@
         watch_cache: &WatchCache,
         now: Instant,
     ) -> Self {
-        let types = watch_cache.types.as_ref().map(|(_, types)| types.clone());
+        let types = watch_cache.machine_types.as_ref().map(|types| types.value.clone());
         let mut leader = Self {
             settings,
             tokens,
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -30,7 +30,7 @@
     fleet::TaskKey,
     protocol::{JobSpec, Shape},
     settings::{LARGEST_BINDING_BYTES, Settings},
-    store::{self, BoundTask, Page},
+    store::{self, BoundTask, Page, TaskRange},
 };
 
 /// A page's record without any task: its keys, the attempt and the width.
@@ -98,28 +98,29 @@
         let bound = self.bound.range(range.clone());
         let bound = bound.map(|(task, binding)| binding.record(*task)).collect();
         let width = (page == 0 && self.width > 0).then_some(self.width);
-        Page { attempt: self.attempt, width, bound, done: self.done_runs(range), tasks: None }
+        Page { attempt: self.attempt, width, bound, done: self.done_ranges(range), tasks: None }
     }
 
-    /// The completed tasks of a range, as runs of (first, how many).
-    fn done_runs(&self, range: Range<u32>) -> Vec<(u32, u32)> {
-        let mut runs: Vec<(u32, u32)> = Vec::new();
+    /// The completed tasks of a range, as ranges without gaps.
+    fn done_ranges(&self, range: Range<u32>) -> Vec<TaskRange> {
+        let mut ranges: Vec<TaskRange> = Vec::new();
         for task in range.filter(|task| self.done.contains(task)) {
-            match runs.last_mut() {
-                Some((first, count)) if *first + *count == task => *count += 1,
-                _ => runs.push((task, 1)),
+            match ranges.last_mut() {
+                Some(last) if last.first + last.count == task => last.count += 1,
+                _ => ranges.push(TaskRange { first: task, count: 1 }),
             }
         }
-        runs
+        ranges
     }
 
     /// No less than what the record of a page takes.
     fn page_bytes(&self, page: u32) -> usize {
         let content = self.page(page);
         let bound = content.bound.iter().map(bound_task_bytes);
-        let done = content.done.iter().map(|(first, count)| {
-            digits((*first).into()) + digits((*count).into()) + RUN_PUNCTUATION
-        });
+        let done = content
+            .done
+            .iter()
+            .map(|range| digits(range.first.into()) + digits(range.count.into()) + RUN_PUNCTUATION);
         EMPTY_PAGE_BYTES + bound.sum::<usize>() + done.sum::<usize>()
     }
 
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -5,7 +5,7 @@
 use tokio::time::{Duration, Instant};
 
 use crate::{
-    cloud::{DELETE_LIMIT, RENT_LIMIT},
+    cloud::{MAX_DELETED_MACHINES, MAX_PROVISIONED_MACHINES},
     protocol::{MachineId, ProvisionRequest},
 };
 
@@ -44,7 +44,7 @@
         }
         self.request_count += 1;
         request.request = format!("r-{token}-{}", self.request_count);
-        request.count = request.count.min(RENT_LIMIT);
+        request.count = request.count.min(MAX_PROVISIONED_MACHINES);
         self.requested.push(request);
         self.requested.last()
     }
@@ -79,7 +79,7 @@
 
     /// The machines to return next, as many as one call to the cloud takes.
     pub(super) fn take_deletions(&mut self) -> Vec<MachineId> {
-        let count = self.deletions.len().min(DELETE_LIMIT);
+        let count = self.deletions.len().min(MAX_DELETED_MACHINES);
         self.deletions.drain(..count).collect()
     }
 }
--- a/src/controller/provisioning/tests.rs
+++ b/src/controller/provisioning/tests.rs
@@ -21,7 +21,7 @@
     assert!(provisioning.request(5, request(false, 2)).is_none(), "it is in flight");
     provisioning.finish(&first);
     let next = provisioning.request(5, request(false, u32::MAX)).expect("answered");
-    assert_eq!((&*next.request, next.count), ("r-5-3", RENT_LIMIT));
+    assert_eq!((&*next.request, next.count), ("r-5-3", MAX_PROVISIONED_MACHINES));
 }
 
 #[tokio::test(start_paused = true)]
--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -7,7 +7,7 @@
 use crate::{
     fleet::{Machine, TaskKey},
     protocol::JobId,
-    store::{BoundTask, Change, Page, WatchCache},
+    store::{BoundTask, Change, Page, TaskRange, WatchCache},
 };
 
 impl Leader {
@@ -59,7 +59,7 @@
             job.page_tasks = self.settings.page_tasks();
         }
         let dependencies = &watch_cache.dependencies;
-        let ended = watch_cache.ends.contains(id) || dependencies.is_cancelled(id);
+        let ended = watch_cache.ended_jobs.contains(id) || dependencies.is_cancelled(id);
         job.ended = ended.then(|| KnownEnd::learned(now));
         job.awaits_dependencies = dependencies.waits(id);
         job.priority = dependencies.effective_priority(id).unwrap_or(job.priority);
@@ -73,7 +73,7 @@
         job.page_tasks = page.tasks.filter(|tasks| *tasks > 0).unwrap_or(job.page_tasks);
         job.attempt = job.attempt.max(page.attempt);
         job.width = job.width.max(page.width.unwrap_or(0));
-        for (first, count) in page.done {
+        for TaskRange { first, count } in page.done {
             job.done.extend(first..first.saturating_add(count).min(job.spec.tasks));
         }
         for bound in page.bound {
--- a/src/controller/write_outcomes.rs
+++ b/src/controller/write_outcomes.rs
@@ -46,7 +46,7 @@
     fn end_committed(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.end_in_flight = false;
-        if watch_cache.ends.contains(id) {
+        if watch_cache.ended_jobs.contains(id) {
             job.ended.get_or_insert(KnownEnd::learned(now));
         }
         if watch_cache.jobs.contains_key(id) {
@@ -74,7 +74,7 @@
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.end_in_flight = false;
                     // Cancelled in the meantime: the first end wins.
-                    if watch_cache.ends.contains(&id) {
+                    if watch_cache.ended_jobs.contains(&id) {
                         job.ended.get_or_insert(KnownEnd::learned(now));
                     }
                     self.writes.check_end_of(id);
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -5,7 +5,7 @@
 use super::{Leader, pending_writes::PageKey};
 use crate::{
     protocol::{Condition, JobId, JobState, Write},
-    state::IN_FLIGHT,
+    state::MAX_IN_FLIGHT,
     store::{self, JobEnd, Page, WatchCache},
 };
 
@@ -81,7 +81,7 @@
     /// The write of the machine types, if their record is out of date.
     fn types_commit(&mut self, leads: &Condition, watch_cache: &WatchCache) -> Option<Commit> {
         let types = self.types.take_unstored()?;
-        let version = watch_cache.types.as_ref().map_or(0, |(version, _)| *version);
+        let version = watch_cache.machine_types.as_ref().map_or(0, |types| types.version);
         let value = store::value(&*types).ok()?;
         let key = store::MACHINE_TYPES_KEY.to_owned();
         Some(Commit {
@@ -93,7 +93,7 @@
 
     /// How many pages may be in flight at once.
     fn max_pages_in_flight(&self) -> usize {
-        self.settings.state_limits().transaction_writes * IN_FLIGHT
+        self.settings.state_limits().transaction_writes * MAX_IN_FLIGHT
     }
 
     /// The pages that should be written next.
@@ -168,7 +168,7 @@
         }
         let mut conditions = vec![leads.clone()];
         let mut writes = Vec::new();
-        if !watch_cache.ends.contains(id) {
+        if !watch_cache.ended_jobs.contains(id) {
             // Nothing is dropped before the end is in the records: without it the
             // job would be forgotten, and what depends on it would wait for ever.
             let end = self.end_of(id, watch_cache)?;
--- a/src/store/ended_jobs.rs
+++ b/src/store/ended_jobs.rs
@@ -4,14 +4,14 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::JobEnd;
+use super::records::JobEnd;
 use crate::protocol::{JobId, JobState};
 
 /// Ids with more digits are held as they are.
-const MOST_PACKED_DIGITS: usize = 17;
+const MAX_PACKED_DIGITS: usize = 17;
 
 /// One more than the largest packed number.
-const PACKED_RANGE: u64 = 10_u64.pow(MOST_PACKED_DIGITS as u32);
+const PACKED_RANGE: u64 = 10_u64.pow(MAX_PACKED_DIGITS as u32);
 
 /// A job id as a number: its digits' value and, above that, how many there are,
 /// so that `j-1` and `j-01` differ.
@@ -22,7 +22,7 @@
     pub(super) fn of(id: &str) -> Option<Self> {
         let digits = id.strip_prefix("j-")?;
         let plain = digits.bytes().all(|byte| byte.is_ascii_digit());
-        if !plain || digits.len() > MOST_PACKED_DIGITS {
+        if !plain || digits.len() > MAX_PACKED_DIGITS {
             return None;
         }
         let number: u64 = digits.parse().ok()?;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PackedEnd(u32);
 
-/// Tasks are fewer than that.
+/// Bits of a packed end that hold the number of completed tasks.
 const STATE_SHIFT: u32 = 30;
 
 impl PackedEnd {
@@ -62,12 +62,14 @@
 /// The end of each job that has one. The first end of a job stays.
 #[derive(Debug, Default)]
 pub struct EndedJobs {
+    /// Nearly all: ids and ends that fit the packed form.
     packed: BTreeMap<PackedId, PackedEnd>,
-    /// What can't be packed.
+    /// Ids and ends that don't fit it.
     others: HashMap<JobId, JobEnd>,
 }
 
 impl EndedJobs {
+    /// Records how a job ended, unless an end of it is recorded already.
     pub fn insert(&mut self, id: &str, end: JobEnd) {
         if self.contains(id) {
             return;
@@ -82,15 +84,18 @@
         }
     }
 
+    /// How a job ended, if it did.
     pub fn get(&self, id: &str) -> Option<JobEnd> {
         let packed = PackedId::of(id).and_then(|id| self.packed.get(&id));
         packed.map(|end| end.end()).or_else(|| self.others.get(id).copied())
     }
 
+    /// Whether a job ended.
     pub fn contains(&self, id: &str) -> bool {
         self.get(id).is_some()
     }
 
+    /// Whether no job ended.
     pub fn is_empty(&self) -> bool {
         self.packed.is_empty() && self.others.is_empty()
     }
--- a/tests/common/network.rs
+++ b/tests/common/network.rs
@@ -18,7 +18,7 @@
     most: Duration,
 ) {
     let urgent = nodes.iter().flatten().map(|(node, _)| {
-        let mut urgent = node.peers.urgent_heartbeats();
+        let mut urgent = node.peers.immediate_heartbeats();
         Box::pin(async move { urgent.changed().await })
     });
     let urgent: Vec<_> = urgent.collect();
--- a/tests/leader/page_records.rs
+++ b/tests/leader/page_records.rs
@@ -48,7 +48,7 @@
     }
     harness.pass(0.2);
     let commits = harness.commits();
-    let under_way = 24 * stonewheel::state::IN_FLIGHT;
+    let under_way = 24 * stonewheel::state::MAX_IN_FLIGHT;
     assert_eq!(commits.len(), under_way, "no more at once than the transactions hold");
     let production = commits.iter().take_while(|c| match &c.kind {
         CommitKind::Page { job, .. } => job[2..].parse::<u32>().expect("a number") % 4 == 3,
@@ -104,7 +104,7 @@
         harness.settle();
         assert!(largest_page(&harness.watch_cache) <= VALUE_BYTES);
     }
-    assert!(harness.watch_cache.ends.contains("j-000001"));
+    assert!(harness.watch_cache.ended_jobs.contains("j-000001"));
 }
 
 /// A page that a version without the coming limits filled with `tasks` places.
@@ -161,7 +161,7 @@
     }
     assert!((1..80).contains(&stopped), "{stopped} tasks were stopped");
     harness.settle();
-    assert_eq!(harness.page("j-000001").done, [(0, 1)]);
+    assert_eq!(harness.page("j-000001").done, [store::TaskRange { first: 0, count: 1 }]);
     assert!(largest_page(&harness.watch_cache) <= VALUE_BYTES);
     let commands = harness.heartbeat("n-000000", 1, &first[..1]);
     assert_eq!(ops(&commands, CommandKind::Forget).len(), 1);
