--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -67,7 +67,7 @@
 
     /// Composes commands for as many machines as there are free calls, so that none
     /// waits for a socket after it was decided.
-    pub fn take_direct(&mut self, now: Instant) -> Vec<DirectRequest> {
+    pub fn take_direct_requests(&mut self, now: Instant) -> Vec<DirectRequest> {
         let mut requests = Vec::new();
         for _ in 0..self.direct_calls.waiting_machines() {
             if self.direct_calls.calls_in_flight() >= self.settings.direct_calls() {
@@ -149,7 +149,7 @@
     /// Takes what became of a direct request.
     ///
     /// Fails if the worker has seen a higher token than this term's.
-    pub fn on_direct(
+    pub fn on_direct_outcome(
         &mut self,
         request: &DirectRequest,
         outcome: DirectOutcome,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -61,6 +61,7 @@
 use job_table::JobTable;
 pub use lending::{LendableMachine, LendingView, LentWork, WaitingJob};
 use machine_types::MachineTypes;
+use pages::PageLayout;
 use pass_timers::PassTimers;
 use pending_writes::PendingWrites;
 use provisioning::{Provisioning, SpotLoadHistory};
@@ -79,15 +80,15 @@
     /// The fencing tokens of the term.
     pub tokens: TermTokens,
     /// The version of the leader record, on which all writes are conditioned.
-    pub lead_version: u64,
+    pub leader_record_version: u64,
     /// When the term began here.
     started: Instant,
     /// Since when the state service has answered without a break.
     state_available_since: Option<Instant>,
     /// Whether work may be started, see `allow_starts`.
     starts_allowed: bool,
-    /// Every member knows pages of smaller ranges, see `pages`.
-    small_pages: bool,
+    /// Which pages all members can read, see `pages`.
+    page_layout: PageLayout,
     /// The shortage of connections was reported to the operator.
     connection_shortage_reported: bool,
     types: MachineTypes,
@@ -110,7 +111,7 @@
     /// leadership itself, so that no former leader's write is missing.
     pub fn new(
         settings: Arc<Settings>,
-        lead_version: u64,
+        leader_record_version: u64,
         tokens: TermTokens,
         watch_cache: &WatchCache,
         now: Instant,
@@ -119,11 +120,11 @@
         let mut leader = Self {
             settings,
             tokens,
-            lead_version,
+            leader_record_version,
             started: now,
             state_available_since: None,
             starts_allowed: true,
-            small_pages: false,
+            page_layout: PageLayout::Common,
             connection_shortage_reported: false,
             types: MachineTypes::from_record(types),
             jobs: JobTable::default(),
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -155,25 +155,39 @@
     }
 }
 
+/// Which ranges of tasks the pages of new jobs may cover.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PageLayout {
+    /// The common range alone: controllers of the version before may lead.
+    Common,
+    /// A smaller one too, for work that must start as a whole and would not fit.
+    CommonOrSmall,
+}
+
 /// Tasks of each page of a job that has none yet.
-pub(super) fn tasks_per_page(settings: &Settings, spec: &JobSpec, small_pages: bool) -> u32 {
+pub(super) fn tasks_per_page(settings: &Settings, spec: &JobSpec, layout: PageLayout) -> u32 {
     let tasks = settings.page_tasks();
     let whole = spec.shape != Shape::Array;
     let crowded = spec.tasks.min(tasks) as usize * LARGEST_BINDING_BYTES
         > settings.state_limits().value_bytes;
-    if whole && crowded && small_pages { settings.small_page_tasks() } else { tasks }
+    if whole && crowded && layout == PageLayout::CommonOrSmall {
+        settings.small_page_tasks()
+    } else {
+        tasks
+    }
 }
 
 impl Leader {
     /// Every member knows pages of smaller ranges: no older version leads any more.
     pub fn allow_small_pages(&mut self) {
-        if std::mem::replace(&mut self.small_pages, true) {
+        let former = std::mem::replace(&mut self.page_layout, PageLayout::CommonOrSmall);
+        if former == PageLayout::CommonOrSmall {
             return;
         }
         info!("small pages enabled on all controllers");
         let without_pages = |job: &&mut Job| job.attempt == 0 && job.pages.is_empty();
         for job in self.jobs.values_mut().filter(without_pages) {
-            job.page_tasks = tasks_per_page(&self.settings, &job.spec, true);
+            job.page_tasks = tasks_per_page(&self.settings, &job.spec, self.page_layout);
         }
         self.record_change();
     }
--- a/src/controller/pass_timers.rs
+++ b/src/controller/pass_timers.rs
@@ -2,14 +2,25 @@
 
 use tokio::time::{Duration, Instant};
 
+use super::state_service::StateService;
+
 /// A pass may take up to one in so many parts of the time: the rest is for
 /// heartbeats, answers and the renewal of the lease.
 const PASS_PARTS: u32 = 8;
 
+/// What a scheduling pass decides.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PassKind {
+    /// Where tasks run.
+    Placement,
+    /// The widths of arrays as well.
+    Round,
+}
+
 /// When sweeps, passes and rounds are due.
 ///
 /// A sweep goes over all machines and jobs for what time alone brings. A pass schedules;
-/// it is a round if it also sets the widths of arrays.
+/// rounds are passes that are made less often.
 pub(super) struct PassTimers {
     next_round: Instant,
     next_sweep: Instant,
@@ -61,10 +72,10 @@
         self.needs_tick
     }
 
-    /// When the next tick is due if nothing happens until then. `passes_allowed`:
-    /// whether a pass could be made now.
-    pub(super) fn next_tick(&self, passes_allowed: bool) -> Instant {
-        if self.changed && passes_allowed {
+    /// When the next tick is due if nothing happens until then.
+    pub(super) fn next_tick(&self, state_service: StateService) -> Instant {
+        // While the state service is unavailable no pass is made.
+        if self.changed && state_service == StateService::Available {
             self.next_sweep.min(self.next_pass)
         } else {
             self.next_sweep
@@ -80,19 +91,22 @@
         due
     }
 
-    /// Whether the last pass lies back long enough.
-    pub(super) fn pass_allowed(&self, now: Instant) -> bool {
-        now >= self.next_pass
-    }
-
-    /// Whether a round is due. `jobs_wait` is only asked if none was requested.
-    pub(super) fn round_due(&self, now: Instant, jobs_wait: impl FnOnce() -> bool) -> bool {
-        now >= self.next_round && (self.round_requested || jobs_wait())
-    }
-
-    /// Whether a change waits for a pass; none does after that.
-    pub(super) fn take_changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed)
+    /// The pass that is due now, if one is; it takes in all changes before it.
+    /// `jobs_wait` is only asked if no round was requested.
+    pub(super) fn take_pass(
+        &mut self,
+        now: Instant,
+        jobs_wait: impl FnOnce() -> bool,
+    ) -> Option<PassKind> {
+        if now < self.next_pass {
+            return None;
+        }
+        let round = now >= self.next_round && (self.round_requested || jobs_wait());
+        let changed = std::mem::take(&mut self.changed);
+        if round {
+            return Some(PassKind::Round);
+        }
+        changed.then_some(PassKind::Placement)
     }
 
     /// A round begins; the next one is due after `interval` at the earliest.
@@ -107,3 +121,6 @@
         self.next_pass = now + duration * PASS_PARTS;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -8,6 +8,7 @@
     Leader,
     binding::{Binding, GracePeriod},
     job::Job,
+    pass_timers::PassKind,
     pending_writes::PageKey,
 };
 use crate::{
@@ -17,17 +18,17 @@
 };
 
 impl Leader {
-    /// Makes a pass; a `round` also sets the widths of arrays.
-    pub(super) fn schedule(&mut self, round: bool, now: Instant) {
+    /// Makes a pass.
+    pub(super) fn schedule(&mut self, kind: PassKind, now: Instant) {
         if self.types.is_empty() {
             return;
         }
-        if round {
+        if kind == PassKind::Round {
             let interval = Duration::from_secs_f64(self.settings.operator.round_s);
             self.timers.begin_round(now, interval);
         }
         let settled = self.is_settled(now);
-        let decisions = self.decide(round, now);
+        let decisions = self.decide(kind, now);
         self.counters.passes += 1;
         self.counters.candidates_evaluated += decisions.weighed;
         self.apply_decisions(decisions, settled, now);
--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -51,7 +51,7 @@
     /// A job as its records say, but for its placements and progress.
     fn job_from_records(&self, id: &JobId, watch_cache: &WatchCache, now: Instant) -> Option<Job> {
         let entry = watch_cache.jobs.get(id)?;
-        let page_tasks = pages::tasks_per_page(&self.settings, &entry.spec, self.small_pages);
+        let page_tasks = pages::tasks_per_page(&self.settings, &entry.spec, self.page_layout);
         let mut job = Job::new(entry.spec.clone(), entry.version, page_tasks, now);
         let has_pages = watch_cache.pages.get(id).is_some_and(|pages| !pages.is_empty());
         if has_pages {
@@ -84,8 +84,7 @@
     fn restore_binding(&mut self, id: &JobId, job: &mut Job, bound: BoundTask) {
         let machine = self.fleet.machines.entry(bound.machine.clone()).or_insert_with(|| {
             let zone = self.settings.cluster.zones.get(usize::from(bound.zone)).cloned();
-            // The type is learned from the list or the first heartbeat.
-            Machine::new("".into(), zone.unwrap_or_default(), false, job.known_since)
+            Machine::of_unknown_type(zone.unwrap_or_default(), job.known_since)
         });
         machine.bound.insert(TaskKey { job: id.clone(), task: bound.task });
         // What a former leader fetched there is known by what runs.
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{Duration, Instant};
 
-use super::{Leader, binding::Binding, job::Job, pages::LongestNames};
+use super::{Leader, binding::Binding, job::Job, pages::LongestNames, pass_timers::PassKind};
 use crate::{
     fleet::Machine,
     protocol::{JobSpec, MachineId, MachineType, Shape},
@@ -20,7 +20,7 @@
 
 impl Leader {
     /// What the scheduler decides on the state as it is now.
-    pub(super) fn decide(&mut self, round: bool, now: Instant) -> Decisions {
+    pub(super) fn decide(&mut self, kind: PassKind, now: Instant) -> Decisions {
         let exhausted = self.provisioning.exhausted(now);
         let types = self.types.all();
         let machines = self.machine_views(now);
@@ -35,7 +35,7 @@
             spare: self.headroom_machines(),
             spare_spot: self.headroom_spot_machines(),
             spare_room: self.headroom().total_machines(),
-            round,
+            round: kind == PassKind::Round,
             weighed: Cell::new(0),
         })
     }
--- a/src/controller/tick.rs
+++ b/src/controller/tick.rs
@@ -31,8 +31,11 @@
 
     /// When the next tick is due if nothing happens until then.
     pub fn next_tick(&self) -> Instant {
-        // While the state service is unavailable no pass is made.
-        self.timers.next_tick(self.state_available_since.is_some())
+        let state_service = match self.state_available_since {
+            Some(_) => StateService::Available,
+            None => StateService::Unavailable,
+        };
+        self.timers.next_tick(state_service)
     }
 
     /// Called when something happened, and when `next_tick` says so. What goes over all
@@ -116,16 +119,11 @@
 
     /// Makes a pass if one is due and the last one lies back long enough.
     fn schedule_if_due(&mut self, now: Instant) {
-        if !self.timers.pass_allowed(now) {
-            return;
-        }
         // While a job waits, each round checks again: a boot may be overdue by
         // then, or the cloud have machines again.
         let waits = |job: &Job| job.is_active() && job.bound.is_empty();
-        let round = self.timers.round_due(now, || self.jobs.values().any(waits));
-        let changed = self.timers.take_changed();
-        if changed || round {
-            self.schedule(round, now);
+        if let Some(kind) = self.timers.take_pass(now, || self.jobs.values().any(waits)) {
+            self.schedule(kind, now);
         }
     }
 
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -51,7 +51,8 @@
     /// ones. Pages without new placements wait for those: nobody waits for them, and
     /// the more exits one of them takes in, the fewer are written.
     pub fn take_commits(&mut self, watch_cache: &WatchCache, spare: usize) -> Vec<Commit> {
-        let leads = Condition { key: store::LEADER_KEY.into(), version: self.lead_version };
+        let leads =
+            Condition { key: store::LEADER_KEY.into(), version: self.leader_record_version };
         let mut commits = self.end_commits(&leads, watch_cache);
         commits.extend(self.types_commit(&leads, watch_cache));
         for key in self.due_pages(spare) {
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -109,6 +109,12 @@
         }
     }
 
+    /// A machine that only a record names. Its type is learned from the cloud's list or its
+    /// first heartbeat.
+    pub fn of_unknown_type(zone: Arc<str>, now: Instant) -> Self {
+        Self::new(Arc::from(""), zone, false, now)
+    }
+
     /// Whether its worker was in contact with the leader within this term.
     pub fn has_reported(&self) -> bool {
         self.last_contact.is_some()
--- a/src/fleet/open_starts.rs
+++ b/src/fleet/open_starts.rs
@@ -108,3 +108,6 @@
         self.starts.is_empty()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/fleet/open_starts/tests.rs
@@ -0,0 +1,41 @@
+use super::*;
+
+fn key(task: u32) -> TaskKey {
+    TaskKey { job: "j-000001".into(), task }
+}
+
+fn start(task: u32) -> TaskAttempt {
+    TaskAttempt { key: key(task), attempt: 1 }
+}
+
+#[test]
+fn a_start_is_open_until_every_request_with_it_is_settled() {
+    let mut open = OpenStarts::default();
+    open.record_sent(1, 5, vec![start(0)]);
+    open.record_sent(2, 5, vec![start(0), start(1)]);
+    open.settle(1);
+    assert!(!open.is_open(1) && open.contains(&key(0), 1), "the other request has it too");
+    open.settle(2);
+    assert!(open.is_empty() && !open.contains_job("j-000001"));
+}
+
+#[test]
+fn a_higher_token_settles_the_requests_with_lower_ones() {
+    let mut open = OpenStarts::default();
+    open.record_sent(1, 5, vec![start(0)]);
+    open.record_sent(2, 6, vec![start(1)]);
+    open.fence(6);
+    assert!(!open.contains_task(&key(0)) && open.contains_task(&key(1)));
+    open.end_incarnation();
+    assert!(open.is_empty() && !open.is_open(2));
+}
+
+#[test]
+fn only_the_attempt_that_was_sent_is_open() {
+    let mut open = OpenStarts::default();
+    open.record_sent(1, 5, vec![start(0)]);
+    assert!(!open.contains(&key(0), 2));
+    assert_eq!(open.len(), 1);
+    open.record_sent(2, 5, Vec::new());
+    assert!(!open.is_open(2), "a request without starts is not kept");
+}
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -114,7 +114,7 @@
         };
         Decisions {
             commits,
-            direct_requests: leader.take_direct(now),
+            direct_requests: leader.take_direct_requests(now),
             provision_requests: leader.take_provision_requests(),
             returned_machines: leader.take_deletions(),
             next_tick: leader.next_tick(),
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -196,7 +196,7 @@
     ) {
         let mut term = lock(&self.term);
         let leader = term.as_mut().filter(|t| t.version == version).and_then(|t| t.leader.as_mut());
-        let result = leader.map(|l| l.on_direct(request, outcome, Instant::now()));
+        let result = leader.map(|l| l.on_direct_outcome(request, outcome, Instant::now()));
         if result.is_some_and(|r| r.is_err()) {
             self.step_down(&mut term);
         }
--- a/tests/late_commands/direct_calls.rs
+++ b/tests/late_commands/direct_calls.rs
@@ -28,15 +28,15 @@
     }
     harness.submit("j-000001", json!({"Spokes": 3 * calls, "Gpus": 8.0}));
     harness.settle();
-    let first = harness.leader.take_direct(harness.now);
+    let first = harness.leader.take_direct_requests(harness.now);
     assert_eq!(first.len(), calls, "the others would wait for a socket");
-    assert!(harness.leader.take_direct(harness.now).is_empty());
+    assert!(harness.leader.take_direct_requests(harness.now).is_empty());
     // Meanwhile the job is cancelled: none of its starts leaves any more.
     harness.cancel("j-000001");
     for sent in &first {
         no_answer(&mut harness, sent);
     }
-    let then: Vec<DirectRequest> = harness.leader.take_direct(harness.now);
+    let then: Vec<DirectRequest> = harness.leader.take_direct_requests(harness.now);
     let starts =
         then.iter().flat_map(|sent| ops(&sent.commands.commands, CommandKind::Start)).count();
     assert_eq!(starts, 0);
@@ -61,7 +61,7 @@
     let mut reached = std::collections::BTreeSet::new();
     for _ in 0..3 {
         harness.pass(0.2);
-        for sent in harness.leader.take_direct(harness.now) {
+        for sent in harness.leader.take_direct_requests(harness.now) {
             reached.insert(sent.machine.clone());
             no_answer(&mut harness, &sent);
         }
@@ -75,7 +75,7 @@
     harness.heartbeat("n-1", 1, &[]);
     harness.leader.allow_starts(false);
     one_task(&mut harness, "j-000001");
-    assert!(harness.leader.take_direct(harness.now).is_empty());
+    assert!(harness.leader.take_direct_requests(harness.now).is_empty());
     assert!(harness.heartbeat("n-1", 1, &[]).is_empty());
     harness.leader.allow_starts(true);
     assert_eq!(ops(&harness.heartbeat("n-1", 1, &[]), CommandKind::Start).len(), 1);
--- a/tests/late_commands/open_starts.rs
+++ b/tests/late_commands/open_starts.rs
@@ -14,7 +14,7 @@
 };
 
 pub(crate) fn send_one(harness: &mut LeaderHarness) -> DirectRequest {
-    harness.leader.take_direct(harness.now).pop().expect("direct orders")
+    harness.leader.take_direct_requests(harness.now).pop().expect("direct orders")
 }
 
 /// The worker answers a request with what it has then.
@@ -27,12 +27,12 @@
     let token = harness.leader.token_for(&sent.machine);
     let heartbeat = heartbeat_of(&sent.machine, sent.commands.incarnation, sequence, token, tasks);
     let outcome = DirectOutcome::Answered(&heartbeat);
-    harness.leader.on_direct(sent, outcome, harness.now).expect("leads");
+    harness.leader.on_direct_outcome(sent, outcome, harness.now).expect("leads");
     harness.sequences.insert(sent.machine.to_string(), sequence);
 }
 
 pub(crate) fn no_answer(harness: &mut LeaderHarness, sent: &DirectRequest) {
-    harness.leader.on_direct(sent, DirectOutcome::Unknown, harness.now).expect("leads");
+    harness.leader.on_direct_outcome(sent, DirectOutcome::Unknown, harness.now).expect("leads");
 }
 
 fn start_of<'a>(sent: &'a DirectRequest, job: &str) -> &'a TaskCommand {
@@ -103,7 +103,10 @@
     harness.heartbeat("n-1", 1, &[]);
     one_task(&mut harness, "j-000001");
     let first = send_one(&mut harness);
-    harness.leader.on_direct(&first, DirectOutcome::NotDelivered, harness.now).expect("leads");
+    harness
+        .leader
+        .on_direct_outcome(&first, DirectOutcome::NotDelivered, harness.now)
+        .expect("leads");
     // The answer to its next report starts it, and then it is cleared.
     let commands = harness.heartbeat("n-1", 1, &[]);
     let start = ops(&commands, CommandKind::Start)[0].clone();
@@ -229,7 +232,7 @@
         let id = format!("j-{number:06}");
         harness.submit(&id, json!({"Spokes": 1, "Gpus": 0.0, "Cores": 0.1, "MemoryGb": 0.1}));
         harness.settle();
-        for request in harness.leader.take_direct(harness.now) {
+        for request in harness.leader.take_direct_requests(harness.now) {
             let starts = ops(&request.commands.commands, CommandKind::Start);
             sent_directly.extend(starts.into_iter().map(|command| command.task.clone()));
             no_answer(&mut harness, &request);
--- a/tests/leader/heartbeats.rs
+++ b/tests/leader/heartbeats.rs
@@ -85,11 +85,11 @@
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
-    let direct = harness.leader.take_direct(harness.now);
+    let direct = harness.leader.take_direct_requests(harness.now);
     let request = direct.first().expect("a start that doesn't wait for a report").clone();
     let commands = request.commands.clone();
     assert_eq!(ops(&commands.commands, CommandKind::Start).len(), 1);
-    harness.leader.on_direct(&request, DirectOutcome::Unknown, harness.now).expect("leads");
+    harness.leader.on_direct_outcome(&request, DirectOutcome::Unknown, harness.now).expect("leads");
     harness.cancel("j-000001");
     // Reports that lack the task prove nothing: the order may still arrive.
     for _ in 0..3 {
@@ -117,13 +117,13 @@
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
-    let request = harness.leader.take_direct(harness.now)[0].clone();
+    let request = harness.leader.take_direct_requests(harness.now)[0].clone();
     let (id, commands) = (request.machine.clone(), request.commands.clone());
     let task = running(&commands.commands[0]);
     let answer = heartbeat_of(&id, 1, 7, 5, &[task]);
     harness
         .leader
-        .on_direct(&request, DirectOutcome::Answered(&answer), harness.now)
+        .on_direct_outcome(&request, DirectOutcome::Answered(&answer), harness.now)
         .expect("leads");
     // A heartbeat sent before the order was carried out is older by its number.
     assert!(harness.heartbeat_at("n-1", 2, 1, &[]).is_empty());
@@ -132,7 +132,10 @@
     // A higher token in the answer ends the leadership.
     let deposed = WorkerHeartbeat { token: 6, sequence: 8, ..answer };
     assert!(
-        harness.leader.on_direct(&request, DirectOutcome::Answered(&deposed), harness.now).is_err()
+        harness
+            .leader
+            .on_direct_outcome(&request, DirectOutcome::Answered(&deposed), harness.now)
+            .is_err()
     );
 }
 
@@ -147,7 +150,7 @@
     assert_eq!(ops(&harness.heartbeat("n-1", 1, &[]), CommandKind::Start).len(), 1);
     harness.submit("j-000002", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
-    let request = harness.leader.take_direct(harness.now)[0].clone();
+    let request = harness.leader.take_direct_requests(harness.now)[0].clone();
     let (id, commands) = (request.machine.clone(), request.commands.clone());
     harness.cancel("j-000001");
     let listed: Vec<_> = ops(&commands.commands, CommandKind::Start)
@@ -159,7 +162,7 @@
     let answer = heartbeat_of(&id, 1, 9, 5, &listed);
     harness
         .leader
-        .on_direct(&request, DirectOutcome::Answered(&answer), harness.now)
+        .on_direct_outcome(&request, DirectOutcome::Answered(&answer), harness.now)
         .expect("leads");
     harness.settle();
     assert_eq!(harness.bound("j-000001").len(), 1, "it may still start there");
