--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -151,8 +151,8 @@
     fn stop_cancelled_tasks(&self, heartbeat: &WorkerHeartbeat) -> Vec<TaskCommand> {
         let watch_cache = lock(&self.watch_cache);
         let is_cancelled = |task: &&TaskStatus| {
-            let end =
-                TaskKey::parse(&task.task).and_then(|key| watch_cache.ended_jobs.get(&key.job));
+            let key = TaskKey::parse(&task.task);
+            let end = key.and_then(|key| watch_cache.ended_jobs.get(&key.job));
             task.state != TaskState::Exited
                 && end.is_some_and(|end| end.state == JobState::Cancelled)
         };
@@ -196,7 +196,7 @@
     ) {
         let mut term = lock(&self.term);
         let leader = term.as_mut().filter(|t| t.version == version).and_then(|t| t.leader.as_mut());
-        let result = leader.map(|l| l.on_direct(request, outcome, Instant::now()));
+        let result = leader.map(|l| l.on_direct_outcome(request, outcome, Instant::now()));
         if result.is_some_and(|r| r.is_err()) {
             self.step_down(&mut term);
         }
