--- a/crates/stonewheel-testing/src/faults.rs
+++ b/crates/stonewheel-testing/src/faults.rs
@@ -14,6 +14,7 @@
 }
 
 impl Delays {
+    /// `share`: of all, between 0 and 1. `seconds`: how late they come.
     pub fn new(seed: u64, share: f64, seconds: std::ops::Range<f64>) -> Self {
         Self { rng: StdRng::seed_from_u64(seed), share, seconds }
     }
@@ -30,6 +31,7 @@
 pub struct LateCommands(Delays);
 
 impl LateCommands {
+    /// `share`: of all, between 0 and 1. `seconds`: how late they come.
     pub fn new(seed: u64, share: f64, seconds: std::ops::Range<f64>) -> Self {
         Self(Delays::new(seed, share, seconds))
     }
@@ -49,6 +51,8 @@
 }
 
 impl LateTransactions {
+    /// `share`: of all transactions, between 0 and 1. `at_once`: the share of these that is
+    /// carried out at once, with only the answer lost.
     pub fn new(seed: u64, share: f64, at_once: f64) -> Self {
         Self { delays: Delays::new(seed, share, 2.0..12.0), at_once }
     }
--- a/crates/stonewheel-testing/src/lib.rs
+++ b/crates/stonewheel-testing/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what surrounds the controllers, for tests only: in memory, under
-//! paused time, with faults that a test brings about or draws from a seed.
+//! In-memory fakes of what surrounds the controllers, for tests only: under paused time, with faults that a test brings about or draws from a seed.
+
+#![warn(missing_docs)]
 
 mod callers;
 mod coordination;
--- a/crates/stonewheel-testing/src/state.rs
+++ b/crates/stonewheel-testing/src/state.rs
@@ -150,10 +150,12 @@
     }
 }
 
+/// An in-memory state service. Clones share one store.
 #[derive(Clone, Default)]
 pub struct MemState(Arc<Mutex<Store>>);
 
 impl MemState {
+    /// The state service as the process of this name reaches it.
     pub fn client(&self, name: &str) -> Arc<dyn StateApi> {
         Arc::new(MemClient { store: self.clone(), name: name.into() })
     }
@@ -169,6 +171,7 @@
         }
     }
 
+    /// Answers this client with 503, or serves it again.
     pub fn refuse(&self, client: &str, on: bool) {
         let mut store = lock(&self.0);
         if on {
@@ -203,6 +206,7 @@
         lock(&self.0).failing = failing.map(|(seed, share)| Delays::new(seed, share, 0.0..1.0));
     }
 
+    /// From now on these of the transactions get no answer and are carried out late.
     pub fn set_late(&self, late: Option<LateTransactions>) {
         lock(&self.0).late = late;
     }
@@ -212,10 +216,13 @@
         lock(&self.0).frozen.insert(client.into(), until);
     }
 
+    /// Every call takes so much longer.
     pub fn set_slow(&self, slow: Duration) {
         lock(&self.0).slow = slow;
     }
 
+    /// Holds this client's transactions back, unanswered, until they are delivered or
+    /// released.
     pub fn hold(&self, client: &str) {
         lock(&self.0).held_clients.insert(client.into());
     }
@@ -236,12 +243,14 @@
         std::mem::take(&mut store.held)
     }
 
+    /// Carries out transactions that were held back, and tells how each ended.
     pub fn execute(&self, late: Vec<Transaction>) -> Vec<Result<u64, StateError>> {
         let mut store = lock(&self.0);
         store.expire();
         late.iter().map(|txn| store.multi(txn)).collect()
     }
 
+    /// How many transactions are held back.
     pub fn held_count(&self) -> usize {
         lock(&self.0).held.len()
     }
@@ -256,20 +265,24 @@
         lock(&self.0).usage
     }
 
+    /// The text of a key's value, if the key exists.
     pub fn value(&self, key: &str) -> Option<String> {
         lock(&self.0).kv.get(key).map(|(v, ..)| v.get().to_owned())
     }
 
+    /// The version of a key, or 0.
     pub fn version(&self, key: &str) -> u64 {
         lock(&self.0).kv.get(key).map_or(0, |(_, v, _)| *v)
     }
 
+    /// The keys with this prefix, in order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let store = lock(&self.0);
         let from = store.kv.range(prefix.to_owned()..);
         from.map(|(key, _)| key).take_while(|key| key.starts_with(prefix)).cloned().collect()
     }
 
+    /// Commits a transaction at once, as if by another client.
     pub fn commit(
         &self,
         conditions: Vec<Condition>,
