--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -98,29 +98,28 @@
         let bound = self.bound.range(range.clone());
         let bound = bound.map(|(task, binding)| binding.record(*task)).collect();
         let width = (page == 0 && self.width > 0).then_some(self.width);
-        Page { attempt: self.attempt, width, bound, done: self.done_ranges(range), tasks: None }
+        Page { attempt: self.attempt, width, bound, done: self.done_runs(range), tasks: None }
     }
 
-    /// The completed tasks of a range, as ranges without gaps.
-    fn done_ranges(&self, range: Range<u32>) -> Vec<TaskRange> {
-        let mut ranges: Vec<TaskRange> = Vec::new();
+    /// The completed tasks of a range, as runs of consecutive ones.
+    fn done_runs(&self, range: Range<u32>) -> Vec<TaskRange> {
+        let mut runs: Vec<TaskRange> = Vec::new();
         for task in range.filter(|task| self.done.contains(task)) {
-            match ranges.last_mut() {
-                Some(last) if last.first + last.count == task => last.count += 1,
-                _ => ranges.push(TaskRange { first: task, count: 1 }),
+            match runs.last_mut() {
+                Some(run) if run.first + run.count == task => run.count += 1,
+                _ => runs.push(TaskRange { first: task, count: 1 }),
             }
         }
-        ranges
+        runs
     }
 
     /// No less than what the record of a page takes.
     fn page_bytes(&self, page: u32) -> usize {
         let content = self.page(page);
         let bound = content.bound.iter().map(bound_task_bytes);
-        let done = content
-            .done
-            .iter()
-            .map(|range| digits(range.first.into()) + digits(range.count.into()) + RUN_PUNCTUATION);
+        let run_bytes =
+            |run: &TaskRange| digits(run.first.into()) + digits(run.count.into()) + RUN_PUNCTUATION;
+        let done = content.done.iter().map(run_bytes);
         EMPTY_PAGE_BYTES + bound.sum::<usize>() + done.sum::<usize>()
     }
 
