--- a/src/controller/binding.rs
+++ b/src/controller/binding.rs
@@ -24,7 +24,7 @@
 }
 
 impl Binding {
-    /// A new place, whose record is still to be written.
+    /// A new placement, whose record is still to be written.
     pub(super) fn new(machine: MachineId, attempt: u64, incarnation: u64, zone: u8) -> Self {
         Self {
             machine,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The place that a record names.
+    /// The placement that a record names.
     pub(super) fn from_record(bound: BoundTask) -> Self {
         let BoundTask { task: _, attempt, machine, incarnation, zone } = bound;
         Self { durable: true, ..Self::new(machine, attempt, incarnation, zone) }
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -13,7 +13,7 @@
 
 impl Leader {
     /// Cancelled tasks on machines that send no heartbeats get direct stop commands,
-    /// again and again: there is no response to carry any.
+    /// repeatedly: there is no response to carry any.
     pub(super) fn stop_cancelled_directly(&mut self, now: Instant) {
         let silent = self.settings.heartbeat_interval() * SILENT_INTERVALS;
         for job in self.jobs.values().filter(|job| job.ended.is_some()) {
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use super::{Leader, Superseded, task_verdict::HeartbeatSource};
+use super::{Leader, superseded::Superseded, task_verdict::HeartbeatSource};
 use crate::{
     fleet::{Machine, TaskAttempt, TaskKey},
     protocol::{BODY_LIMIT, CommandKind, DirectCommands, MachineId, TaskCommand, WorkerHeartbeat},
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Whether start commands may leave: a gang's only when all its places are
+    /// Whether start commands may leave: a gang's only when all its placements are
     /// durable, or a leader that ends in between would leave part of it waiting.
     pub(super) fn may_start(&self, binding: &Binding) -> bool {
         binding.durable
--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -4,7 +4,10 @@
 //! grace period. That it has terminated is what the leader's own records say: a task counts
 //! until there is proof.
 
-use std::collections::{BTreeMap, HashMap};
+use std::{
+    collections::{BTreeMap, HashMap},
+    sync::Arc,
+};
 
 use tokio::time::{Duration, Instant};
 
@@ -19,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LentWork {
     /// The team whose work it is.
-    pub team: std::sync::Arc<str>,
+    pub team: Arc<str>,
     /// Seconds between its checkpoints; the rarest of all.
     pub checkpoint_s: f64,
     /// Seconds that it takes to save a checkpoint; the longest of all.
@@ -48,7 +51,7 @@
     /// The job.
     pub id: JobId,
     /// Its team.
-    pub team: std::sync::Arc<str>,
+    pub team: Arc<str>,
     /// Machines that it takes.
     pub machines: u32,
     /// GPUs that it takes of each.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -42,6 +42,7 @@
 mod snapshot;
 mod state_service;
 mod summary;
+mod superseded;
 mod task_exits;
 mod task_verdict;
 mod tick;
@@ -68,12 +69,9 @@
 use quota_use::QuotaUse;
 pub use state_service::StateService;
 pub use summary::WorkCounters;
+pub use superseded::Superseded;
 pub use writes::{Commit, CommitKind};
 
-/// A heartbeat shows a higher token than this term's: another controller leads.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Superseded;
-
 /// The state of one term of leadership.
 pub struct Leader {
     settings: Arc<Settings>,
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -125,7 +125,7 @@
 
     /// Those of `pending` whose placements their pages have room for, in values of up to
     /// `value_bytes`.
-    pub(super) fn with_room(
+    pub(super) fn fitting_their_pages(
         &self,
         pending: Vec<u32>,
         value_bytes: usize,
--- a/src/controller/pending_writes.rs
+++ b/src/controller/pending_writes.rs
@@ -45,7 +45,7 @@
         self.dirty.insert(page);
     }
 
-    /// A page has to be written, again or for its width; its places are the same.
+    /// A page has to be written, again or for its width; its placements are the same.
     pub(super) fn mark_due(&mut self, page: PageKey) {
         self.dirty.insert(page);
     }
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -1,6 +1,8 @@
 //! A scheduling pass: from a snapshot of the state to the scheduler's decisions, and from
 //! those to bindings, stops, widths and provisioning requests.
 
+use std::sync::Arc;
+
 use tokio::time::{Duration, Instant};
 use tracing::{debug, info};
 
@@ -126,7 +128,7 @@
         let cache_gb =
             self.types.named(&machine.machine_type).map_or(f64::INFINITY, |t| t.cache_gb);
         let (jobs, bound) = (&self.jobs, &machine.bound);
-        let is_used = |image: &std::sync::Arc<str>| {
+        let is_used = |image: &Arc<str>| {
             let mut here = bound.iter().filter_map(|key| jobs.get(&key.job));
             here.any(|job| job.spec.image == *image)
         };
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -7,8 +7,9 @@
 use tracing::info;
 
 use super::{
-    Leader, Superseded,
+    Leader,
     binding::StopRequest,
+    superseded::Superseded,
     task_verdict::{HeartbeatSource, TaskContext, TaskVerdict, task_verdict},
 };
 use crate::{
--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 use tracing::{error, info};
 
-use super::{Leader, binding::Binding, job::Job, known_end::KnownEnd, pages};
+use super::{Leader, binding::Binding, job::Job, known_end::KnownEnd, pages::tasks_per_page};
 use crate::{
     fleet::{Machine, TaskKey},
     protocol::JobId,
@@ -51,7 +51,7 @@
     /// A job as its records say, but for its placements and progress.
     fn job_from_records(&self, id: &JobId, watch_cache: &WatchCache, now: Instant) -> Option<Job> {
         let entry = watch_cache.jobs.get(id)?;
-        let page_tasks = pages::tasks_per_page(&self.settings, &entry.spec, self.page_layout);
+        let page_tasks = tasks_per_page(&self.settings, &entry.spec, self.page_layout);
         let mut job = Job::new(entry.spec.clone(), entry.version, page_tasks, now);
         let has_pages = watch_cache.pages.get(id).is_some_and(|pages| !pages.is_empty());
         if has_pages {
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -111,7 +111,8 @@
     ) -> JobView {
         let pending = job.pending(self.starts_in_a_pass(&job.spec));
         let wanted = pending.len();
-        let pending = job.with_room(pending, self.settings.state_limits().value_bytes, names);
+        let pending =
+            job.fitting_their_pages(pending, self.settings.state_limits().value_bytes, names);
         // Half a gang is no use to anybody.
         let crowded = job.spec.shape == Shape::Gang && pending.len() < wanted;
         let bound = job.bound.iter();
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -1,5 +1,5 @@
 //! Tasks that are over: what their exits say of job and machine, and the confirmed
-//! termination that frees their places.
+//! termination that ends their placements.
 
 use tokio::time::Instant;
 use tracing::{debug, info};
@@ -102,7 +102,7 @@
         info!(machine = %id, task = %key, wait_s = wait.as_secs_f64(), "machine quarantined after a failed task");
     }
 
-    /// Frees the place of a task: there is proof that it is not on its machine.
+    /// Ends the placement of a task: there is proof that it is not on its machine.
     pub(super) fn confirm_terminated(&mut self, key: &TaskKey, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(binding) = job.bound.remove(&key.task) else { return };
--- a/src/controller/write_outcomes.rs
+++ b/src/controller/write_outcomes.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use super::{CommitKind, Leader, known_end::KnownEnd, pending_writes::PageKey};
+use super::{Leader, known_end::KnownEnd, pending_writes::PageKey, writes::CommitKind};
 use crate::{
     protocol::JobId,
     store::{Page, WatchCache},
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -6,7 +6,7 @@
 //! answered; or the worker's lease, counted from the leader's last answer and from when
 //! surely no other controller answers (`lease_renewal.rs`).
 
-mod heartbeat_order;
+mod freshness;
 mod image_cache;
 mod machine;
 mod machine_return;
@@ -25,7 +25,7 @@
     protocol::{ListedMachine, MachineId, MachineState, WorkerHeartbeat},
     settings::Settings,
 };
-pub use heartbeat_order::Freshness;
+pub use freshness::Freshness;
 pub use image_cache::ImageCache;
 pub use machine::{HeartbeatSequence, Machine};
 use machine_return::ReturnPolicy;
