--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -151,8 +151,8 @@
     fn stop_cancelled_tasks(&self, heartbeat: &WorkerHeartbeat) -> Vec<TaskCommand> {
         let watch_cache = lock(&self.watch_cache);
         let is_cancelled = |task: &&TaskStatus| {
-            let key = TaskKey::parse(&task.task);
-            let end = key.and_then(|key| watch_cache.ended_jobs.get(&key.job));
+            let end =
+                TaskKey::parse(&task.task).and_then(|key| watch_cache.ended_jobs.get(&key.job));
             task.state != TaskState::Exited
                 && end.is_some_and(|end| end.state == JobState::Cancelled)
         };
