--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -29,7 +29,7 @@
         let settled = self.is_settled(now);
         let decisions = self.decide(round, now);
         self.counters.passes += 1;
-        self.counters.weighed += decisions.weighed;
+        self.counters.weighed += decisions.candidates_evaluated;
         self.apply_decisions(decisions, settled, now);
     }
 
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -31,12 +31,12 @@
             machines,
             jobs,
             usage: self.quota_use.by_team(),
-            refused: exhausted,
-            spare: self.headroom_machines(),
-            spare_spot: self.headroom_spot_machines(),
-            spare_room: self.headroom().total_machines(),
+            exhausted,
+            headroom_machines: self.headroom_machines(),
+            headroom_spot_machines: self.headroom_spot_machines(),
+            headroom_capacity: self.headroom().total_machines(),
             round,
-            weighed: Cell::new(0),
+            candidates_evaluated: Cell::new(0),
         })
     }
 
@@ -127,7 +127,7 @@
             patience_s: self.patience_s(job, now),
             // Known only once all jobs of the team are seen together.
             guaranteed: false,
-            held: crowded || job.backoff_until.is_some(),
+            blocked: crowded || job.backoff_until.is_some(),
             avoid: self.machines_to_avoid(job),
         }
     }
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -8,7 +8,7 @@
 use crate::{
     protocol::{Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Shape, Write},
     replies::{Unavailable, UserReply},
-    scheduler::{TeamUse, allows, team_room},
+    scheduler::{TeamUse, is_eligible, team_room},
     state::{StateError, lock},
     store,
 };
@@ -209,7 +209,7 @@
         };
         let types = lock(&self.watch_cache).machine_types.clone().ok_or(Unavailable::Types)?.value;
         let zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
-        if !types.iter().any(|t| allows(spec, t, false) && zone(t)) {
+        if !types.iter().any(|t| is_eligible(spec, t, false) && zone(t)) {
             return Ok(Some("a task fits no allowed machine type".into()));
         }
         let needed = if spec.shape == Shape::Array { 1 } else { spec.tasks };
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -54,7 +54,7 @@
         if !share.is_finite() || share <= 0.0 {
             return Self { tasks: 1, units: 1 };
         }
-        let tasks = (1.0 / share + STEP_SLACK).floor().clamp(1.0, f64::from(MOST_TASKS_OF_STEP));
+        let tasks = (1.0 / share + STEP_SLACK).floor().clamp(1.0, f64::from(MAX_TASKS_OF_STEP));
         Self { tasks: tasks as u32, units: ((share - STEP_SLACK).ceil() as usize).max(1) }
     }
 
@@ -73,7 +73,7 @@
 const STEP_SLACK: f64 = 1e-6;
 
 /// Tasks that take next to nothing are still counted.
-const MOST_TASKS_OF_STEP: u32 = 1_000;
+const MAX_TASKS_OF_STEP: u32 = 1_000;
 
 /// An array that may be admitted: its place in the snapshot, its widths in steps
 /// and the most tasks that it may have.
@@ -98,7 +98,7 @@
     let eligible: Vec<&Candidate> = candidates.iter().filter(|c| c.curve.max > 0).collect();
     // While the cloud rents, the room held grows with the demand.
     let wanted: usize = eligible.iter().map(|c| c.curve.max as usize * c.curve.cost).sum();
-    let room = if rentable(snapshot) { wanted } else { room_of_arrays(snapshot, units) };
+    let room = if any_is_obtainable(snapshot) { wanted } else { room_of_arrays(snapshot, units) };
     let steps = if wanted <= room {
         widths_where_all_fits(snapshot, &eligible)
     } else {
@@ -234,11 +234,11 @@
     best >= kept * (1.0 + snapshot.settings.operator.resize_gain)
 }
 
-fn rentable(snapshot: &Snapshot<'_>) -> bool {
+fn any_is_obtainable(snapshot: &Snapshot<'_>) -> bool {
     snapshot.types.iter().enumerate().any(|(kind, t)| {
         t.zones.iter().any(|zone| {
             snapshot.settings.zone_index(zone).is_some_and(|zone| {
-                [false, true].iter().any(|&spot| !snapshot.refused.contains(&(kind, zone, spot)))
+                [false, true].iter().any(|&spot| !snapshot.exhausted.contains(&(kind, zone, spot)))
             })
         })
     })
--- a/src/scheduler/admission/tests.rs
+++ b/src/scheduler/admission/tests.rs
@@ -57,7 +57,7 @@
         width,
         patience_s: None,
         guaranteed: false,
-        held: false,
+        blocked: false,
         avoid: Vec::new(),
     }
 }
@@ -69,12 +69,12 @@
         machines: Vec::new(),
         jobs,
         usage: HashMap::new(),
-        refused: Vec::new(),
-        spare: 0,
-        spare_spot: 0,
-        spare_room: 0.0,
+        exhausted: Vec::new(),
+        headroom_machines: 0,
+        headroom_spot_machines: 0,
+        headroom_capacity: 0.0,
         round: true,
-        weighed: Cell::new(0),
+        candidates_evaluated: Cell::new(0),
     }
 }
 
@@ -87,7 +87,7 @@
     assert_eq!(Step::of(0.25), step(4, 1));
     assert_eq!(Step::of(0.0), step(1, 1));
     assert_eq!(Step::of(f64::INFINITY), step(1, 1));
-    assert_eq!(Step::of(1e-9), step(MOST_TASKS_OF_STEP, 1));
+    assert_eq!(Step::of(1e-9), step(MAX_TASKS_OF_STEP, 1));
     let small = Step::of(0.25);
     assert_eq!((small.steps(9), small.width(3, 9), small.width(1, 9)), (3, 9, 4));
 }
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    eligibility::{Allowed, Zones, allows},
+    eligibility::{MachineEligibility, ZoneConstraint, is_eligible},
     resources::Resources,
     snapshot::Snapshot,
     view::{JobView, MachineView},
@@ -27,21 +27,21 @@
 }
 
 /// Machines for up to `count` more tasks of a job, in one zone if it must be.
-pub fn find(snapshot: &Snapshot<'_>, at: usize, count: usize, ready: bool) -> Vec<usize> {
+pub fn find_machines(snapshot: &Snapshot<'_>, at: usize, count: usize, ready: bool) -> Vec<usize> {
     let job = &snapshot.jobs[at];
-    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
+    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
     // An empty ordinary machine is dear and wanted whole by others: work that
     // may use spot machines leaves it alone while the cloud has those.
-    let spot_comes = job.spec.spot && spot_obtainable(snapshot, job);
-    let allowed = Allowed::of(snapshot, job);
+    let spot_is_obtainable = job.spec.spot && is_spot_obtainable(snapshot, job);
+    let eligibility = MachineEligibility::of(snapshot, job);
     let open: Vec<usize> = (0..snapshot.machines.len())
         .filter(|&m| {
             let machine = &snapshot.machines[m];
             machine.ready == ready
-                && allowed.takes(machine)
+                && eligibility.accepts(machine)
                 && machine.takes_tasks_of(&job.id)
                 && !job.avoid.contains(&machine.id)
-                && !(spot_comes && machine.empty && !machine.spot)
+                && !(spot_is_obtainable && machine.empty && !machine.spot)
         })
         .collect();
     if job.spec.one_zone && job.spec.tasks > 1 && job.bound.is_empty() {
@@ -51,71 +51,75 @@
             .map(|zone| {
                 let here: Vec<usize> =
                     open.iter().copied().filter(|&m| snapshot.machines[m].zone == zone).collect();
-                (zone, fill(snapshot, job, &here, count, zones.clone()))
+                (zone, cheapest_places(snapshot, job, &here, count, zones.clone()))
             })
             .max_by_key(|(zone, found)| {
-                (found.len() == count || obtainable(snapshot, job, *zone), found.len())
+                (found.len() == count || is_obtainable(snapshot, job, *zone), found.len())
             })
             .map(|(_, found)| found)
             .unwrap_or_default();
     }
-    fill(snapshot, job, &open, count, zones)
+    cheapest_places(snapshot, job, &open, count, zones)
 }
 
 /// Whether the cloud may have machines for a job in this zone.
-pub(super) fn obtainable(snapshot: &Snapshot<'_>, job: &JobView, zone: u8) -> bool {
+pub(super) fn is_obtainable(snapshot: &Snapshot<'_>, job: &JobView, zone: u8) -> bool {
     snapshot.types.iter().enumerate().any(|(kind, t)| {
         let here = t.zones.iter().any(|z| snapshot.settings.zone_index(z) == Some(zone));
         here && [false, true].iter().any(|&spot| {
-            allows(&job.spec, t, spot) && !snapshot.refused.contains(&(kind, zone, spot))
+            is_eligible(&job.spec, t, spot) && !snapshot.exhausted.contains(&(kind, zone, spot))
         })
     })
 }
 
-fn spot_obtainable(snapshot: &Snapshot<'_>, job: &JobView) -> bool {
-    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
+fn is_spot_obtainable(snapshot: &Snapshot<'_>, job: &JobView) -> bool {
+    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
     snapshot.types.iter().enumerate().any(|(kind, t)| {
-        allows(&job.spec, t, true)
+        is_eligible(&job.spec, t, true)
             && t.zones
                 .iter()
                 .filter_map(|z| snapshot.settings.zone_index(z))
-                .any(|zone| zones.allow(zone) && !snapshot.refused.contains(&(kind, zone, true)))
+                .any(|zone| zones.allows(zone) && !snapshot.exhausted.contains(&(kind, zone, true)))
     })
 }
 
 /// The cheapest places one after the other. A place taken changes the cost of
 /// its own machine only, so the others keep their order.
-fn fill(
+fn cheapest_places(
     snapshot: &Snapshot<'_>,
     job: &JobView,
     open: &[usize],
     count: usize,
-    mut zones: Zones<'_>,
+    mut zones: ZoneConstraint<'_>,
 ) -> Vec<usize> {
     let need = Resources::of_task(&job.spec);
-    snapshot.weigh(open.len());
+    snapshot.count_evaluated(open.len());
     let mut free: HashMap<usize, Resources> = HashMap::new();
     let mut places: BinaryHeap<Place> = open
         .iter()
         .map(|&m| (m, &snapshot.machines[m].free))
         .filter(|(_, free)| free.holds(&need))
-        .map(|(machine, free)| Place { cost: cost(snapshot, job, machine, free, false), machine })
+        .map(|(machine, free)| Place {
+            cost: placement_cost(snapshot, job, machine, free, false),
+            machine,
+        })
         .collect();
     let mut found = Vec::new();
     while found.len() < count
         && let Some(Place { machine, .. }) = places.pop()
     {
         // What a zone refuses it goes on refusing as more places are taken.
-        if !zones.allow(snapshot.machines[machine].zone) {
+        if !zones.allows(snapshot.machines[machine].zone) {
             continue;
         }
-        zones.take(snapshot.machines[machine].zone);
+        zones.add_task(snapshot.machines[machine].zone);
         found.push(machine);
         let free = free.entry(machine).or_insert(snapshot.machines[machine].free);
         free.sub(&need);
         if free.holds(&need) {
-            snapshot.weigh(1);
-            places.push(Place { cost: cost(snapshot, job, machine, free, true), machine });
+            snapshot.count_evaluated(1);
+            places
+                .push(Place { cost: placement_cost(snapshot, job, machine, free, true), machine });
         }
     }
     found
@@ -151,7 +155,7 @@
 /// What a place costs, in seconds: the fetch of an image it lacks, the whole
 /// machine it breaks into, the room it leaves scattered, and an ordinary
 /// machine given to work that spot machines could do.
-fn cost(
+fn placement_cost(
     snapshot: &Snapshot<'_>,
     job: &JobView,
     machine: usize,
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -7,9 +7,9 @@
 //! if the image is there.
 
 use super::{
-    bin_packing::{fetch_s, find},
+    bin_packing::{fetch_s, find_machines},
     decisions::{Decisions, Stopping},
-    eligibility::{Allowed, Zones},
+    eligibility::{MachineEligibility, ZoneConstraint},
     resources::Resources,
     snapshot::{Slot, Snapshot, bind_tentatively},
     view::BoundView,
@@ -18,9 +18,9 @@
 
 /// Makes room for all tasks of a gang by moving replicas that have room
 /// elsewhere. True if it did, and the room is then held.
-pub fn make_room(
+pub fn make_room_for_gang(
     snapshot: &mut Snapshot<'_>,
-    residents: &[Vec<Slot>],
+    bound_by_machine: &[Vec<Slot>],
     at: usize,
     count: usize,
     decisions: &mut Decisions,
@@ -35,22 +35,22 @@
     } else {
         vec![None]
     };
-    let mut options: Vec<Vec<Clearing>> = pools
+    let mut options: Vec<Vec<Candidate>> = pools
         .into_iter()
         .filter_map(|zone| {
-            let mut clearings = clearings(snapshot, residents, at, zone);
-            clearings.sort_by(|a, b| a.moved.total_cmp(&b.moved));
-            clearings.truncate(count);
-            (clearings.len() == count).then_some(clearings)
+            let mut candidates = candidates(snapshot, bound_by_machine, at, zone);
+            candidates.sort_by(|a, b| a.moved.total_cmp(&b.moved));
+            candidates.truncate(count);
+            (candidates.len() == count).then_some(candidates)
         })
         .collect();
-    let moved = |option: &[Clearing]| option.iter().map(|c| c.moved).sum::<f64>();
+    let moved = |option: &[Candidate]| option.iter().map(|c| c.moved).sum::<f64>();
     options.sort_by(|a, b| moved(a).total_cmp(&moved(b)));
-    options.iter().any(|clearings| carry_out(snapshot, at, clearings, decisions))
+    options.iter().any(|candidates| carry_out(snapshot, at, candidates, decisions))
 }
 
 /// A machine that could be cleared for one task.
-struct Clearing {
+struct Candidate {
     machine: usize,
     /// Replicas to move and arrays' tasks to stop.
     tasks: Vec<Slot>,
@@ -58,24 +58,24 @@
     moved: f64,
 }
 
-fn clearings(
+fn candidates(
     snapshot: &Snapshot<'_>,
-    residents: &[Vec<Slot>],
+    bound_by_machine: &[Vec<Slot>],
     at: usize,
     zone: Option<u8>,
-) -> Vec<Clearing> {
+) -> Vec<Candidate> {
     let job = &snapshot.jobs[at];
     let need = Resources::of_task(&job.spec);
-    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
-    let allowed = Allowed::of(snapshot, job);
-    snapshot.weigh(snapshot.machines.len());
+    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
+    let eligibility = MachineEligibility::of(snapshot, job);
+    snapshot.count_evaluated(snapshot.machines.len());
     let mut found = Vec::new();
     for (machine, view) in snapshot.machines.iter().enumerate() {
         let kind = &snapshot.types[view.kind];
         if !view.ready
-            || !zones.allow(view.zone)
+            || !zones.allows(view.zone)
             || zone.is_some_and(|z| z != view.zone)
-            || !allowed.takes(view)
+            || !eligibility.accepts(view)
             || !view.open_to(&job.id)
             || job.avoid.contains(&view.id)
         {
@@ -85,7 +85,7 @@
         room.add(&view.stopping);
         let mut moved = Resources::default();
         let mut tasks = Vec::new();
-        for &(other, slot) in residents.get(machine).into_iter().flatten() {
+        for &(other, slot) in bound_by_machine.get(machine).into_iter().flatten() {
             let spec = &snapshot.jobs[other].spec;
             let bound = &snapshot.jobs[other].bound[slot];
             if bound.stopping || room.holds(&need) {
@@ -103,7 +103,7 @@
         let moved = moved.share_of(&Resources::of_type(kind));
         // Moving most of a machine gains less than it disturbs.
         if room.holds(&need) && moved <= 0.5 {
-            found.push(Clearing { machine, tasks, moved });
+            found.push(Candidate { machine, tasks, moved });
         }
     }
     found
@@ -113,29 +113,29 @@
 fn carry_out(
     snapshot: &mut Snapshot<'_>,
     at: usize,
-    clearings: &[Clearing],
+    candidates: &[Candidate],
     decisions: &mut Decisions,
 ) -> bool {
     let before = snapshot.clone();
     let mut stops = Vec::new();
-    for clearing in clearings {
-        for &(job, slot) in &clearing.tasks {
+    for candidate in candidates {
+        for &(job, slot) in &candidate.tasks {
             let spec = snapshot.jobs[job].spec.clone();
             let bound = &mut snapshot.jobs[job].bound[slot];
             bound.stopping = true;
             stops.push(Stopping { job: spec.id.clone(), task: bound.task, at_once: false });
-            snapshot.machines[clearing.machine].stopping.add(&Resources::of_task(&spec));
+            snapshot.machines[candidate.machine].stopping.add(&Resources::of_task(&spec));
         }
         // Held before the moved replicas look for places.
-        snapshot.machines[clearing.machine].free.sub(&Resources::of_task(&snapshot.jobs[at].spec));
-        bind_held(snapshot, at, clearing.machine);
+        snapshot.machines[candidate.machine].free.sub(&Resources::of_task(&snapshot.jobs[at].spec));
+        bind_held(snapshot, at, candidate.machine);
     }
-    for &(job, _) in clearings.iter().flat_map(|c| &c.tasks) {
+    for &(job, _) in candidates.iter().flat_map(|c| &c.tasks) {
         if snapshot.jobs[job].spec.shape != Shape::Service {
             continue;
         }
         // A move that fetches an image takes its replica away for too long.
-        let place = find(snapshot, job, 1, true).first().copied();
+        let place = find_machines(snapshot, job, 1, true).first().copied();
         let Some(place) = place.filter(|&m| fetch_s(snapshot, job, m) <= 0.0) else {
             *snapshot = before;
             return false;
@@ -150,19 +150,23 @@
 fn bind_held(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
     snapshot.machines[machine].awaited = true;
     let zone = snapshot.machines[machine].zone;
-    snapshot.jobs[at].bound.push(BoundView::held(machine, zone, true));
+    snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, true));
 }
 
 /// Clears machines that hold little, so that they can be returned: as load
 /// runs out, what is left would keep many half-empty machines for long.
-pub fn gather(snapshot: &mut Snapshot<'_>, residents: &[Vec<Slot>], decisions: &mut Decisions) {
+pub fn vacate_machines(
+    snapshot: &mut Snapshot<'_>,
+    bound_by_machine: &[Vec<Slot>],
+    decisions: &mut Decisions,
+) {
     let load = |snapshot: &Snapshot<'_>, m: usize| {
         let total = Resources::of_type(&snapshot.types[snapshot.machines[m].kind]);
         let mut used = total;
         used.sub(&snapshot.machines[m].free);
         used.share_of(&total)
     };
-    let ordinary: Vec<usize> = (0..residents.len())
+    let ordinary: Vec<usize> = (0..bound_by_machine.len())
         .filter(|&m| snapshot.machines[m].ready && !snapshot.machines[m].spot)
         .collect();
     // One machine less must still leave the room that is kept ready.
@@ -175,9 +179,9 @@
                 let bound = &job.bound[slot];
                 job.spec.shape == Shape::Service && bound.settled && !bound.stopping
             };
-            !residents[m].is_empty()
+            !bound_by_machine[m].is_empty()
                 && snapshot.machines[m].reservation.is_none()
-                && residents[m].iter().all(movable)
+                && bound_by_machine[m].iter().all(movable)
                 && snapshot.machines[m].stopping == Resources::default()
         })
         .map(|m| (load(snapshot, m), m))
@@ -185,12 +189,12 @@
         .collect();
     sources.sort_by(|a, b| a.0.total_cmp(&b.0));
     for (_, machine) in sources {
-        if room - 1.0 < snapshot.spare_room {
+        if room - 1.0 < snapshot.headroom_capacity {
             break;
         }
         // A machine that a move just decided on counts on stays.
         if !snapshot.machines[machine].awaited
-            && clear(snapshot, &residents[machine], machine, decisions)
+            && vacate(snapshot, &bound_by_machine[machine], machine, decisions)
         {
             room -= 1.0;
         }
@@ -199,17 +203,17 @@
 
 /// Moves all of a machine's replicas to machines in use that hold their
 /// images; all of them or none.
-fn clear(
+fn vacate(
     snapshot: &mut Snapshot<'_>,
-    residents: &[Slot],
+    bound_by_machine: &[Slot],
     machine: usize,
     decisions: &mut Decisions,
 ) -> bool {
     let ready = std::mem::replace(&mut snapshot.machines[machine].ready, false);
     let mut moves: Vec<(Slot, usize)> = Vec::new();
-    for &(job, slot) in residents {
+    for &(job, slot) in bound_by_machine {
         snapshot.jobs[job].bound[slot].stopping = true;
-        let place = find(snapshot, job, 1, true).first().copied();
+        let place = find_machines(snapshot, job, 1, true).first().copied();
         let fits = |&m: &usize| !snapshot.machines[m].empty && fetch_s(snapshot, job, m) <= 0.0;
         let Some(place) = place.filter(fits) else {
             snapshot.jobs[job].bound[slot].stopping = false;
@@ -235,14 +239,14 @@
 
 /// Replicas being stopped start again as soon as they are gone: their next
 /// places are held till then, or others would take them in between.
-pub fn hold_next_places(snapshot: &mut Snapshot<'_>, at: usize) {
+pub fn reserve_next_places(snapshot: &mut Snapshot<'_>, at: usize) {
     let job = &snapshot.jobs[at];
     if job.spec.shape != Shape::Service {
         return;
     }
-    let away = job.bound.iter().filter(|b| b.stopping && b.task != BoundView::HELD).count();
+    let away = job.bound.iter().filter(|b| b.stopping && b.task != BoundView::TENTATIVE).count();
     if away > 0 {
-        for place in find(snapshot, at, away, true) {
+        for place in find_machines(snapshot, at, away, true) {
             bind_tentatively(snapshot, at, place);
         }
     }
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -21,5 +21,5 @@
     /// Machines, booting or held, that waiting work counts on.
     pub awaited: Vec<MachineId>,
     /// Places weighed.
-    pub weighed: u64,
+    pub candidates_evaluated: u64,
 }
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -10,35 +10,35 @@
 use crate::protocol::{JobSpec, MachineType};
 
 /// Whether a job may use machines of this kind, zone aside.
-pub fn allows(spec: &JobSpec, kind: &MachineType, spot: bool) -> bool {
+pub fn is_eligible(spec: &JobSpec, kind: &MachineType, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
         && Resources::of_type(kind).holds(&Resources::of_task(spec))
 }
 
 /// Which kinds of machine a job may use, told once for all machines.
-pub struct Allowed(Vec<[bool; 2]>);
+pub struct MachineEligibility(Vec<[bool; 2]>);
 
-impl Allowed {
+impl MachineEligibility {
     pub fn of(snapshot: &Snapshot<'_>, job: &JobView) -> Self {
-        let both = |t| [allows(&job.spec, t, false), allows(&job.spec, t, true)];
+        let both = |t| [is_eligible(&job.spec, t, false), is_eligible(&job.spec, t, true)];
         Self(snapshot.types.iter().map(both).collect())
     }
 
-    pub fn takes(&self, machine: &MachineView) -> bool {
+    pub fn accepts(&self, machine: &MachineView) -> bool {
         self.0[machine.kind][usize::from(machine.spot)]
     }
 }
 
 /// The zones that a job's tasks hold, and so where one more may go.
 #[derive(Clone)]
-pub struct Zones<'a> {
+pub struct ZoneConstraint<'a> {
     spec: &'a JobSpec,
     fixed: Option<u8>,
     counts: BTreeMap<u8, u32>,
 }
 
-impl<'a> Zones<'a> {
+impl<'a> ZoneConstraint<'a> {
     pub fn of(job: &'a JobView, zone_index: impl Fn(&str) -> Option<u8>) -> Self {
         let mut counts = BTreeMap::new();
         for bound in &job.bound {
@@ -49,7 +49,7 @@
         Self { spec: &job.spec, fixed, counts }
     }
 
-    pub fn allow(&self, zone: u8) -> bool {
+    pub fn allows(&self, zone: u8) -> bool {
         if self.fixed.is_some_and(|z| z != zone) {
             return false;
         }
@@ -60,7 +60,7 @@
         !self.spec.spread || here < self.spec.tasks.div_ceil(2)
     }
 
-    pub fn take(&mut self, zone: u8) {
+    pub fn add_task(&mut self, zone: u8) {
         *self.counts.entry(zone).or_default() += 1;
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -20,7 +20,7 @@
 mod view;
 
 pub use decisions::{Decisions, Stopping};
-pub use eligibility::allows;
+pub use eligibility::is_eligible;
 pub use quota::team_room;
 pub use resources::Resources;
 pub use snapshot::{Slot, Snapshot};
@@ -35,6 +35,6 @@
     reservations::clear_reserved(&mut snapshot, &mut decisions);
     admission::set_widths(&mut snapshot, &mut decisions);
     placement::place(&mut snapshot, &mut decisions);
-    decisions.weighed = snapshot.weighed.get();
+    decisions.candidates_evaluated = snapshot.candidates_evaluated.get();
     decisions
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,10 +1,10 @@
 //! Which machine each task starts on.
 
 use super::{
-    bin_packing::{fetch_s, find, obtainable},
+    bin_packing::{fetch_s, find_machines, is_obtainable},
     consolidation,
     decisions::Decisions,
-    eligibility::allows,
+    eligibility::is_eligible,
     preemption,
     quota::team_room,
     resources::Resources,
@@ -16,9 +16,9 @@
 pub fn place(snapshot: &mut Snapshot<'_>, decisions: &mut Decisions) {
     let mut lacking: Vec<(usize, Vec<u32>)> = Vec::new();
     // What is only placed tentatively here is not yet anybody's to stop.
-    let residents = snapshot.residents();
+    let bound_by_machine = snapshot.bound_by_machine();
     for at in order(snapshot) {
-        consolidation::hold_next_places(snapshot, at);
+        consolidation::reserve_next_places(snapshot, at);
         let job = &snapshot.jobs[at];
         let wanted = job.startable();
         if wanted == 0 {
@@ -31,23 +31,29 @@
         }
         let spec = job.spec.clone();
         let tasks: Vec<u32> = job.pending[..wanted.min(room)].to_vec();
-        let mut found = find(snapshot, at, tasks.len(), true);
+        let mut found = find_machines(snapshot, at, tasks.len(), true);
         let wanted_here = found.len();
         if spec.shape == Shape::Service {
-            found = without_fetches(snapshot, &residents, at, found, decisions);
+            found = avoid_fetches(snapshot, &bound_by_machine, at, found, decisions);
         }
         let usage = snapshot.usage.entry(spec.team.clone()).or_default();
         usage.cpus += spec.cpus * tasks.len() as f64;
         usage.gpus += spec.gpus * tasks.len() as f64;
         if spec.shape == Shape::Gang && found.len() < tasks.len() {
             let count = tasks.len();
-            if preemption::make_room(snapshot, &residents, at, count, decisions) == count {
+            if preemption::preempt(snapshot, &bound_by_machine, at, count, decisions) == count {
                 continue;
             }
-            if comes(snapshot, at, &found, count) {
-                let rest = hold_part(snapshot, at, found, &tasks, decisions);
+            if rest_can_come(snapshot, at, &found, count) {
+                let rest = hold_partial_gang(snapshot, at, found, &tasks, decisions);
                 lacking.push((at, rest));
-            } else if !consolidation::make_room(snapshot, &residents, at, count, decisions) {
+            } else if !consolidation::make_room_for_gang(
+                snapshot,
+                &bound_by_machine,
+                at,
+                count,
+                decisions,
+            ) {
                 lacking.push((at, tasks));
             }
             continue;
@@ -59,21 +65,21 @@
         }
         // Tasks that wait for cached room are neither placed nor lacking room.
         let mut rest = tasks[found.len().max(wanted_here)..].to_vec();
-        let made = preemption::make_room(snapshot, &residents, at, rest.len(), decisions);
+        let made = preemption::preempt(snapshot, &bound_by_machine, at, rest.len(), decisions);
         rest.drain(..made);
         if !rest.is_empty() {
             lacking.push((at, rest));
         }
     }
     if snapshot.round && lacking.is_empty() {
-        consolidation::gather(snapshot, &residents, decisions);
+        consolidation::vacate_machines(snapshot, &bound_by_machine, decisions);
     }
     rent(snapshot, &lacking, decisions);
 }
 
 /// Whether the rest of a gang's room will come by itself: machines that boot
 /// or can be rented in the zone where the gang has found some.
-fn comes(snapshot: &Snapshot<'_>, at: usize, found: &[usize], count: usize) -> bool {
+fn rest_can_come(snapshot: &Snapshot<'_>, at: usize, found: &[usize], count: usize) -> bool {
     let job = &snapshot.jobs[at];
     let zone = found.first().map(|&m| snapshot.machines[m].zone);
     let zone = zone.filter(|_| job.spec.one_zone);
@@ -82,17 +88,17 @@
     let booting = snapshot.machines.iter().filter(|m| {
         !m.ready
             && zone.is_none_or(|z| z == m.zone)
-            && allows(&job.spec, &snapshot.types[m.kind], m.spot)
+            && is_eligible(&job.spec, &snapshot.types[m.kind], m.spot)
             && m.free.holds(&need)
     });
-    zones.filter(|z| zone.is_none_or(|zone| zone == *z)).any(|z| obtainable(snapshot, job, z))
+    zones.filter(|z| zone.is_none_or(|zone| zone == *z)).any(|z| is_obtainable(snapshot, job, z))
         || booting.count() >= count - found.len()
 }
 
 /// Holds what part of a gang's room is there, until the rest is: given to
 /// small work meanwhile, it would never be whole at one time. Returns the
 /// tasks that lack room.
-fn hold_part(
+fn hold_partial_gang(
     snapshot: &mut Snapshot<'_>,
     at: usize,
     found: Vec<usize>,
@@ -109,24 +115,30 @@
 
 /// Keeps a replica from a machine that would first fetch its image, if one
 /// that holds the image can be had at a smaller loss.
-fn without_fetches(
+fn avoid_fetches(
     snapshot: &mut Snapshot<'_>,
-    residents: &[Vec<Slot>],
+    bound_by_machine: &[Vec<Slot>],
     at: usize,
     found: Vec<usize>,
     decisions: &mut Decisions,
 ) -> Vec<usize> {
     // The longest fetch that no cached room could be had for: room only gets
     // dearer, so there is no use in looking for it again.
-    let mut least_hopeless_fetch_s = 0.0;
+    let mut longest_failed_fetch_s = 0.0;
     found
         .into_iter()
         .filter(|&m| {
             let fetch_s = fetch_s(snapshot, at, m);
-            let made = fetch_s > least_hopeless_fetch_s
-                && preemption::make_cached_room(snapshot, residents, at, fetch_s, decisions);
+            let made = fetch_s > longest_failed_fetch_s
+                && preemption::preempt_where_image_is_cached(
+                    snapshot,
+                    bound_by_machine,
+                    at,
+                    fetch_s,
+                    decisions,
+                );
             if !made {
-                least_hopeless_fetch_s = fetch_s.max(least_hopeless_fetch_s);
+                longest_failed_fetch_s = fetch_s.max(longest_failed_fetch_s);
             }
             !made
         })
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::{
     decisions::{Decisions, Stopping},
-    eligibility::{Allowed, Zones},
+    eligibility::{MachineEligibility, ZoneConstraint},
     resources::Resources,
     snapshot::{Slot, Snapshot},
     view::BoundView,
@@ -12,9 +12,9 @@
 /// Makes room for `count` tasks of a job by stopping work of lower priority,
 /// the least lost work first, and holds that room for them. Returns for how
 /// many tasks it did; for a gang that is all or none.
-pub fn make_room(
+pub fn preempt(
     snapshot: &mut Snapshot<'_>,
-    residents: &[Vec<Slot>],
+    bound_by_machine: &[Vec<Slot>],
     at: usize,
     count: usize,
     decisions: &mut Decisions,
@@ -25,7 +25,7 @@
         return 0;
     }
     if shape == Shape::Service {
-        let made = make_each(snapshot, residents, at, count, None, decisions);
+        let made = preempt_each(snapshot, bound_by_machine, at, count, None, decisions);
         return made.len();
     }
     // Half a gang's room is no use to anybody. The machine where one task
@@ -39,44 +39,44 @@
     let mut best: Option<(f64, Option<u8>)> = None;
     for zone in zones {
         let mut tried = Decisions::default();
-        let made = make_each(snapshot, residents, at, count, zone, &mut tried);
+        let made = preempt_each(snapshot, bound_by_machine, at, count, zone, &mut tried);
         let loss: f64 = made.iter().map(|m| m.loss_s).sum();
         if made.len() == count && best.is_none_or(|(least, _)| loss < least) {
             best = Some((loss, zone));
         }
-        take_back(snapshot, at, made);
+        undo(snapshot, at, made);
     }
     let Some((_, zone)) = best else { return 0 };
-    make_each(snapshot, residents, at, count, zone, decisions).len()
+    preempt_each(snapshot, bound_by_machine, at, count, zone, decisions).len()
 }
 
 /// Room made for one task.
-struct Made {
+struct PreemptionPlan {
     machine: usize,
     victims: Vec<Slot>,
     loss_s: f64,
 }
 
-fn make_each(
+fn preempt_each(
     snapshot: &mut Snapshot<'_>,
-    residents: &[Vec<Slot>],
+    bound_by_machine: &[Vec<Slot>],
     at: usize,
     count: usize,
     zone: Option<u8>,
     decisions: &mut Decisions,
-) -> Vec<Made> {
+) -> Vec<PreemptionPlan> {
     let mut made = Vec::new();
     while made.len() < count
-        && let Some(room) = cheapest(snapshot, residents, at, false, zone)
+        && let Some(room) = least_loss(snapshot, bound_by_machine, at, false, zone)
     {
-        stop_for(snapshot, at, &room, decisions);
+        carry_out(snapshot, at, &room, decisions);
         made.push(room);
     }
     made
 }
 
-/// Undoes in the snapshot what `make_each` did there.
-fn take_back(snapshot: &mut Snapshot<'_>, at: usize, made: Vec<Made>) {
+/// Undoes in the snapshot what `preempt_each` did there.
+fn undo(snapshot: &mut Snapshot<'_>, at: usize, made: Vec<PreemptionPlan>) {
     let need = Resources::of_task(&snapshot.jobs[at].spec);
     for room in made {
         let machine = &mut snapshot.machines[room.machine];
@@ -91,23 +91,28 @@
 
 /// Makes room on a machine that holds the job's image already, if the fetch
 /// elsewhere would take longer than the work lost by it.
-pub fn make_cached_room(
+pub fn preempt_where_image_is_cached(
     snapshot: &mut Snapshot<'_>,
-    residents: &[Vec<Slot>],
+    bound_by_machine: &[Vec<Slot>],
     at: usize,
     fetch_s: f64,
     decisions: &mut Decisions,
 ) -> bool {
-    match cheapest(snapshot, residents, at, true, None) {
+    match least_loss(snapshot, bound_by_machine, at, true, None) {
         Some(room) if room.loss_s < fetch_s => {
-            stop_for(snapshot, at, &room, decisions);
+            carry_out(snapshot, at, &room, decisions);
             true
         }
         _ => false,
     }
 }
 
-fn stop_for(snapshot: &mut Snapshot<'_>, at: usize, room: &Made, decisions: &mut Decisions) {
+fn carry_out(
+    snapshot: &mut Snapshot<'_>,
+    at: usize,
+    room: &PreemptionPlan,
+    decisions: &mut Decisions,
+) {
     let machine = room.machine;
     let need = Resources::of_task(&snapshot.jobs[at].spec);
     // Saving takes time that a tight aim on waiting may not have.
@@ -129,29 +134,29 @@
     snapshot.machines[machine].free.sub(&need);
     snapshot.machines[machine].awaited = true;
     let zone = snapshot.machines[machine].zone;
-    snapshot.jobs[at].bound.push(BoundView::held(machine, zone, true));
+    snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, true));
 }
 
 /// The machine where one task finds room at the least loss, with the tasks
 /// (job, slot) to stop there: none if tasks already being stopped suffice.
-fn cheapest(
+fn least_loss(
     snapshot: &Snapshot<'_>,
-    residents: &[Vec<Slot>],
+    bound_by_machine: &[Vec<Slot>],
     at: usize,
     cached: bool,
     zone: Option<u8>,
-) -> Option<Made> {
+) -> Option<PreemptionPlan> {
     let job = &snapshot.jobs[at];
     let need = Resources::of_task(&job.spec);
-    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
-    let allowed = Allowed::of(snapshot, job);
-    snapshot.weigh(snapshot.machines.len());
+    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
+    let eligibility = MachineEligibility::of(snapshot, job);
+    snapshot.count_evaluated(snapshot.machines.len());
     let mut best: Option<(f64, usize, Vec<Slot>)> = None;
     for (m, machine) in snapshot.machines.iter().enumerate() {
         if !machine.ready
-            || !zones.allow(machine.zone)
+            || !zones.allows(machine.zone)
             || zone.is_some_and(|z| z != machine.zone)
-            || !allowed.takes(machine)
+            || !eligibility.accepts(machine)
             || !machine.open_to(&job.id)
             || job.avoid.contains(&machine.id)
             || (cached && !machine.images.contains(&job.spec.image))
@@ -161,7 +166,7 @@
         let mut room = machine.free;
         room.add(&machine.stopping);
         let mut candidates: Vec<(f64, usize, usize)> = Vec::new();
-        for &(j, slot) in residents.get(m).into_iter().flatten() {
+        for &(j, slot) in bound_by_machine.get(m).into_iter().flatten() {
             let other = &snapshot.jobs[j];
             let bound = &other.bound[slot];
             // Only arrays: stopping a replica or a gang costs its whole job,
@@ -186,5 +191,5 @@
             best = Some((loss, m, victims));
         }
     }
-    best.map(|(loss_s, machine, victims)| Made { machine, victims, loss_s })
+    best.map(|(loss_s, machine, victims)| PreemptionPlan { machine, victims, loss_s })
 }
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -18,8 +18,8 @@
     }
     let places: HashMap<JobId, usize> =
         snapshot.jobs.iter().enumerate().map(|(at, job)| (job.id.clone(), at)).collect();
-    let residents = snapshot.residents();
-    for (machine, slots) in residents.iter().enumerate() {
+    let bound_by_machine = snapshot.bound_by_machine();
+    for (machine, slots) in bound_by_machine.iter().enumerate() {
         let reservation = snapshot.machines[machine].reservation.as_ref();
         let claimant = reservation.and_then(|held| places.get(&held.job)).copied();
         let Some(claimant) = claimant else { continue };
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use super::{
-    bin_packing::find,
+    bin_packing::find_machines,
     decisions::Decisions,
-    eligibility::{Zones, allows},
+    eligibility::{ZoneConstraint, is_eligible},
     resources::Resources,
     snapshot::{Snapshot, bind_tentatively},
     view::MachineView,
@@ -18,7 +18,7 @@
     let real = snapshot.machines.len();
     for (at, tasks) in lacking {
         let mut left = tasks.len();
-        let found = find(snapshot, *at, left, false);
+        let found = find_machines(snapshot, *at, left, false);
         left -= found.len();
         for machine in found {
             if machine < real {
@@ -27,7 +27,7 @@
             bind_tentatively(snapshot, *at, machine);
         }
         while left > 0 {
-            let Some((kind, zone, spot)) = choose(snapshot, *at) else { break };
+            let Some((kind, zone, spot)) = cheapest_kind(snapshot, *at) else { break };
             snapshot.machines.push(MachineView {
                 id: MachineId::from(""),
                 kind,
@@ -44,8 +44,9 @@
             let machine = snapshot.machines.len() - 1;
             let need = Resources::of_task(&snapshot.jobs[*at].spec);
             while left > 0 && snapshot.machines[machine].free.holds(&need) {
-                let zones = Zones::of(&snapshot.jobs[*at], |z| snapshot.settings.zone_index(z));
-                if !zones.allow(zone) {
+                let zones =
+                    ZoneConstraint::of(&snapshot.jobs[*at], |z| snapshot.settings.zone_index(z));
+                if !zones.allows(zone) {
                     break;
                 }
                 bind_tentatively(snapshot, *at, machine);
@@ -54,12 +55,14 @@
         }
     }
     let mut counts: BTreeMap<(usize, u8, bool), u32> = BTreeMap::new();
-    for (spot, spare) in [(false, snapshot.spare), (true, snapshot.spare_spot)] {
+    for (spot, headroom) in
+        [(false, snapshot.headroom_machines), (true, snapshot.headroom_spot_machines)]
+    {
         let empty = snapshot.machines.iter().filter(|m| m.empty && m.spot == spot).count();
-        if let Some(kind) = spare_kind(snapshot, spot)
-            && empty < spare
+        if let Some(kind) = headroom_kind(snapshot, spot)
+            && empty < headroom
         {
-            *counts.entry(kind).or_default() += (spare - empty) as u32;
+            *counts.entry(kind).or_default() += (headroom - empty) as u32;
         }
     }
     for machine in &snapshot.machines[real..] {
@@ -71,11 +74,11 @@
 
 /// The kind of a spare machine: the cheapest one for its room, in the zone
 /// with the fewest machines.
-fn spare_kind(snapshot: &Snapshot<'_>, spot: bool) -> Option<(usize, u8, bool)> {
+fn headroom_kind(snapshot: &Snapshot<'_>, spot: bool) -> Option<(usize, u8, bool)> {
     let mut kinds: Vec<(f64, usize, (usize, u8, bool))> = Vec::new();
     for (kind, t) in snapshot.types.iter().enumerate() {
         for zone in t.zones.iter().filter_map(|z| snapshot.settings.zone_index(z)) {
-            if !snapshot.refused.contains(&(kind, zone, spot)) {
+            if !snapshot.exhausted.contains(&(kind, zone, spot)) {
                 let there = snapshot.machines.iter().filter(|m| m.zone == zone).count();
                 let price = if spot { t.spot_price } else { t.price };
                 kinds.push((price / t.gpus.max(t.cpus), there, (kind, zone, spot)));
@@ -88,20 +91,20 @@
 
 /// The cheapest kind of machine that one more task may go to, in the zone
 /// with the fewest machines so far.
-fn choose(snapshot: &Snapshot<'_>, at: usize) -> Option<(usize, u8, bool)> {
+fn cheapest_kind(snapshot: &Snapshot<'_>, at: usize) -> Option<(usize, u8, bool)> {
     let job = &snapshot.jobs[at];
-    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
+    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
     let mut best: Option<(f64, usize, (usize, u8, bool))> = None;
     for (kind, t) in snapshot.types.iter().enumerate() {
         for spot in [true, false] {
-            if !allows(&job.spec, t, spot) {
+            if !is_eligible(&job.spec, t, spot) {
                 continue;
             }
             let price = if spot { t.spot_price } else { t.price };
             let price = price * Resources::of_task(&job.spec).share_of(&Resources::of_type(t));
             for zone in t.zones.iter().filter_map(|z| snapshot.settings.zone_index(z)) {
                 let key = (kind, zone, spot);
-                if snapshot.refused.contains(&key) || !zones.allow(zone) {
+                if snapshot.exhausted.contains(&key) || !zones.allows(zone) {
                     continue;
                 }
                 let there = snapshot.machines.iter().filter(|m| m.zone == zone).count();
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -18,50 +18,50 @@
     pub jobs: Vec<JobView>,
     /// What each team's bound tasks use.
     pub usage: HashMap<Arc<str>, TeamUse>,
-    /// Kinds of machine (type, zone, spot) that the cloud refused lately.
-    pub refused: Vec<(usize, u8, bool)>,
+    /// Kinds of machine (type, zone, spot) of which the cloud had no more lately.
+    pub exhausted: Vec<(usize, u8, bool)>,
     /// Empty ordinary machines to have ready for what may come.
-    pub spare: usize,
+    pub headroom_machines: usize,
     /// Empty spot machines to have ready.
-    pub spare_spot: usize,
+    pub headroom_spot_machines: usize,
     /// Room on ordinary machines, in machines, to keep for what may come.
-    pub spare_room: f64,
+    pub headroom_capacity: f64,
     /// Whether the design's round is due now.
     pub round: bool,
     /// How many places were weighed so far: what a pass costs.
-    pub weighed: Cell<u64>,
+    pub candidates_evaluated: Cell<u64>,
 }
 
 /// A bound task: the job's place in the snapshot and the binding's in the job.
 pub type Slot = (usize, usize);
 
 impl Snapshot<'_> {
-    pub(super) fn weigh(&self, places: usize) {
-        self.weighed.set(self.weighed.get() + places as u64);
+    pub(super) fn count_evaluated(&self, places: usize) {
+        self.candidates_evaluated.set(self.candidates_evaluated.get() + places as u64);
     }
 
     /// The tasks bound to each machine.
-    pub(super) fn residents(&self) -> Vec<Vec<Slot>> {
-        let mut residents = vec![Vec::new(); self.machines.len()];
+    pub(super) fn bound_by_machine(&self) -> Vec<Vec<Slot>> {
+        let mut bound_by_machine = vec![Vec::new(); self.machines.len()];
         for (at, job) in self.jobs.iter().enumerate() {
             for (slot, bound) in job.bound.iter().enumerate() {
                 if let Some(machine) = bound.machine {
-                    residents[machine].push((at, slot));
+                    bound_by_machine[machine].push((at, slot));
                 }
             }
         }
-        residents
+        bound_by_machine
     }
 }
 
 pub fn bind_tentatively(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
-    hold(snapshot, at, machine);
+    occupy(snapshot, at, machine);
     let zone = snapshot.machines[machine].zone;
-    snapshot.jobs[at].bound.push(BoundView::held(machine, zone, false));
+    snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, false));
 }
 
 /// Takes a place out of the snapshot.
-fn hold(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
+fn occupy(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
     let spec = &snapshot.jobs[at].spec;
     let view = &mut snapshot.machines[machine];
     view.free.sub(&Resources::of_task(spec));
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -59,12 +59,12 @@
 
 impl BoundView {
     /// The task of a place that is held tentatively.
-    pub const HELD: u32 = u32::MAX;
+    pub const TENTATIVE: u32 = u32::MAX;
 
     /// A place held on a machine, as if a task were bound there.
-    pub fn held(machine: usize, zone: u8, stopping: bool) -> Self {
+    pub fn tentative(machine: usize, zone: u8, stopping: bool) -> Self {
         let machine = Some(machine);
-        Self { task: Self::HELD, machine, zone, stopping, settled: false, loss_s: 0.0 }
+        Self { task: Self::TENTATIVE, machine, zone, stopping, settled: false, loss_s: 0.0 }
     }
 }
 
@@ -88,7 +88,7 @@
     /// Fits its team's guarantee together with the team's earlier jobs.
     pub guaranteed: bool,
     /// Waits out a failure of its own.
-    pub held: bool,
+    pub blocked: bool,
     /// Machines that failed its tasks.
     pub avoid: Vec<MachineId>,
 }
@@ -96,7 +96,7 @@
 impl JobView {
     /// Tasks that its width still lets start.
     pub fn startable(&self) -> usize {
-        if self.held {
+        if self.blocked {
             return 0;
         }
         match self.spec.shape {
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -137,7 +137,7 @@
         width: spec.tasks,
         patience_s: None,
         guaranteed: false,
-        held: false,
+        blocked: false,
         avoid: Vec::new(),
         spec,
     }
@@ -165,12 +165,12 @@
         machines: vec![machine],
         jobs,
         usage: Default::default(),
-        refused: vec![(0, 0, false), (0, 1, false)],
-        spare: 0,
-        spare_spot: 0,
-        spare_room: 0.0,
+        exhausted: vec![(0, 0, false), (0, 1, false)],
+        headroom_machines: 0,
+        headroom_spot_machines: 0,
+        headroom_capacity: 0.0,
         round: true,
-        weighed: Default::default(),
+        candidates_evaluated: Default::default(),
     })
 }
 
