--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -7,6 +7,7 @@
 use crate::{
     fleet::{Machine, MachineReturn, ReturnReason, TerminationProof},
     protocol::{ListedMachine, MachineId, MachineType, ProvisionRequest},
+    scheduler::{MachineKind, ScaleOut},
 };
 
 /// A machine takes tasks only from its second heartbeat on: where boots are short it must
@@ -104,12 +105,13 @@
         self.provisioning.delete([id.clone()]);
     }
 
-    /// Requests machines: of each kind (type, zone, spot) so many.
-    pub(super) fn scale_out(&mut self, wanted: Vec<(usize, u8, bool, u32)>) {
+    /// Requests machines.
+    pub(super) fn scale_out(&mut self, wanted: Vec<ScaleOut>) {
         let token = self.tokens.first();
-        for (kind, zone, spot, count) in wanted {
+        for ScaleOut { kind, count } in wanted {
+            let MachineKind { machine_type, zone, spot } = kind;
             let (Some(machine_type), Some(zone)) =
-                (self.types.get(kind), self.settings.cluster.zones.get(usize::from(zone)))
+                (self.types.get(machine_type), self.settings.cluster.zones.get(usize::from(zone)))
             else {
                 continue;
             };
@@ -158,12 +160,13 @@
 
     /// The cloud has no more machines of the requested kind.
     fn record_exhausted(&mut self, request: &ProvisionRequest, now: Instant) {
-        let Some(kind) = self.types.number(&request.machine_type) else { return };
+        let Some(machine_type) = self.types.number(&request.machine_type) else { return };
         let Some(zone) = self.settings.zone_index(&request.zone) else { return };
         let boot_s = self.types.boot_s(&request.machine_type);
         let until = now + Duration::from_secs_f64(boot_s / EXHAUSTED_WAIT_BOOT_PARTS);
         info!(zone = %request.zone, spot = request.spot, "the cloud has no more of these");
-        self.provisioning.mark_exhausted((kind, zone, request.spot), until);
+        let kind = MachineKind { machine_type, zone, spot: request.spot };
+        self.provisioning.mark_exhausted(kind, until);
     }
 
     /// The machines to return now, as many as one call to the cloud takes.
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -13,7 +13,7 @@
 use crate::{
     fleet::{Machine, TaskKey},
     protocol::{JobId, MachineId, Shape},
-    scheduler::{Decisions, Stopping},
+    scheduler::{Decisions, GrantedWidth, PlacedTask, Stopping},
 };
 
 impl Leader {
@@ -34,8 +34,8 @@
     }
 
     fn apply_decisions(&mut self, decisions: Decisions, settled: bool, now: Instant) {
-        for (id, width) in decisions.widths {
-            self.set_width(id, width);
+        for GrantedWidth { job, width } in decisions.widths {
+            self.set_width(job, width);
         }
         self.bind(decisions.place);
         // What the workers have not reported yet looks like a lack of machines.
@@ -51,7 +51,7 @@
                 machine.idle_since = machine.has_reported().then_some(now);
             }
         }
-        self.scale_out(decisions.rent);
+        self.scale_out(decisions.scale_out);
     }
 
     /// Whether a new leader was in contact with all machines that hold tasks, as far as
@@ -80,9 +80,9 @@
 
     /// Binds tasks to machines. All tasks of a gang's attempt share its number; elsewhere
     /// a number is never used twice.
-    fn bind(&mut self, places: Vec<(JobId, u32, MachineId)>) {
+    fn bind(&mut self, places: Vec<PlacedTask>) {
         let mut previous_job: Option<JobId> = None;
-        for (job, task, machine) in places {
+        for PlacedTask { job, task, machine } in places {
             let key = TaskKey { job, task };
             let same_job = previous_job.as_ref() == Some(&key.job);
             if self.bind_task(&key, &machine, same_job) {
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -7,11 +7,9 @@
 use crate::{
     cloud::{MAX_DELETED_MACHINES, MAX_PROVISIONED_MACHINES},
     protocol::{MachineId, ProvisionRequest},
+    scheduler::MachineKind,
 };
 
-/// A kind of machine that the cloud provides: type number, zone number, spot.
-pub(super) type MachineKind = (usize, u8, bool);
-
 /// Provisioning requests that wait or are in flight. Invariant: there is at most one
 /// request per kind of machine at a time, since its answer changes what is needed.
 #[derive(Default)]
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -47,8 +47,8 @@
     }
 
     fn machine_view(&self, id: &MachineId, machine: &Machine, now: Instant) -> Option<MachineView> {
-        let kind = self.types.number(&machine.machine_type)?;
-        let machine_type = self.types.get(kind)?;
+        let type_number = self.types.number(&machine.machine_type)?;
+        let machine_type = self.types.get(type_number)?;
         let zone = self.settings.zone_index(&machine.zone)?;
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
         if !ready && !self.is_coming(machine, machine_type, now) {
@@ -68,7 +68,7 @@
         }
         Some(MachineView {
             id: id.clone(),
-            kind,
+            machine_type: type_number,
             zone,
             spot: machine.spot,
             free,
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -7,13 +7,13 @@
 use std::collections::HashMap;
 
 use super::{
-    decisions::Decisions,
+    decisions::{Decisions, GrantedWidth},
     optimizer::{Curve, Program},
     quota::team_room,
     resources::Resources,
     snapshot::Snapshot,
     team_use::TeamUse,
-    view::JobView,
+    view::{JobView, MachineKind},
 };
 use crate::protocol::Shape;
 
@@ -33,7 +33,7 @@
             }
         }
         if job.spec.shape == Shape::Array && snapshot.round {
-            decisions.widths.push((job.id.clone(), job.width));
+            decisions.widths.push(GrantedWidth { job: job.id.clone(), width: job.width });
         }
     }
 }
@@ -131,7 +131,7 @@
 fn room_of_arrays(snapshot: &Snapshot<'_>, units: f64) -> usize {
     let mut room = 0_usize;
     for machine in &snapshot.machines {
-        let total = Resources::of_type(&snapshot.types[machine.kind]);
+        let total = Resources::of_type(&snapshot.types[machine.machine_type]);
         let free = [
             (machine.free.gpus, total.gpus),
             (machine.free.cpus, total.cpus),
@@ -235,10 +235,12 @@
 }
 
 fn any_is_obtainable(snapshot: &Snapshot<'_>) -> bool {
-    snapshot.types.iter().enumerate().any(|(kind, t)| {
+    snapshot.types.iter().enumerate().any(|(machine_type, t)| {
         t.zones.iter().any(|zone| {
             snapshot.settings.zone_index(zone).is_some_and(|zone| {
-                [false, true].iter().any(|&spot| !snapshot.exhausted.contains(&(kind, zone, spot)))
+                [false, true].iter().any(|&spot| {
+                    snapshot.may_be_provisioned(&MachineKind { machine_type, zone, spot })
+                })
             })
         })
     })
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -9,7 +9,7 @@
     eligibility::{MachineEligibility, ZoneConstraint, is_eligible},
     resources::Resources,
     snapshot::Snapshot,
-    view::{JobView, MachineView},
+    view::{JobView, MachineKind, MachineView},
 };
 
 /// A fetch may take a third longer than its machine type says.
@@ -18,7 +18,7 @@
 /// How long a machine needs for a job's image, if it has to be fetched.
 pub fn fetch_s(snapshot: &Snapshot<'_>, at: usize, machine: usize) -> f64 {
     let (job, view) = (&snapshot.jobs[at], &snapshot.machines[machine]);
-    let rate = snapshot.types[view.kind].fetch_gb_per_s;
+    let rate = snapshot.types[view.machine_type].fetch_gb_per_s;
     if rate <= 0.0 || view.images.contains(&job.spec.image) {
         0.0
     } else {
@@ -26,10 +26,24 @@
     }
 }
 
+/// Which machines tasks are looked a place for on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MachineReadiness {
+    /// Machines that take tasks now.
+    Ready,
+    /// Machines that boot, or that are to be provisioned.
+    Booting,
+}
+
 /// Machines for up to `count` more tasks of a job, in one zone if it must be.
-pub fn find_machines(snapshot: &Snapshot<'_>, at: usize, count: usize, ready: bool) -> Vec<usize> {
+pub fn find_machines(
+    snapshot: &Snapshot<'_>,
+    at: usize,
+    count: usize,
+    readiness: MachineReadiness,
+) -> Vec<usize> {
     let job = &snapshot.jobs[at];
-    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
+    let zones = ZoneConstraint::of(snapshot, job);
     // An empty ordinary machine is dear and wanted whole by others: work that
     // may use spot machines leaves it alone while the cloud has those.
     let spot_is_obtainable = job.spec.spot && is_spot_obtainable(snapshot, job);
@@ -37,7 +51,7 @@
     let open: Vec<usize> = (0..snapshot.machines.len())
         .filter(|&m| {
             let machine = &snapshot.machines[m];
-            machine.ready == ready
+            machine.ready == (readiness == MachineReadiness::Ready)
                 && eligibility.accepts(machine)
                 && machine.takes_tasks_of(&job.id)
                 && !job.avoid.contains(&machine.id)
@@ -64,22 +78,24 @@
 
 /// Whether the cloud may have machines for a job in this zone.
 pub(super) fn is_obtainable(snapshot: &Snapshot<'_>, job: &JobView, zone: u8) -> bool {
-    snapshot.types.iter().enumerate().any(|(kind, t)| {
+    snapshot.types.iter().enumerate().any(|(machine_type, t)| {
         let here = t.zones.iter().any(|z| snapshot.settings.zone_index(z) == Some(zone));
         here && [false, true].iter().any(|&spot| {
-            is_eligible(&job.spec, t, spot) && !snapshot.exhausted.contains(&(kind, zone, spot))
+            is_eligible(&job.spec, t, spot)
+                && snapshot.may_be_provisioned(&MachineKind { machine_type, zone, spot })
         })
     })
 }
 
 fn is_spot_obtainable(snapshot: &Snapshot<'_>, job: &JobView) -> bool {
-    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
-    snapshot.types.iter().enumerate().any(|(kind, t)| {
+    let zones = ZoneConstraint::of(snapshot, job);
+    snapshot.types.iter().enumerate().any(|(machine_type, t)| {
+        let mut offered_in = t.zones.iter().filter_map(|z| snapshot.settings.zone_index(z));
         is_eligible(&job.spec, t, true)
-            && t.zones
-                .iter()
-                .filter_map(|z| snapshot.settings.zone_index(z))
-                .any(|zone| zones.allows(zone) && !snapshot.exhausted.contains(&(kind, zone, true)))
+            && offered_in.any(|zone| {
+                let kind = MachineKind { machine_type, zone, spot: true };
+                zones.allows(zone) && snapshot.may_be_provisioned(&kind)
+            })
     })
 }
 
@@ -163,7 +179,7 @@
     taken: bool,
 ) -> f64 {
     let view: &MachineView = &snapshot.machines[machine];
-    let kind = &snapshot.types[view.kind];
+    let kind = &snapshot.types[view.machine_type];
     let fetch = if taken || view.images.contains(&job.spec.image) || kind.fetch_gb_per_s <= 0.0 {
         0.0
     } else {
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,4 +1,4 @@
-//! Moving replicas: holes scattered over many machines are no room for a task
+//! Consolidation: holes scattered over many machines are no room for a task
 //! that needs a whole one, so replicas are moved from one machine into holes
 //! of others.
 //!
@@ -7,20 +7,23 @@
 //! if the image is there.
 
 use super::{
-    bin_packing::{fetch_s, find_machines},
+    bin_packing::{MachineReadiness, fetch_s, find_machines},
     decisions::{Decisions, Stopping},
-    eligibility::{MachineEligibility, ZoneConstraint},
     resources::Resources,
-    snapshot::{Slot, Snapshot, bind_tentatively},
-    view::BoundView,
+    snapshot::{Snapshot, TaskSlot, bind_tentatively},
+    vacancy::{keep_vacated_place, machines_for, room_after_stops, stop},
+    view::{BoundView, JobView, MachineView},
 };
 use crate::protocol::Shape;
 
+/// Moving more than this share of a machine gains less than it disturbs.
+const MAX_MOVED_SHARE: f64 = 0.5;
+
 /// Makes room for all tasks of a gang by moving replicas that have room
-/// elsewhere. True if it did, and the room is then held.
+/// elsewhere. True if it did, and the room is then kept for the gang.
 pub fn make_room_for_gang(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     at: usize,
     count: usize,
     decisions: &mut Decisions,
@@ -53,60 +56,57 @@
 struct Candidate {
     machine: usize,
     /// Replicas to move and arrays' tasks to stop.
-    tasks: Vec<Slot>,
+    tasks: Vec<TaskSlot>,
     /// The share of the machine that is moved.
     moved: f64,
 }
 
 fn candidates(
     snapshot: &Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     at: usize,
     zone: Option<u8>,
 ) -> Vec<Candidate> {
     let job = &snapshot.jobs[at];
+    machines_for(snapshot, job, zone)
+        .filter_map(|(machine, view)| {
+            let bound = bound_by_machine.get(machine).map_or(&[][..], Vec::as_slice);
+            candidate(snapshot, job, machine, view, bound)
+        })
+        .collect()
+}
+
+/// What must leave a machine for one task of a job, if that is worth it.
+fn candidate(
+    snapshot: &Snapshot<'_>,
+    job: &JobView,
+    machine: usize,
+    view: &MachineView,
+    bound: &[TaskSlot],
+) -> Option<Candidate> {
     let need = Resources::of_task(&job.spec);
-    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
-    let eligibility = MachineEligibility::of(snapshot, job);
-    snapshot.count_evaluated(snapshot.machines.len());
-    let mut found = Vec::new();
-    for (machine, view) in snapshot.machines.iter().enumerate() {
-        let kind = &snapshot.types[view.kind];
-        if !view.ready
-            || !zones.allows(view.zone)
-            || zone.is_some_and(|z| z != view.zone)
-            || !eligibility.accepts(view)
-            || !view.open_to(&job.id)
-            || job.avoid.contains(&view.id)
-        {
+    let mut room = room_after_stops(view);
+    let mut moved = Resources::default();
+    let mut tasks = Vec::new();
+    for &slot in bound {
+        let other = &snapshot.jobs[slot.job];
+        let binding = &other.bound[slot.binding];
+        if binding.stopping || room.holds(&need) {
             continue;
         }
-        let mut room = view.free;
-        room.add(&view.stopping);
-        let mut moved = Resources::default();
-        let mut tasks = Vec::new();
-        for &(other, slot) in bound_by_machine.get(machine).into_iter().flatten() {
-            let spec = &snapshot.jobs[other].spec;
-            let bound = &snapshot.jobs[other].bound[slot];
-            if bound.stopping || room.holds(&need) {
-                continue;
-            }
-            let stops = spec.shape == Shape::Array && snapshot.jobs[other].priority < job.priority;
-            if stops || (spec.shape == Shape::Service && bound.settled) {
-                room.add(&Resources::of_task(spec));
-                tasks.push((other, slot));
-                if !stops {
-                    moved.add(&Resources::of_task(spec));
-                }
-            }
+        let stops = other.spec.shape == Shape::Array && other.priority < job.priority;
+        let moves = other.spec.shape == Shape::Service && binding.settled;
+        if stops || moves {
+            room.add(&Resources::of_task(&other.spec));
+            tasks.push(slot);
         }
-        let moved = moved.share_of(&Resources::of_type(kind));
-        // Moving most of a machine gains less than it disturbs.
-        if room.holds(&need) && moved <= 0.5 {
-            found.push(Candidate { machine, tasks, moved });
+        if moves {
+            moved.add(&Resources::of_task(&other.spec));
         }
     }
-    found
+    let moved = moved.share_of(&Resources::of_type(snapshot.type_of(machine)));
+    let is_worth_it = room.holds(&need) && moved <= MAX_MOVED_SHARE;
+    is_worth_it.then_some(Candidate { machine, tasks, moved })
 }
 
 /// Moves what stands in the way, if all of it finds a place elsewhere.
@@ -119,24 +119,17 @@
     let before = snapshot.clone();
     let mut stops = Vec::new();
     for candidate in candidates {
-        for &(job, slot) in &candidate.tasks {
-            let spec = snapshot.jobs[job].spec.clone();
-            let bound = &mut snapshot.jobs[job].bound[slot];
-            bound.stopping = true;
-            stops.push(Stopping { job: spec.id.clone(), task: bound.task, at_once: false });
-            snapshot.machines[candidate.machine].stopping.add(&Resources::of_task(&spec));
+        for &slot in &candidate.tasks {
+            stops.push(stop(snapshot, slot, candidate.machine));
         }
-        // Held before the moved replicas look for places.
-        snapshot.machines[candidate.machine].free.sub(&Resources::of_task(&snapshot.jobs[at].spec));
-        bind_held(snapshot, at, candidate.machine);
+        // Kept before the moved replicas look for places.
+        keep_vacated_place(snapshot, at, candidate.machine);
     }
-    for &(job, _) in candidates.iter().flat_map(|c| &c.tasks) {
+    for &TaskSlot { job, .. } in candidates.iter().flat_map(|c| &c.tasks) {
         if snapshot.jobs[job].spec.shape != Shape::Service {
             continue;
         }
-        // A move that fetches an image takes its replica away for too long.
-        let place = find_machines(snapshot, job, 1, true).first().copied();
-        let Some(place) = place.filter(|&m| fetch_s(snapshot, job, m) <= 0.0) else {
+        let Some(place) = place_with_image(snapshot, job) else {
             *snapshot = before;
             return false;
         };
@@ -146,49 +139,33 @@
     true
 }
 
-/// Notes a gang's held place, whose room is taken out already.
-fn bind_held(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
-    snapshot.machines[machine].awaited = true;
-    let zone = snapshot.machines[machine].zone;
-    snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, true));
+/// The machine that a moved replica goes to. A move that fetches an image takes its
+/// replica away for too long.
+fn place_with_image(snapshot: &Snapshot<'_>, job: usize) -> Option<usize> {
+    let place = find_machines(snapshot, job, 1, MachineReadiness::Ready).first().copied();
+    place.filter(|&machine| fetch_s(snapshot, job, machine) <= 0.0)
 }
 
-/// Clears machines that hold little, so that they can be returned: as load
+/// Vacates machines that hold little, so that they can be returned: as load
 /// runs out, what is left would keep many half-empty machines for long.
 pub fn vacate_machines(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     decisions: &mut Decisions,
 ) {
-    let load = |snapshot: &Snapshot<'_>, m: usize| {
-        let total = Resources::of_type(&snapshot.types[snapshot.machines[m].kind]);
-        let mut used = total;
-        used.sub(&snapshot.machines[m].free);
-        used.share_of(&total)
-    };
     let ordinary: Vec<usize> = (0..bound_by_machine.len())
         .filter(|&m| snapshot.machines[m].ready && !snapshot.machines[m].spot)
         .collect();
     // One machine less must still leave the room that is kept ready.
     let mut room: f64 = ordinary.iter().map(|&m| 1.0 - load(snapshot, m)).sum();
-    let mut sources: Vec<(f64, usize)> = ordinary
+    let mut sources: Vec<LoadedMachine> = ordinary
         .into_iter()
-        .filter(|&m| {
-            let movable = |&(job, slot): &Slot| {
-                let job = &snapshot.jobs[job];
-                let bound = &job.bound[slot];
-                job.spec.shape == Shape::Service && bound.settled && !bound.stopping
-            };
-            !bound_by_machine[m].is_empty()
-                && snapshot.machines[m].reservation.is_none()
-                && bound_by_machine[m].iter().all(movable)
-                && snapshot.machines[m].stopping == Resources::default()
-        })
-        .map(|m| (load(snapshot, m), m))
-        .filter(|(load, _)| *load <= 0.5)
+        .filter(|&machine| may_be_vacated(snapshot, machine, &bound_by_machine[machine]))
+        .map(|machine| LoadedMachine { load: load(snapshot, machine), machine })
+        .filter(|source| source.load <= MAX_MOVED_SHARE)
         .collect();
-    sources.sort_by(|a, b| a.0.total_cmp(&b.0));
-    for (_, machine) in sources {
+    sources.sort_by(|a, b| a.load.total_cmp(&b.load));
+    for LoadedMachine { machine, .. } in sources {
         if room - 1.0 < snapshot.headroom_capacity {
             break;
         }
@@ -201,42 +178,81 @@
     }
 }
 
+/// A machine with the share of it that is in use.
+struct LoadedMachine {
+    load: f64,
+    machine: usize,
+}
+
+/// The share of a machine that is in use.
+fn load(snapshot: &Snapshot<'_>, machine: usize) -> f64 {
+    let total = Resources::of_type(snapshot.type_of(machine));
+    let mut used = total;
+    used.sub(&snapshot.machines[machine].free);
+    used.share_of(&total)
+}
+
+/// Whether a machine holds replicas that may be moved, and nothing else.
+fn may_be_vacated(snapshot: &Snapshot<'_>, machine: usize, bound: &[TaskSlot]) -> bool {
+    let movable = |slot: &TaskSlot| {
+        let job = &snapshot.jobs[slot.job];
+        let binding = &job.bound[slot.binding];
+        job.spec.shape == Shape::Service && binding.settled && !binding.stopping
+    };
+    let view = &snapshot.machines[machine];
+    !bound.is_empty()
+        && view.reservation.is_none()
+        && bound.iter().all(movable)
+        && view.stopping == Resources::default()
+}
+
+/// A replica that is moved.
+struct Move {
+    slot: TaskSlot,
+    /// The machine that it goes to.
+    to: usize,
+}
+
 /// Moves all of a machine's replicas to machines in use that hold their
 /// images; all of them or none.
 fn vacate(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Slot],
+    bound: &[TaskSlot],
     machine: usize,
     decisions: &mut Decisions,
 ) -> bool {
     let ready = std::mem::replace(&mut snapshot.machines[machine].ready, false);
-    let mut moves: Vec<(Slot, usize)> = Vec::new();
-    for &(job, slot) in bound_by_machine {
-        snapshot.jobs[job].bound[slot].stopping = true;
-        let place = find_machines(snapshot, job, 1, true).first().copied();
-        let fits = |&m: &usize| !snapshot.machines[m].empty && fetch_s(snapshot, job, m) <= 0.0;
-        let Some(place) = place.filter(fits) else {
-            snapshot.jobs[job].bound[slot].stopping = false;
-            for &((job, slot), place) in &moves {
-                snapshot.jobs[job].bound[slot].stopping = false;
-                snapshot.jobs[job].bound.pop();
-                let need = Resources::of_task(&snapshot.jobs[job].spec);
-                snapshot.machines[place].free.add(&need);
-            }
+    let mut moves: Vec<Move> = Vec::new();
+    for &slot in bound {
+        snapshot.jobs[slot.job].bound[slot.binding].stopping = true;
+        let place = place_with_image(snapshot, slot.job);
+        let Some(to) = place.filter(|&to| !snapshot.machines[to].empty) else {
+            snapshot.jobs[slot.job].bound[slot.binding].stopping = false;
+            undo(snapshot, &moves);
             snapshot.machines[machine].ready = ready;
             return false;
         };
-        bind_tentatively(snapshot, job, place);
-        moves.push(((job, slot), place));
+        bind_tentatively(snapshot, slot.job, to);
+        moves.push(Move { slot, to });
     }
-    for ((job, slot), _) in moves {
-        let job = &snapshot.jobs[job];
-        let task = job.bound[slot].task;
+    for Move { slot, .. } in moves {
+        let job = &snapshot.jobs[slot.job];
+        let task = job.bound[slot.binding].task;
         decisions.stop.push(Stopping { job: job.id.clone(), task, at_once: false });
     }
     true
 }
 
+/// Undoes in the snapshot what `vacate` did there.
+fn undo(snapshot: &mut Snapshot<'_>, moves: &[Move]) {
+    for &Move { slot, to } in moves {
+        let job = &mut snapshot.jobs[slot.job];
+        job.bound[slot.binding].stopping = false;
+        job.bound.pop();
+        snapshot.machines[to].free.add(&Resources::of_task(&job.spec));
+    }
+}
+
 /// Replicas being stopped start again as soon as they are gone: their next
 /// places are held till then, or others would take them in between.
 pub fn reserve_next_places(snapshot: &mut Snapshot<'_>, at: usize) {
@@ -246,7 +262,7 @@
     }
     let away = job.bound.iter().filter(|b| b.stopping && b.task != BoundView::TENTATIVE).count();
     if away > 0 {
-        for place in find_machines(snapshot, at, away, true) {
+        for place in find_machines(snapshot, at, away, MachineReadiness::Ready) {
             bind_tentatively(snapshot, at, place);
         }
     }
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -26,7 +26,7 @@
     }
 
     pub fn accepts(&self, machine: &MachineView) -> bool {
-        self.0[machine.kind][usize::from(machine.spot)]
+        self.0[machine.machine_type][usize::from(machine.spot)]
     }
 }
 
@@ -39,13 +39,14 @@
 }
 
 impl<'a> ZoneConstraint<'a> {
-    pub fn of(job: &'a JobView, zone_index: impl Fn(&str) -> Option<u8>) -> Self {
+    pub fn of(snapshot: &Snapshot<'_>, job: &'a JobView) -> Self {
         let mut counts = BTreeMap::new();
         for bound in &job.bound {
             *counts.entry(bound.zone).or_default() += 1;
         }
         // A zone that the settings don't know is no zone of ours.
-        let fixed = job.spec.zone.as_ref().map(|z| zone_index(z).unwrap_or(u8::MAX));
+        let fixed = job.spec.zone.as_ref();
+        let fixed = fixed.map(|zone| snapshot.settings.zone_index(zone).unwrap_or(u8::MAX));
         Self { spec: &job.spec, fixed, counts }
     }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -17,15 +17,16 @@
 mod scale_out;
 mod snapshot;
 mod team_use;
+mod vacancy;
 mod view;
 
-pub use decisions::{Decisions, Stopping};
+pub use decisions::{Decisions, GrantedWidth, PlacedTask, ScaleOut, Stopping};
 pub use eligibility::is_eligible;
 pub use quota::team_room;
 pub use resources::Resources;
-pub use snapshot::{Slot, Snapshot};
+pub use snapshot::{Snapshot, TaskSlot};
 pub use team_use::TeamUse;
-pub use view::{BoundView, JobView, MachineView, Reservation};
+pub use view::{BoundView, JobView, MachineKind, MachineView, Reservation};
 
 /// One pass: widths (in a round), then places, then room by preemption, then
 /// machines to rent for what is left.
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,20 +1,20 @@
 //! Which machine each task starts on.
 
 use super::{
-    bin_packing::{fetch_s, find_machines, is_obtainable},
+    bin_packing::{MachineReadiness, fetch_s, find_machines, is_obtainable},
     consolidation,
-    decisions::Decisions,
+    decisions::{Decisions, PlacedTask},
     eligibility::is_eligible,
     preemption,
     quota::team_room,
     resources::Resources,
-    scale_out::rent,
-    snapshot::{Slot, Snapshot, bind_tentatively},
+    scale_out::{UnplacedTasks, scale_out},
+    snapshot::{Snapshot, TaskSlot, bind_tentatively},
 };
 use crate::protocol::Shape;
 
 pub fn place(snapshot: &mut Snapshot<'_>, decisions: &mut Decisions) {
-    let mut lacking: Vec<(usize, Vec<u32>)> = Vec::new();
+    let mut lacking: Vec<UnplacedTasks> = Vec::new();
     // What is only placed tentatively here is not yet anybody's to stop.
     let bound_by_machine = snapshot.bound_by_machine();
     for at in order(snapshot) {
@@ -31,7 +31,7 @@
         }
         let spec = job.spec.clone();
         let tasks: Vec<u32> = job.pending[..wanted.min(room)].to_vec();
-        let mut found = find_machines(snapshot, at, tasks.len(), true);
+        let mut found = find_machines(snapshot, at, tasks.len(), MachineReadiness::Ready);
         let wanted_here = found.len();
         if spec.shape == Shape::Service {
             found = avoid_fetches(snapshot, &bound_by_machine, at, found, decisions);
@@ -46,7 +46,7 @@
             }
             if rest_can_come(snapshot, at, &found, count) {
                 let rest = hold_partial_gang(snapshot, at, found, &tasks, decisions);
-                lacking.push((at, rest));
+                lacking.push(UnplacedTasks { job: at, count: rest.len() });
             } else if !consolidation::make_room_for_gang(
                 snapshot,
                 &bound_by_machine,
@@ -54,13 +54,16 @@
                 count,
                 decisions,
             ) {
-                lacking.push((at, tasks));
+                lacking.push(UnplacedTasks { job: at, count: tasks.len() });
             }
             continue;
         }
         for (&task, &machine) in tasks.iter().zip(&found) {
-            let id = snapshot.machines[machine].id.clone();
-            decisions.place.push((snapshot.jobs[at].id.clone(), task, id));
+            decisions.place.push(PlacedTask {
+                job: snapshot.jobs[at].id.clone(),
+                task,
+                machine: snapshot.machines[machine].id.clone(),
+            });
             bind_tentatively(snapshot, at, machine);
         }
         // Tasks that wait for cached room are neither placed nor lacking room.
@@ -68,13 +71,13 @@
         let made = preemption::preempt(snapshot, &bound_by_machine, at, rest.len(), decisions);
         rest.drain(..made);
         if !rest.is_empty() {
-            lacking.push((at, rest));
+            lacking.push(UnplacedTasks { job: at, count: rest.len() });
         }
     }
     if snapshot.round && lacking.is_empty() {
         consolidation::vacate_machines(snapshot, &bound_by_machine, decisions);
     }
-    rent(snapshot, &lacking, decisions);
+    scale_out(snapshot, &lacking, decisions);
 }
 
 /// Whether the rest of a gang's room will come by itself: machines that boot
@@ -88,7 +91,7 @@
     let booting = snapshot.machines.iter().filter(|m| {
         !m.ready
             && zone.is_none_or(|z| z == m.zone)
-            && is_eligible(&job.spec, &snapshot.types[m.kind], m.spot)
+            && is_eligible(&job.spec, &snapshot.types[m.machine_type], m.spot)
             && m.free.holds(&need)
     });
     zones.filter(|z| zone.is_none_or(|zone| zone == *z)).any(|z| is_obtainable(snapshot, job, z))
@@ -117,7 +120,7 @@
 /// that holds the image can be had at a smaller loss.
 fn avoid_fetches(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     at: usize,
     found: Vec<usize>,
     decisions: &mut Decisions,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,89 +1,118 @@
-//! Room for work of higher priority: which running tasks are stopped for it.
+//! Preemption: which running tasks are stopped for work of higher priority.
 
 use super::{
     decisions::{Decisions, Stopping},
-    eligibility::{MachineEligibility, ZoneConstraint},
     resources::Resources,
-    snapshot::{Slot, Snapshot},
-    view::BoundView,
+    snapshot::{Snapshot, TaskSlot},
+    vacancy::{keep_vacated_place, machines_for, room_after_stops, stop},
+    view::{JobView, MachineView},
 };
 use crate::protocol::Shape;
 
+/// Saving a checkpoint may take this many times as long as its job says.
+const SLOW_SAVE: f64 = 1.5;
+
 /// Makes room for `count` tasks of a job by stopping work of lower priority,
-/// the least lost work first, and holds that room for them. Returns for how
+/// the least lost work first, and keeps that room for them. Returns for how
 /// many tasks it did; for a gang that is all or none.
 pub fn preempt(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     at: usize,
     count: usize,
     decisions: &mut Decisions,
 ) -> usize {
-    let shape = snapshot.jobs[at].spec.shape;
     // Arrays wait for machines: stopping one task for another gains nothing.
-    if shape == Shape::Array || count == 0 {
+    if count == 0 {
         return 0;
     }
-    if shape == Shape::Service {
-        let made = preempt_each(snapshot, bound_by_machine, at, count, None, decisions);
-        return made.len();
+    match snapshot.jobs[at].spec.shape {
+        Shape::Array => 0,
+        Shape::Service => {
+            preempt_each(snapshot, bound_by_machine, at, count, None, decisions).len()
+        }
+        Shape::Gang => preempt_for_gang(snapshot, bound_by_machine, at, count, decisions),
     }
-    // Half a gang's room is no use to anybody. The machine where one task
-    // loses the least may lie in a zone that has no room for the next.
+}
+
+/// Half a gang's room is no use to anybody. The machine where one task
+/// loses the least may lie in a zone that has no room for the next.
+fn preempt_for_gang(
+    snapshot: &mut Snapshot<'_>,
+    bound_by_machine: &[Vec<TaskSlot>],
+    at: usize,
+    count: usize,
+    decisions: &mut Decisions,
+) -> usize {
     let job = &snapshot.jobs[at];
     let zones: Vec<Option<u8>> = if job.spec.one_zone && job.bound.is_empty() {
         (0..snapshot.settings.cluster.zones.len() as u8).map(Some).collect()
     } else {
         vec![None]
     };
-    let mut best: Option<(f64, Option<u8>)> = None;
+    let mut best: Option<ZoneLoss> = None;
     for zone in zones {
         let mut tried = Decisions::default();
-        let made = preempt_each(snapshot, bound_by_machine, at, count, zone, &mut tried);
-        let loss: f64 = made.iter().map(|m| m.loss_s).sum();
-        if made.len() == count && best.is_none_or(|(least, _)| loss < least) {
-            best = Some((loss, zone));
+        let plans = preempt_each(snapshot, bound_by_machine, at, count, zone, &mut tried);
+        let loss_s: f64 = plans.iter().map(|plan| plan.loss_s).sum();
+        if plans.len() == count && best.as_ref().is_none_or(|best| loss_s < best.loss_s) {
+            best = Some(ZoneLoss { zone, loss_s });
         }
-        undo(snapshot, at, made);
+        undo(snapshot, at, plans);
     }
-    let Some((_, zone)) = best else { return 0 };
+    let Some(ZoneLoss { zone, .. }) = best else { return 0 };
     preempt_each(snapshot, bound_by_machine, at, count, zone, decisions).len()
 }
 
-/// Room made for one task.
+/// What a gang's room costs in one zone, or in any.
+struct ZoneLoss {
+    zone: Option<u8>,
+    loss_s: f64,
+}
+
+/// How room is made for one task.
 struct PreemptionPlan {
     machine: usize,
-    victims: Vec<Slot>,
+    /// The tasks to stop; none if tasks that are being stopped already suffice.
+    victims: Vec<TaskSlot>,
+    /// Seconds of work that this loses.
     loss_s: f64,
 }
 
+/// Whether only machines count that hold the job's image.
+#[derive(Clone, Copy, PartialEq)]
+enum ImageCache {
+    Required,
+    Optional,
+}
+
 fn preempt_each(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     at: usize,
     count: usize,
     zone: Option<u8>,
     decisions: &mut Decisions,
 ) -> Vec<PreemptionPlan> {
-    let mut made = Vec::new();
-    while made.len() < count
-        && let Some(room) = least_loss(snapshot, bound_by_machine, at, false, zone)
+    let mut plans = Vec::new();
+    while plans.len() < count
+        && let Some(plan) = least_loss(snapshot, bound_by_machine, at, ImageCache::Optional, zone)
     {
-        carry_out(snapshot, at, &room, decisions);
-        made.push(room);
+        carry_out(snapshot, at, &plan, decisions);
+        plans.push(plan);
     }
-    made
+    plans
 }
 
 /// Undoes in the snapshot what `preempt_each` did there.
-fn undo(snapshot: &mut Snapshot<'_>, at: usize, made: Vec<PreemptionPlan>) {
+fn undo(snapshot: &mut Snapshot<'_>, at: usize, plans: Vec<PreemptionPlan>) {
     let need = Resources::of_task(&snapshot.jobs[at].spec);
-    for room in made {
-        let machine = &mut snapshot.machines[room.machine];
+    for plan in plans {
+        let machine = &mut snapshot.machines[plan.machine];
         machine.free.add(&need);
-        for (job, slot) in room.victims {
+        for TaskSlot { job, binding } in plan.victims {
             machine.stopping.sub(&Resources::of_task(&snapshot.jobs[job].spec));
-            snapshot.jobs[job].bound[slot].stopping = false;
+            snapshot.jobs[job].bound[binding].stopping = false;
         }
         snapshot.jobs[at].bound.pop();
     }
@@ -93,14 +122,14 @@
 /// elsewhere would take longer than the work lost by it.
 pub fn preempt_where_image_is_cached(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     at: usize,
     fetch_s: f64,
     decisions: &mut Decisions,
 ) -> bool {
-    match least_loss(snapshot, bound_by_machine, at, true, None) {
-        Some(room) if room.loss_s < fetch_s => {
-            carry_out(snapshot, at, &room, decisions);
+    match least_loss(snapshot, bound_by_machine, at, ImageCache::Required, None) {
+        Some(plan) if plan.loss_s < fetch_s => {
+            carry_out(snapshot, at, &plan, decisions);
             true
         }
         _ => false,
@@ -110,86 +139,85 @@
 fn carry_out(
     snapshot: &mut Snapshot<'_>,
     at: usize,
-    room: &PreemptionPlan,
+    plan: &PreemptionPlan,
     decisions: &mut Decisions,
 ) {
-    let machine = room.machine;
-    let need = Resources::of_task(&snapshot.jobs[at].spec);
-    // Saving takes time that a tight aim on waiting may not have.
+    // Saving takes time that a tight objective for waiting may not have.
     let patience_s = snapshot.jobs[at].patience_s;
-    for &(job, slot) in &room.victims {
-        let spec = snapshot.jobs[job].spec.clone();
-        let bound = &mut snapshot.jobs[job].bound[slot];
-        bound.stopping = true;
-        let stop = Stopping {
-            job: spec.id.clone(),
-            task: bound.task,
-            at_once: patience_s.is_some_and(|p| p > 0.0 && p < spec.save_s * 1.5),
-        };
-        decisions.stop.push(stop);
-        snapshot.machines[machine].stopping.add(&Resources::of_task(&spec));
+    for &victim in &plan.victims {
+        let save_s = snapshot.jobs[victim.job].spec.save_s * SLOW_SAVE;
+        let at_once = patience_s.is_some_and(|p| p > 0.0 && p < save_s);
+        decisions.stop.push(Stopping { at_once, ..stop(snapshot, victim, plan.machine) });
     }
-    // The room is held from now on: given to other work, it would have to be
-    // made again and again.
-    snapshot.machines[machine].free.sub(&need);
-    snapshot.machines[machine].awaited = true;
-    let zone = snapshot.machines[machine].zone;
-    snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, true));
+    keep_vacated_place(snapshot, at, plan.machine);
 }
 
-/// The machine where one task finds room at the least loss, with the tasks
-/// (job, slot) to stop there: none if tasks already being stopped suffice.
+/// The machine where one task finds room at the least loss; of equal ones the first.
 fn least_loss(
     snapshot: &Snapshot<'_>,
-    bound_by_machine: &[Vec<Slot>],
+    bound_by_machine: &[Vec<TaskSlot>],
     at: usize,
-    cached: bool,
+    image_cache: ImageCache,
     zone: Option<u8>,
 ) -> Option<PreemptionPlan> {
     let job = &snapshot.jobs[at];
-    let need = Resources::of_task(&job.spec);
-    let zones = ZoneConstraint::of(job, |z| snapshot.settings.zone_index(z));
-    let eligibility = MachineEligibility::of(snapshot, job);
-    snapshot.count_evaluated(snapshot.machines.len());
-    let mut best: Option<(f64, usize, Vec<Slot>)> = None;
-    for (m, machine) in snapshot.machines.iter().enumerate() {
-        if !machine.ready
-            || !zones.allows(machine.zone)
-            || zone.is_some_and(|z| z != machine.zone)
-            || !eligibility.accepts(machine)
-            || !machine.open_to(&job.id)
-            || job.avoid.contains(&machine.id)
-            || (cached && !machine.images.contains(&job.spec.image))
-        {
+    let mut best: Option<PreemptionPlan> = None;
+    for (machine, view) in machines_for(snapshot, job, zone) {
+        if image_cache == ImageCache::Required && !view.images.contains(&job.spec.image) {
             continue;
         }
-        let mut room = machine.free;
-        room.add(&machine.stopping);
-        let mut candidates: Vec<(f64, usize, usize)> = Vec::new();
-        for &(j, slot) in bound_by_machine.get(m).into_iter().flatten() {
-            let other = &snapshot.jobs[j];
-            let bound = &other.bound[slot];
-            // Only arrays: stopping a replica or a gang costs its whole job,
-            // and work that is dearer to stop waits for a rented machine.
-            if other.priority < job.priority && other.spec.shape == Shape::Array && !bound.stopping
-            {
-                candidates.push((bound.loss_s, j, slot));
-            }
+        let bound = bound_by_machine.get(machine).map_or(&[][..], Vec::as_slice);
+        let Some(plan) = plan_on(snapshot, job, machine, view, bound) else { continue };
+        if best.as_ref().is_none_or(|best| plan.loss_s < best.loss_s) {
+            best = Some(plan);
         }
-        candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut victims = Vec::new();
-        let mut loss = 0.0;
-        for (lost, j, slot) in candidates {
-            if room.holds(&need) {
-                break;
-            }
-            room.add(&Resources::of_task(&snapshot.jobs[j].spec));
-            loss += lost;
-            victims.push((j, slot));
+    }
+    best
+}
+
+/// How room for one task can be made on a machine, if it can.
+fn plan_on(
+    snapshot: &Snapshot<'_>,
+    job: &JobView,
+    machine: usize,
+    view: &MachineView,
+    bound: &[TaskSlot],
+) -> Option<PreemptionPlan> {
+    let need = Resources::of_task(&job.spec);
+    let mut room = room_after_stops(view);
+    let mut victims = Vec::new();
+    let mut loss_s = 0.0;
+    for candidate in candidates(snapshot, job, bound) {
+        if room.holds(&need) {
+            break;
         }
-        if room.holds(&need) && best.as_ref().is_none_or(|(l, _, _)| loss < *l) {
-            best = Some((loss, m, victims));
+        room.add(&Resources::of_task(&snapshot.jobs[candidate.slot.job].spec));
+        loss_s += candidate.loss_s;
+        victims.push(candidate.slot);
+    }
+    room.holds(&need).then_some(PreemptionPlan { machine, victims, loss_s })
+}
+
+/// A task that may be stopped.
+struct Candidate {
+    slot: TaskSlot,
+    /// Seconds of work that stopping it now would lose.
+    loss_s: f64,
+}
+
+/// The tasks on a machine that a job may preempt, the least loss first.
+fn candidates(snapshot: &Snapshot<'_>, job: &JobView, bound: &[TaskSlot]) -> Vec<Candidate> {
+    let mut candidates = Vec::new();
+    for &slot in bound {
+        let other = &snapshot.jobs[slot.job];
+        let binding = &other.bound[slot.binding];
+        // Only arrays: stopping a replica or a gang costs its whole job,
+        // and work that is dearer to stop waits for a provisioned machine.
+        let preemptible = other.priority < job.priority && other.spec.shape == Shape::Array;
+        if preemptible && !binding.stopping {
+            candidates.push(Candidate { slot, loss_s: binding.loss_s });
         }
     }
-    best.map(|(loss_s, machine, victims)| PreemptionPlan { machine, victims, loss_s })
+    candidates.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
+    candidates
 }
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 
 use super::{
-    decisions::{Decisions, Stopping},
-    resources::Resources,
-    snapshot::Snapshot,
+    decisions::Decisions,
+    snapshot::{Snapshot, TaskSlot},
+    vacancy::stop,
     view::JobView,
 };
 use crate::protocol::{JobId, Shape};
@@ -25,28 +25,18 @@
         let Some(claimant) = claimant else { continue };
         // It is kept for the job, though it may be idle until that is placed.
         decisions.awaited.push(snapshot.machines[machine].id.clone());
-        for &(job, slot) in slots.iter().filter(|(job, _)| *job != claimant) {
-            stop(snapshot, machine, (job, slot), decisions);
+        for &slot in slots.iter().filter(|slot| slot.job != claimant) {
+            if may_stop(snapshot, slot) {
+                let stopping = stop(snapshot, slot, machine);
+                decisions.stop.push(stopping);
+            }
         }
     }
 }
 
-fn stop(
-    snapshot: &mut Snapshot<'_>,
-    machine: usize,
-    (job, slot): (usize, usize),
-    decisions: &mut Decisions,
-) {
-    if !may_be_stopped(&snapshot.jobs[job]) || snapshot.jobs[job].bound[slot].stopping {
-        return;
-    }
-    let need = Resources::of_task(&snapshot.jobs[job].spec);
-    let id = snapshot.jobs[job].id.clone();
-    let bound = &mut snapshot.jobs[job].bound[slot];
-    bound.stopping = true;
-    let stopping = Stopping { job: id, task: bound.task, at_once: false };
-    decisions.stop.push(stopping);
-    snapshot.machines[machine].stopping.add(&need);
+fn may_stop(snapshot: &Snapshot<'_>, slot: TaskSlot) -> bool {
+    let job = &snapshot.jobs[slot.job];
+    may_be_stopped(job) && !job.bound[slot.binding].stopping
 }
 
 /// Work beyond its team's guarantee that saves. What came inside meanwhile stays.
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -5,7 +5,7 @@
 use super::{
     resources::Resources,
     team_use::TeamUse,
-    view::{BoundView, JobView, MachineView},
+    view::{BoundView, JobView, MachineKind, MachineView},
 };
 use crate::{protocol::MachineType, settings::Settings};
 
@@ -18,8 +18,8 @@
     pub jobs: Vec<JobView>,
     /// What each team's bound tasks use.
     pub usage: HashMap<Arc<str>, TeamUse>,
-    /// Kinds of machine (type, zone, spot) of which the cloud had no more lately.
-    pub exhausted: Vec<(usize, u8, bool)>,
+    /// Kinds of machine of which the cloud had no more lately.
+    pub exhausted: Vec<MachineKind>,
     /// Empty ordinary machines to have ready for what may come.
     pub headroom_machines: usize,
     /// Empty spot machines to have ready.
@@ -28,25 +28,41 @@
     pub headroom_capacity: f64,
     /// Whether the design's round is due now.
     pub round: bool,
-    /// How many places were weighed so far: what a pass costs.
+    /// How many places were evaluated so far: what a pass costs.
     pub candidates_evaluated: Cell<u64>,
 }
 
-/// A bound task: the job's place in the snapshot and the binding's in the job.
-pub type Slot = (usize, usize);
+/// A bound task, by its place in a snapshot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TaskSlot {
+    /// The job's place in the snapshot.
+    pub job: usize,
+    /// The binding's place in the job.
+    pub binding: usize,
+}
 
 impl Snapshot<'_> {
+    /// The type of a machine.
+    pub(super) fn type_of(&self, machine: usize) -> &MachineType {
+        &self.types[self.machines[machine].machine_type]
+    }
+
+    /// Whether the cloud may have machines of a kind.
+    pub(super) fn may_be_provisioned(&self, kind: &MachineKind) -> bool {
+        !self.exhausted.contains(kind)
+    }
+
     pub(super) fn count_evaluated(&self, places: usize) {
         self.candidates_evaluated.set(self.candidates_evaluated.get() + places as u64);
     }
 
     /// The tasks bound to each machine.
-    pub(super) fn bound_by_machine(&self) -> Vec<Vec<Slot>> {
+    pub(super) fn bound_by_machine(&self) -> Vec<Vec<TaskSlot>> {
         let mut bound_by_machine = vec![Vec::new(); self.machines.len()];
-        for (at, job) in self.jobs.iter().enumerate() {
-            for (slot, bound) in job.bound.iter().enumerate() {
+        for (job, view) in self.jobs.iter().enumerate() {
+            for (binding, bound) in view.bound.iter().enumerate() {
                 if let Some(machine) = bound.machine {
-                    bound_by_machine[machine].push((at, slot));
+                    bound_by_machine[machine].push(TaskSlot { job, binding });
                 }
             }
         }
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -5,10 +5,21 @@
 use super::resources::Resources;
 use crate::protocol::{JobId, JobSpec, MachineId, Priority, Shape};
 
+/// A kind of machine that the cloud provides. Ordered by its fields.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct MachineKind {
+    /// The machine type's place among the types on offer.
+    pub machine_type: usize,
+    /// The zone's place in the settings.
+    pub zone: u8,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+}
+
 #[derive(Clone, Debug)]
 pub struct MachineView {
     pub id: MachineId,
-    pub kind: usize,
+    pub machine_type: usize,
     pub zone: u8,
     pub spot: bool,
     pub free: Resources,
@@ -34,6 +45,11 @@
 }
 
 impl MachineView {
+    /// Its kind.
+    pub fn kind(&self) -> MachineKind {
+        MachineKind { machine_type: self.machine_type, zone: self.zone, spot: self.spot }
+    }
+
     /// Whether a job may count on its room.
     pub fn open_to(&self, job: &JobId) -> bool {
         self.reservation.as_ref().is_none_or(|reservation| reservation.job == *job)
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -13,7 +13,8 @@
     lending::{Lending, lending},
     protocol::{JobSpec, JobState, MachineId, TaskState},
     scheduler::{
-        BoundView, Decisions, JobView, MachineView, Reservation, Resources, Snapshot, decide,
+        BoundView, Decisions, JobView, MachineKind, MachineView, Reservation, Resources, Snapshot,
+        decide,
     },
 };
 use stonewheel_lending::{
@@ -148,7 +149,7 @@
     let settings = common::settings("m-0");
     let machine = MachineView {
         id: "n-000001".into(),
-        kind: 0,
+        machine_type: 0,
         zone: 0,
         spot: false,
         free: Resources { cpus: 20.0, gpus: free_gpus, memory_gb: 100.0 },
@@ -165,7 +166,7 @@
         machines: vec![machine],
         jobs,
         usage: Default::default(),
-        exhausted: vec![(0, 0, false), (0, 1, false)],
+        exhausted: [0, 1].map(|zone| MachineKind { machine_type: 0, zone, spot: false }).into(),
         headroom_machines: 0,
         headroom_spot_machines: 0,
         headroom_capacity: 0.0,
@@ -204,7 +205,7 @@
             job_view(RED, 5, waits.clone(), false),
         ];
         let placed = pass(jobs, 8.0, granted).place;
-        let jobs: Vec<&str> = placed.iter().map(|(job, ..)| &**job).collect();
+        let jobs: Vec<&str> = placed.iter().map(|placed| &*placed.job).collect();
         assert_eq!(jobs, if granted { vec![RED] } else { vec![] });
     }
 }
