--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -98,28 +98,29 @@
         let bound = self.bound.range(range.clone());
         let bound = bound.map(|(task, binding)| binding.record(*task)).collect();
         let width = (page == 0 && self.width > 0).then_some(self.width);
-        Page { attempt: self.attempt, width, bound, done: self.done_runs(range), tasks: None }
+        Page { attempt: self.attempt, width, bound, done: self.done_ranges(range), tasks: None }
     }
 
-    /// The completed tasks of a range, as runs of consecutive ones.
-    fn done_runs(&self, range: Range<u32>) -> Vec<TaskRange> {
-        let mut runs: Vec<TaskRange> = Vec::new();
+    /// The completed tasks of a range, as ranges without gaps.
+    fn done_ranges(&self, range: Range<u32>) -> Vec<TaskRange> {
+        let mut ranges: Vec<TaskRange> = Vec::new();
         for task in range.filter(|task| self.done.contains(task)) {
-            match runs.last_mut() {
-                Some(run) if run.first + run.count == task => run.count += 1,
-                _ => runs.push(TaskRange { first: task, count: 1 }),
+            match ranges.last_mut() {
+                Some(last) if last.first + last.count == task => last.count += 1,
+                _ => ranges.push(TaskRange { first: task, count: 1 }),
             }
         }
-        runs
+        ranges
     }
 
     /// No less than what the record of a page takes.
     fn page_bytes(&self, page: u32) -> usize {
         let content = self.page(page);
         let bound = content.bound.iter().map(bound_task_bytes);
-        let run_bytes =
-            |run: &TaskRange| digits(run.first.into()) + digits(run.count.into()) + RUN_PUNCTUATION;
-        let done = content.done.iter().map(run_bytes);
+        let done = content
+            .done
+            .iter()
+            .map(|range| digits(range.first.into()) + digits(range.count.into()) + RUN_PUNCTUATION);
         EMPTY_PAGE_BYTES + bound.sum::<usize>() + done.sum::<usize>()
     }
 
@@ -154,25 +155,39 @@
     }
 }
 
+/// Which ranges of tasks the pages of new jobs may cover.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PageLayout {
+    /// The common range alone: controllers of the version before may lead.
+    Common,
+    /// A smaller one too, for work that must start as a whole and would not fit.
+    CommonOrSmall,
+}
+
 /// Tasks of each page of a job that has none yet.
-pub(super) fn tasks_per_page(settings: &Settings, spec: &JobSpec, small_pages: bool) -> u32 {
+pub(super) fn tasks_per_page(settings: &Settings, spec: &JobSpec, layout: PageLayout) -> u32 {
     let tasks = settings.page_tasks();
     let whole = spec.shape != Shape::Array;
     let crowded = spec.tasks.min(tasks) as usize * LARGEST_BINDING_BYTES
         > settings.state_limits().value_bytes;
-    if whole && crowded && small_pages { settings.small_page_tasks() } else { tasks }
+    if whole && crowded && layout == PageLayout::CommonOrSmall {
+        settings.small_page_tasks()
+    } else {
+        tasks
+    }
 }
 
 impl Leader {
     /// Every member knows pages of smaller ranges: no older version leads any more.
     pub fn allow_small_pages(&mut self) {
-        if std::mem::replace(&mut self.small_pages, true) {
+        let former = std::mem::replace(&mut self.page_layout, PageLayout::CommonOrSmall);
+        if former == PageLayout::CommonOrSmall {
             return;
         }
-        info!("all controllers know small pages");
+        info!("small pages enabled on all controllers");
         let without_pages = |job: &&mut Job| job.attempt == 0 && job.pages.is_empty();
         for job in self.jobs.values_mut().filter(without_pages) {
-            job.page_tasks = tasks_per_page(&self.settings, &job.spec, true);
+            job.page_tasks = tasks_per_page(&self.settings, &job.spec, self.page_layout);
         }
         self.record_change();
     }
@@ -215,7 +230,7 @@
             return Some((content, value));
         }
         let surplus = (bytes - limit).div_ceil(bytes / content.bound.len().max(1));
-        warn!(job = %key.job, page = key.page, surplus, "a page is too large to be written");
+        warn!(job = %key.job, page = key.page, surplus, "page too large to be written");
         let last_bound = content.bound.iter().rev().take(surplus);
         let tasks = last_bound.map(|bound| TaskKey { job: key.job.clone(), task: bound.task });
         self.writes.mark_oversized(key.clone(), tasks);
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -8,6 +8,7 @@
     Leader,
     binding::{Binding, GracePeriod},
     job::Job,
+    pass_timers::PassKind,
     pending_writes::PageKey,
 };
 use crate::{
@@ -17,19 +18,19 @@
 };
 
 impl Leader {
-    /// Makes a pass; a `round` also sets the widths of arrays.
-    pub(super) fn schedule(&mut self, round: bool, now: Instant) {
+    /// Makes a pass.
+    pub(super) fn schedule(&mut self, kind: PassKind, now: Instant) {
         if self.types.is_empty() {
             return;
         }
-        if round {
+        if kind == PassKind::Round {
             let interval = Duration::from_secs_f64(self.settings.operator.round_s);
             self.timers.begin_round(now, interval);
         }
         let settled = self.is_settled(now);
-        let decisions = self.decide(round, now);
+        let decisions = self.decide(kind, now);
         self.counters.passes += 1;
-        self.counters.weighed += decisions.candidates_evaluated;
+        self.counters.candidates_evaluated += decisions.candidates_evaluated;
         self.apply_decisions(decisions, settled, now);
     }
 
@@ -64,7 +65,7 @@
 
     fn set_width(&mut self, id: JobId, width: u32) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.width != width) {
-            info!(job = %id, from = job.width, to = width, "width");
+            info!(job = %id, from = job.width, to = width, "array width changed");
             job.width = width;
             // The first page holds the width.
             self.writes.mark_due(PageKey { job: id, page: 0 });
@@ -73,7 +74,7 @@
 
     fn preempt(&mut self, stopping: Stopping, now: Instant) {
         let Stopping { job, task, at_once } = stopping;
-        info!(%job, task, at_once, "stopped to make room");
+        info!(%job, task, at_once, "task preempted");
         let grace = if at_once { GracePeriod::None } else { GracePeriod::OfJob };
         self.stop(&TaskKey { job, task }, grace, now);
     }
@@ -110,7 +111,7 @@
             job.attempt += 1;
         }
         let incarnation = machine.latest_heartbeat.incarnation;
-        debug!(job = %key.job, task = key.task, machine = %machine_id, attempt = job.attempt, "bound");
+        debug!(job = %key.job, task = key.task, machine = %machine_id, attempt = job.attempt, "task bound");
         job.bind(key.task, Binding::new(machine_id.clone(), job.attempt, incarnation, zone));
         self.quota_use.add(&job.spec);
         machine.bound.insert(key.clone());
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -108,3 +108,6 @@
         self.loads.front().map(|sample| sample.load)
     }
 }
+
+#[cfg(test)]
+mod tests;
