--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -35,7 +35,13 @@
     quota::mark_guaranteed(&mut snapshot);
     reservations::clear_reserved(&mut snapshot, &mut decisions);
     admission::set_widths(&mut snapshot, &mut decisions);
-    placement::place(&mut snapshot, &mut decisions);
+    // What is only placed tentatively in this pass is not yet anybody's to stop.
+    let bound_by_machine = snapshot.bound_by_machine();
+    let unplaced = placement::place(&mut snapshot, &bound_by_machine, &mut decisions);
+    if snapshot.round && unplaced.is_empty() {
+        consolidation::vacate_machines(&mut snapshot, &bound_by_machine, &mut decisions);
+    }
+    scale_out::scale_out(&mut snapshot, &unplaced, &mut decisions);
     decisions.candidates_evaluated = snapshot.candidates_evaluated.get();
     decisions
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -8,76 +8,108 @@
     preemption,
     quota::team_room,
     resources::Resources,
-    scale_out::{UnplacedTasks, scale_out},
+    scale_out::UnplacedTasks,
     snapshot::{Snapshot, TaskSlot, bind_tentatively},
 };
 use crate::protocol::Shape;
 
-pub fn place(snapshot: &mut Snapshot<'_>, decisions: &mut Decisions) {
-    let mut lacking: Vec<UnplacedTasks> = Vec::new();
-    // What is only placed tentatively here is not yet anybody's to stop.
-    let bound_by_machine = snapshot.bound_by_machine();
+/// Places waiting tasks, job by job in the order in which they take room. Returns the
+/// tasks that lack room.
+pub fn place(
+    snapshot: &mut Snapshot<'_>,
+    bound_by_machine: &[Vec<TaskSlot>],
+    decisions: &mut Decisions,
+) -> Vec<UnplacedTasks> {
+    let mut unplaced = Vec::new();
     for at in order(snapshot) {
         consolidation::reserve_next_places(snapshot, at);
-        let job = &snapshot.jobs[at];
-        let wanted = job.startable();
-        if wanted == 0 {
-            continue;
-        }
-        let usage = snapshot.usage.entry(job.spec.team.clone()).or_default();
-        let room = team_room(snapshot.settings.team(&job.spec.team), usage, &job.spec) as usize;
-        if room == 0 || (job.spec.shape == Shape::Gang && room < wanted) {
-            continue;
-        }
-        let spec = job.spec.clone();
-        let tasks: Vec<u32> = job.pending[..wanted.min(room)].to_vec();
-        let mut found = find_machines(snapshot, at, tasks.len(), MachineReadiness::Ready);
-        let wanted_here = found.len();
-        if spec.shape == Shape::Service {
-            found = avoid_fetches(snapshot, &bound_by_machine, at, found, decisions);
-        }
-        let usage = snapshot.usage.entry(spec.team.clone()).or_default();
-        usage.cpus += spec.cpus * tasks.len() as f64;
-        usage.gpus += spec.gpus * tasks.len() as f64;
-        if spec.shape == Shape::Gang && found.len() < tasks.len() {
-            let count = tasks.len();
-            if preemption::preempt(snapshot, &bound_by_machine, at, count, decisions) == count {
-                continue;
-            }
-            if rest_can_come(snapshot, at, &found, count) {
-                let rest = hold_partial_gang(snapshot, at, found, &tasks, decisions);
-                lacking.push(UnplacedTasks { job: at, count: rest.len() });
-            } else if !consolidation::make_room_for_gang(
-                snapshot,
-                &bound_by_machine,
-                at,
-                count,
-                decisions,
-            ) {
-                lacking.push(UnplacedTasks { job: at, count: tasks.len() });
-            }
-            continue;
-        }
-        for (&task, &machine) in tasks.iter().zip(&found) {
-            decisions.place.push(PlacedTask {
-                job: snapshot.jobs[at].id.clone(),
-                task,
-                machine: snapshot.machines[machine].id.clone(),
-            });
-            bind_tentatively(snapshot, at, machine);
-        }
-        // Tasks that wait for cached room are neither placed nor lacking room.
-        let mut rest = tasks[found.len().max(wanted_here)..].to_vec();
-        let made = preemption::preempt(snapshot, &bound_by_machine, at, rest.len(), decisions);
-        rest.drain(..made);
-        if !rest.is_empty() {
-            lacking.push(UnplacedTasks { job: at, count: rest.len() });
+        let Some(tasks) = tasks_to_place(snapshot, at) else { continue };
+        let count = place_job(snapshot, bound_by_machine, at, &tasks, decisions);
+        if count > 0 {
+            unplaced.push(UnplacedTasks { job: at, count });
         }
     }
-    if snapshot.round && lacking.is_empty() {
-        consolidation::vacate_machines(snapshot, &bound_by_machine, decisions);
+    unplaced
+}
+
+/// The tasks of a job that may start now within its width and its team's limit.
+fn tasks_to_place(snapshot: &mut Snapshot<'_>, at: usize) -> Option<Vec<u32>> {
+    let job = &snapshot.jobs[at];
+    let wanted = job.startable();
+    if wanted == 0 {
+        return None;
+    }
+    let usage = snapshot.usage.entry(job.spec.team.clone()).or_default();
+    let room = team_room(snapshot.settings.team(&job.spec.team), usage, &job.spec) as usize;
+    if room == 0 || (job.spec.shape == Shape::Gang && room < wanted) {
+        return None;
+    }
+    Some(job.pending[..wanted.min(room)].to_vec())
+}
+
+/// Places tasks of a job, or makes room for them. Returns how many lack room.
+fn place_job(
+    snapshot: &mut Snapshot<'_>,
+    bound_by_machine: &[Vec<TaskSlot>],
+    at: usize,
+    tasks: &[u32],
+    decisions: &mut Decisions,
+) -> usize {
+    let shape = snapshot.jobs[at].spec.shape;
+    let mut found = find_machines(snapshot, at, tasks.len(), MachineReadiness::Ready);
+    let found_at_first = found.len();
+    if shape == Shape::Service {
+        found = avoid_fetches(snapshot, bound_by_machine, at, found, decisions);
+    }
+    add_usage(snapshot, at, tasks.len());
+    if shape == Shape::Gang && found.len() < tasks.len() {
+        return make_room_for_gang(snapshot, bound_by_machine, at, found, tasks.len(), decisions);
+    }
+    for (&task, &machine) in tasks.iter().zip(&found) {
+        decisions.place.push(PlacedTask {
+            job: snapshot.jobs[at].id.clone(),
+            task,
+            machine: snapshot.machines[machine].id.clone(),
+        });
+        bind_tentatively(snapshot, at, machine);
+    }
+    // Tasks that wait for cached room are neither placed nor lacking room.
+    let lacking = tasks.len() - found_at_first;
+    lacking - preemption::preempt(snapshot, bound_by_machine, at, lacking, decisions)
+}
+
+/// Counts tasks of a job into its team's usage, whether they are placed at once or wait
+/// for room that is made for them.
+fn add_usage(snapshot: &mut Snapshot<'_>, at: usize, count: usize) {
+    let spec = &snapshot.jobs[at].spec;
+    let usage = snapshot.usage.entry(spec.team.clone()).or_default();
+    usage.cpus += spec.cpus * count as f64;
+    usage.gpus += spec.gpus * count as f64;
+}
+
+/// Makes room for all `count` tasks of a gang that found too little. Returns how many
+/// lack room.
+fn make_room_for_gang(
+    snapshot: &mut Snapshot<'_>,
+    bound_by_machine: &[Vec<TaskSlot>],
+    at: usize,
+    found: Vec<usize>,
+    count: usize,
+    decisions: &mut Decisions,
+) -> usize {
+    if preemption::preempt(snapshot, bound_by_machine, at, count, decisions) == count {
+        return 0;
+    }
+    if rest_can_come(snapshot, at, &found, count) {
+        let lacking = count - found.len();
+        hold_partial_gang(snapshot, at, found, decisions);
+        return lacking;
+    }
+    if consolidation::make_room_for_gang(snapshot, bound_by_machine, at, count, decisions) {
+        0
+    } else {
+        count
     }
-    scale_out(snapshot, &lacking, decisions);
 }
 
 /// Whether the rest of a gang's room will come by itself: machines that boot
@@ -99,21 +131,17 @@
 }
 
 /// Holds what part of a gang's room is there, until the rest is: given to
-/// small work meanwhile, it would never be whole at one time. Returns the
-/// tasks that lack room.
+/// small work meanwhile, it would never be whole at one time.
 fn hold_partial_gang(
     snapshot: &mut Snapshot<'_>,
     at: usize,
     found: Vec<usize>,
-    tasks: &[u32],
     decisions: &mut Decisions,
-) -> Vec<u32> {
-    let rest = tasks[found.len()..].to_vec();
+) {
     for machine in found {
         decisions.awaited.push(snapshot.machines[machine].id.clone());
         bind_tentatively(snapshot, at, machine);
     }
-    rest
 }
 
 /// Keeps a replica from a machine that would first fetch its image, if one
@@ -151,7 +179,7 @@
 /// Priority, then work within its team's guarantee, then work that needs most
 /// of a machine (others find room in what it can't use), then arrival: the
 /// order in which waiting work takes room.
-pub fn order(snapshot: &Snapshot<'_>) -> Vec<usize> {
+fn order(snapshot: &Snapshot<'_>) -> Vec<usize> {
     let mut order: Vec<usize> = (0..snapshot.jobs.len()).collect();
     order.sort_by_cached_key(|&at| {
         let job = &snapshot.jobs[at];
