--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -31,12 +31,12 @@
             machines,
             jobs,
             usage: self.quota_use.by_team(),
-            refused: exhausted,
-            spare: self.headroom_machines(),
-            spare_spot: self.headroom_spot_machines(),
-            spare_room: self.headroom().total_machines(),
+            exhausted,
+            headroom_machines: self.headroom_machines(),
+            headroom_spot_machines: self.headroom_spot_machines(),
+            headroom_capacity: self.headroom().total_machines(),
             round: kind == PassKind::Round,
-            weighed: Cell::new(0),
+            candidates_evaluated: Cell::new(0),
         })
     }
 
@@ -47,8 +47,8 @@
     }
 
     fn machine_view(&self, id: &MachineId, machine: &Machine, now: Instant) -> Option<MachineView> {
-        let kind = self.types.number(&machine.machine_type)?;
-        let machine_type = self.types.get(kind)?;
+        let type_number = self.types.number(&machine.machine_type)?;
+        let machine_type = self.types.get(type_number)?;
         let zone = self.settings.zone_index(&machine.zone)?;
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
         if !ready && !self.is_coming(machine, machine_type, now) {
@@ -68,7 +68,7 @@
         }
         Some(MachineView {
             id: id.clone(),
-            kind,
+            machine_type: type_number,
             zone,
             spot: machine.spot,
             free,
@@ -128,7 +128,7 @@
             patience_s: self.patience_s(job, now),
             // Known only once all jobs of the team are seen together.
             guaranteed: false,
-            held: crowded || job.backoff_until.is_some(),
+            blocked: crowded || job.backoff_until.is_some(),
             avoid: self.machines_to_avoid(job),
         }
     }
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -7,13 +7,13 @@
 use std::collections::HashMap;
 
 use super::{
-    decisions::Decisions,
+    decisions::{Decisions, GrantedWidth},
     optimizer::{Curve, Program},
     quota::team_room,
     resources::Resources,
     snapshot::Snapshot,
     team_use::TeamUse,
-    view::JobView,
+    view::{JobView, MachineKind},
 };
 use crate::protocol::Shape;
 
@@ -33,7 +33,7 @@
             }
         }
         if job.spec.shape == Shape::Array && snapshot.round {
-            decisions.widths.push((job.id.clone(), job.width));
+            decisions.widths.push(GrantedWidth { job: job.id.clone(), width: job.width });
         }
     }
 }
@@ -54,7 +54,7 @@
         if !share.is_finite() || share <= 0.0 {
             return Self { tasks: 1, units: 1 };
         }
-        let tasks = (1.0 / share + STEP_SLACK).floor().clamp(1.0, f64::from(MOST_TASKS_OF_STEP));
+        let tasks = (1.0 / share + STEP_SLACK).floor().clamp(1.0, f64::from(MAX_TASKS_OF_STEP));
         Self { tasks: tasks as u32, units: ((share - STEP_SLACK).ceil() as usize).max(1) }
     }
 
@@ -73,7 +73,7 @@
 const STEP_SLACK: f64 = 1e-6;
 
 /// Tasks that take next to nothing are still counted.
-const MOST_TASKS_OF_STEP: u32 = 1_000;
+const MAX_TASKS_OF_STEP: u32 = 1_000;
 
 /// An array that may be admitted: its place in the snapshot, its widths in steps
 /// and the most tasks that it may have.
@@ -98,7 +98,7 @@
     let eligible: Vec<&Candidate> = candidates.iter().filter(|c| c.curve.max > 0).collect();
     // While the cloud rents, the room held grows with the demand.
     let wanted: usize = eligible.iter().map(|c| c.curve.max as usize * c.curve.cost).sum();
-    let room = if rentable(snapshot) { wanted } else { room_of_arrays(snapshot, units) };
+    let room = if any_is_obtainable(snapshot) { wanted } else { room_of_arrays(snapshot, units) };
     let steps = if wanted <= room {
         widths_where_all_fits(snapshot, &eligible)
     } else {
@@ -131,7 +131,7 @@
 fn room_of_arrays(snapshot: &Snapshot<'_>, units: f64) -> usize {
     let mut room = 0_usize;
     for machine in &snapshot.machines {
-        let total = Resources::of_type(&snapshot.types[machine.kind]);
+        let total = Resources::of_type(&snapshot.types[machine.machine_type]);
         let free = [
             (machine.free.gpus, total.gpus),
             (machine.free.cpus, total.cpus),
@@ -234,11 +234,13 @@
     best >= kept * (1.0 + snapshot.settings.operator.resize_gain)
 }
 
-fn rentable(snapshot: &Snapshot<'_>) -> bool {
-    snapshot.types.iter().enumerate().any(|(kind, t)| {
+fn any_is_obtainable(snapshot: &Snapshot<'_>) -> bool {
+    snapshot.types.iter().enumerate().any(|(machine_type, t)| {
         t.zones.iter().any(|zone| {
             snapshot.settings.zone_index(zone).is_some_and(|zone| {
-                [false, true].iter().any(|&spot| !snapshot.refused.contains(&(kind, zone, spot)))
+                [false, true].iter().any(|&spot| {
+                    snapshot.may_be_provisioned(&MachineKind { machine_type, zone, spot })
+                })
             })
         })
     })
