--- a/crates/stonewheel-activation/src/settings.rs
+++ b/crates/stonewheel-activation/src/settings.rs
@@ -8,7 +8,7 @@
 };
 
 use garde::Validate;
-use stonewheel_settings::{Section, SectionError, check_name, known_priority, path, whole};
+use stonewheel_settings::{FieldError, Section, check_name, known_priority, path, whole};
 
 /// The section with what holds for all models.
 const GENERAL_SECTION: &str = "activation";
@@ -200,25 +200,25 @@
 /// `activation`. Sections of other parts are passed over.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
-) -> Result<Option<ActivationSettings>, SectionError> {
+) -> Result<Option<ActivationSettings>, FieldError> {
     let mut settings = None;
     let mut models = BTreeMap::new();
     for (name, pairs) in sections {
         if name == GENERAL_SECTION {
             if settings.replace(general(Section::new(name, &pairs)?)?).is_some() {
-                return Err(SectionError::stands_twice(name));
+                return Err(FieldError::stands_twice(name));
             }
         } else if let Some(model) = name.strip_prefix(MODEL_SECTION) {
             check_name(name, model)?;
             let parsed = model_settings(Section::new(name, &pairs)?)?;
             if models.insert(model.to_owned(), parsed).is_some() {
-                return Err(SectionError::stands_twice(name));
+                return Err(FieldError::stands_twice(name));
             }
         }
     }
     let Some(mut settings) = settings else {
         return match models.keys().next() {
-            Some(name) => Err(SectionError {
+            Some(name) => Err(FieldError {
                 field: format!("{MODEL_SECTION}{name}"),
                 reason: format!("needs a section [{GENERAL_SECTION}]"),
             }),
@@ -227,7 +227,7 @@
     };
     if models.is_empty() {
         let reason = format!("needs a section [{MODEL_SECTION}NAME]");
-        return Err(SectionError { field: GENERAL_SECTION.into(), reason });
+        return Err(FieldError { field: GENERAL_SECTION.into(), reason });
     }
     settings.models = models;
     settings.validate().map_err(|report| first_error(&report))?;
@@ -240,12 +240,12 @@
 }
 
 /// The first mistake of a report, in the file's terms.
-fn first_error(report: &garde::Report) -> SectionError {
+fn first_error(report: &garde::Report) -> FieldError {
     // Other times follow from the load time where they are not set, and so do their
     // mistakes.
     let follows = |path: &garde::Path| !path.to_string().ends_with(LOAD_TIME);
     let Some((path, error)) = report.iter().min_by_key(|(path, _)| follows(path)) else {
-        return SectionError { field: GENERAL_SECTION.into(), reason: "is invalid".into() };
+        return FieldError { field: GENERAL_SECTION.into(), reason: "is invalid".into() };
     };
     let path = path.to_string();
     let field = match path.strip_prefix("models.").and_then(|rest| rest.rsplit_once('.')) {
@@ -254,10 +254,10 @@
         }
         None => format!("{GENERAL_SECTION}.{path}"),
     };
-    SectionError { field, reason: error.message().into() }
+    FieldError { field, reason: error.message().into() }
 }
 
-fn general(mut section: Section<'_>) -> Result<ActivationSettings, SectionError> {
+fn general(mut section: Section<'_>) -> Result<ActivationSettings, FieldError> {
     let listen = section.text("listen", None)?;
     let listen = Listen::parse(&listen)
         .ok_or_else(|| section.error("listen", "must be a port or address:port"))?;
@@ -274,7 +274,7 @@
     Ok(settings)
 }
 
-fn model_settings(mut section: Section<'_>) -> Result<ModelSettings, SectionError> {
+fn model_settings(mut section: Section<'_>) -> Result<ModelSettings, FieldError> {
     let load_s = section.number(LOAD_TIME, None)?;
     let settings = ModelSettings {
         team: section.text("team", None)?,
--- a/crates/stonewheel-activation/src/settings/tests.rs
+++ b/crates/stonewheel-activation/src/settings/tests.rs
@@ -20,7 +20,7 @@
     ]
 }
 
-fn parse(sections: Vec<(&'static str, Pairs)>) -> Result<Option<ActivationSettings>, SectionError> {
+fn parse(sections: Vec<(&'static str, Pairs)>) -> Result<Option<ActivationSettings>, FieldError> {
     parse_sections(sections.into_iter())
 }
 
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use garde::Validate;
-use stonewheel_settings::{Section, SectionError, check_name, whole};
+use stonewheel_settings::{FieldError, Section, check_name, whole};
 use tokio::time::Duration;
 
 use crate::{claim::TeamName, ledger::LONGEST_NAME};
@@ -90,19 +90,19 @@
 /// `lending`. Sections of other parts are passed over.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
-) -> Result<Option<LendingSettings>, SectionError> {
+) -> Result<Option<LendingSettings>, FieldError> {
     let mut times = None;
     let mut teams = Teams::new();
     for (name, pairs) in sections {
         if name == GENERAL_SECTION {
             if times.replace(general(Section::new(name, &pairs)?)?).is_some() {
-                return Err(SectionError::stands_twice(name));
+                return Err(FieldError::stands_twice(name));
             }
         } else if let Some(team) = name.strip_prefix(TEAM_SECTION) {
             check_name(name, team)?;
             let parsed = team_settings(team, Section::new(name, &pairs)?)?;
             if teams.insert(Arc::from(team), parsed).is_some() {
-                return Err(SectionError::stands_twice(name));
+                return Err(FieldError::stands_twice(name));
             }
         }
     }
@@ -118,11 +118,11 @@
     Ok(Some(LendingSettings { times, teams }))
 }
 
-fn needs(field: &str, section: &str) -> SectionError {
-    SectionError { field: field.into(), reason: format!("needs a section [{section}]") }
+fn needs(field: &str, section: &str) -> FieldError {
+    FieldError { field: field.into(), reason: format!("needs a section [{section}]") }
 }
 
-fn general(mut section: Section<'_>) -> Result<Times, SectionError> {
+fn general(mut section: Section<'_>) -> Result<Times, FieldError> {
     /// Machines that a ledger is laid out for if nobody says.
     const USUAL_MACHINES: f64 = 4000.0;
     let look_s = section.number("look_s", Some(1.0))?;
@@ -146,15 +146,15 @@
 }
 
 /// The first mistake of a report, in the file's terms.
-fn first_error(report: &garde::Report) -> SectionError {
+fn first_error(report: &garde::Report) -> FieldError {
     let (field, reason) = match report.iter().next() {
         Some((path, error)) => (path.to_string(), error.message().to_owned()),
         None => (String::new(), "is invalid".to_owned()),
     };
-    SectionError { field: format!("{GENERAL_SECTION}.{field}"), reason }
+    FieldError { field: format!("{GENERAL_SECTION}.{field}"), reason }
 }
 
-fn team_settings(name: &str, mut section: Section<'_>) -> Result<Team, SectionError> {
+fn team_settings(name: &str, mut section: Section<'_>) -> Result<Team, FieldError> {
     let guarantee = machines(&mut section, "guarantee")?;
     let ceiling = machines(&mut section, "ceiling")?;
     if guarantee > ceiling {
@@ -168,7 +168,7 @@
     Ok(Team { guarantee, ceiling })
 }
 
-fn machines(section: &mut Section<'_>, key: &str) -> Result<u32, SectionError> {
+fn machines(section: &mut Section<'_>, key: &str) -> Result<u32, FieldError> {
     const MOST: f64 = 1e6;
     let number = section.number(key, None)?;
     if !(0.0..=MOST).contains(&number) || number.fract() != 0.0 {
--- a/crates/stonewheel-lending/src/settings/tests.rs
+++ b/crates/stonewheel-lending/src/settings/tests.rs
@@ -7,7 +7,7 @@
 /// Keys and values of a section.
 type Pairs<'a> = &'a [(&'a str, &'a str)];
 
-fn parse(general: Pairs<'_>, team: Pairs<'_>) -> Result<Option<LendingSettings>, SectionError> {
+fn parse(general: Pairs<'_>, team: Pairs<'_>) -> Result<Option<LendingSettings>, FieldError> {
     let general: Vec<_> = GENERAL
         .iter()
         .filter(|(key, _)| !general.iter().any(|(changed, _)| changed == key))
--- a/crates/stonewheel-rollout/src/settings.rs
+++ b/crates/stonewheel-rollout/src/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::condition::PromotionCondition;
 use garde::Validate;
-use stonewheel_settings::{Section, SectionError, check_name, known_priority, path, whole};
+use stonewheel_settings::{FieldError, Section, check_name, known_priority, path, whole};
 
 /// The section with what holds for all services.
 const GENERAL_SECTION: &str = "rollout";
@@ -112,23 +112,23 @@
 /// `rollout`. Sections of other parts are passed over.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
-) -> Result<Option<Rollouts>, SectionError> {
+) -> Result<Option<Rollouts>, FieldError> {
     let mut general_settings = None;
     let mut services = BTreeMap::new();
     for (name, pairs) in sections {
         if name == GENERAL_SECTION {
             if general_settings.replace(general(Section::new(name, &pairs)?)?).is_some() {
-                return Err(SectionError::stands_twice(name));
+                return Err(FieldError::stands_twice(name));
             }
         } else if let Some(service) = name.strip_prefix(SERVICE_SECTION) {
             check_name(name, service)?;
             let parsed = service_settings(Section::new(name, &pairs)?)?;
             if services.insert(service.to_owned(), parsed).is_some() {
-                return Err(SectionError::stands_twice(name));
+                return Err(FieldError::stands_twice(name));
             }
         }
     }
-    let needs = |field: &str, section: &str| SectionError {
+    let needs = |field: &str, section: &str| FieldError {
         field: field.into(),
         reason: format!("needs a section [{section}]"),
     };
@@ -147,9 +147,9 @@
 }
 
 /// The first mistake of a report, in the file's terms.
-fn first_error(report: &garde::Report) -> SectionError {
+fn first_error(report: &garde::Report) -> FieldError {
     let Some((path, error)) = report.iter().next() else {
-        return SectionError { field: GENERAL_SECTION.into(), reason: "is invalid".into() };
+        return FieldError { field: GENERAL_SECTION.into(), reason: "is invalid".into() };
     };
     let path = path.to_string();
     let field = match path.strip_prefix("services.").and_then(|rest| rest.rsplit_once('.')) {
@@ -158,10 +158,10 @@
         }
         None => format!("{GENERAL_SECTION}.{}", path.trim_start_matches("times.")),
     };
-    SectionError { field, reason: error.message().into() }
+    FieldError { field, reason: error.message().into() }
 }
 
-fn general(mut section: Section<'_>) -> Result<(SocketAddr, RolloutSettings), SectionError> {
+fn general(mut section: Section<'_>) -> Result<(SocketAddr, RolloutSettings), FieldError> {
     let listen = section.text("listen", Some("127.0.0.1:8091"))?;
     let listen = listen.parse().map_err(|_| section.error("listen", "must be address:port"))?;
     let look_s = section.number("look_s", Some(1.0))?;
@@ -176,7 +176,7 @@
     Ok((listen, times))
 }
 
-fn service_settings(mut section: Section<'_>) -> Result<ServiceSettings, SectionError> {
+fn service_settings(mut section: Section<'_>) -> Result<ServiceSettings, FieldError> {
     let settings = ServiceSettings {
         team: section.text("team", None)?,
         class: section.text("class", None)?,
@@ -193,7 +193,7 @@
     Ok(settings)
 }
 
-fn promote_when(section: &mut Section<'_>) -> Result<Option<PromotionCondition>, SectionError> {
+fn promote_when(section: &mut Section<'_>) -> Result<Option<PromotionCondition>, FieldError> {
     let text = section.text("promote_when", Some(""))?;
     if text.is_empty() {
         return Ok(None);
--- a/crates/stonewheel-settings/src/lib.rs
+++ b/crates/stonewheel-settings/src/lib.rs
@@ -15,14 +15,19 @@
 /// A mistake in the settings: which field, and what is wrong with it.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{field}: {reason}")]
-pub struct SectionError {
-    /// Section and key.
+pub struct FieldError {
+    /// The path of a key, or its section and name.
     pub field: String,
     /// What is wrong.
     pub reason: String,
 }
 
-impl SectionError {
+impl FieldError {
+    /// A mistake in this field.
+    pub fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
+        Self { field: field.into(), reason: reason.into() }
+    }
+
     /// A section that stands more than once.
     pub fn stands_twice(section: &str) -> Self {
         Self { field: section.into(), reason: "stands twice".into() }
@@ -37,7 +42,7 @@
 
 impl<'a> Section<'a> {
     /// The keys of a section, each set once.
-    pub fn new(name: &'a str, pairs: &[(&'a str, &'a str)]) -> Result<Self, SectionError> {
+    pub fn new(name: &'a str, pairs: &[(&'a str, &'a str)]) -> Result<Self, FieldError> {
         let mut section = Self { name, keys: BTreeMap::new() };
         for (key, value) in pairs {
             if section.keys.insert(key, value).is_some() {
@@ -48,12 +53,12 @@
     }
 
     /// A mistake in one of its keys.
-    pub fn error(&self, key: &str, reason: &str) -> SectionError {
-        SectionError { field: format!("{}.{key}", self.name), reason: reason.into() }
+    pub fn error(&self, key: &str, reason: &str) -> FieldError {
+        FieldError { field: format!("{}.{key}", self.name), reason: reason.into() }
     }
 
     /// A value as it stands, or the default; without one the key must be there.
-    pub fn text(&mut self, key: &str, default: Option<&str>) -> Result<String, SectionError> {
+    pub fn text(&mut self, key: &str, default: Option<&str>) -> Result<String, FieldError> {
         match self.keys.remove(key).or(default) {
             Some(value) => Ok(value.to_owned()),
             None => Err(self.error(key, "is missing")),
@@ -61,7 +66,7 @@
     }
 
     /// A finite number, or the default; without one the key must be there.
-    pub fn number(&mut self, key: &str, default: Option<f64>) -> Result<f64, SectionError> {
+    pub fn number(&mut self, key: &str, default: Option<f64>) -> Result<f64, FieldError> {
         match (self.keys.remove(key), default) {
             (Some(text), _) => {
                 let number = text.parse::<f64>().ok().filter(|number| number.is_finite());
@@ -73,7 +78,7 @@
     }
 
     /// Whoever mistypes a key is told: no key is left that nobody asked for.
-    pub fn end(self) -> Result<(), SectionError> {
+    pub fn end(self) -> Result<(), FieldError> {
         match self.keys.keys().next() {
             Some(key) => Err(self.error(key, "unknown key")),
             None => Ok(()),
@@ -82,14 +87,14 @@
 }
 
 /// Whether a name fits a key: `section` is where it stands.
-pub fn check_name(section: &str, name: &str) -> Result<(), SectionError> {
+pub fn check_name(section: &str, name: &str) -> Result<(), FieldError> {
     let fits =
         |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-_.".contains(&byte);
     if !name.is_empty() && name.len() <= LONGEST_NAME && name.bytes().all(fits) {
         return Ok(());
     }
     let reason = "a name has 1 to 64 of a to z, 0 to 9, '-', '_' and '.'";
-    Err(SectionError { field: section.into(), reason: reason.into() })
+    Err(FieldError { field: section.into(), reason: reason.into() })
 }
 
 /// A check: one of the priorities of jobs.
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -1,22 +1,27 @@
 //! Limits of the state service: today's, and those that come into force later.
 
 use serde::Deserialize;
+use stonewheel_settings::FieldError;
 
 /// The state service takes so many conditions for each write that a
 /// transaction may have.
 const CONDITIONS_PER_WRITE: usize = 4;
 /// A job's end and the removal of its records must fit one transaction.
-pub(super) const LEAST_TRANSACTION_WRITES: usize = 4;
+pub(super) const MIN_TRANSACTION_WRITES: usize = 4;
 /// A submission with names of usual length must fit one value.
-const LEAST_VALUE_KB: f64 = 0.5;
+const MIN_VALUE_KB: f64 = 0.5;
 pub(super) const BYTES_PER_KB: f64 = 1024.0;
 
 /// The limits of the state service, and those that it may have later on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Puts and deletes a second.
     pub write_rps: f64,
+    /// KiB of one value.
     pub value_kb: f64,
+    /// Puts and deletes of one transaction.
     pub txn_ops: usize,
     /// Limits that come into force at an unannounced moment.
     #[serde(default)]
@@ -26,9 +31,13 @@
 /// Limits that the state service will have later; absent ones stay as they are.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct NextStateLimits {
+    /// Requests a second.
     pub rps: Option<f64>,
+    /// Puts and deletes a second.
     pub write_rps: Option<f64>,
+    /// KiB of one value.
     pub value_kb: Option<f64>,
+    /// Puts and deletes of one transaction.
     pub txn_ops: Option<usize>,
 }
 
@@ -54,21 +63,22 @@
 }
 
 impl NextStateLimits {
-    pub(super) fn check(&self) -> Result<(), (&'static str, &'static str)> {
+    /// Checks each of them by itself.
+    pub(super) fn check(&self) -> Result<(), FieldError> {
         let rates = [
             ("cluster.state.next.rps", self.rps),
             ("cluster.state.next.write_rps", self.write_rps),
         ];
         for (field, rate) in rates {
             if rate.is_some_and(|rate| !rate.is_finite() || rate <= 0.0) {
-                return Err((field, "must be more than 0"));
+                return Err(FieldError::new(field, "must be more than 0"));
             }
         }
-        if self.value_kb.is_some_and(|kb| !kb.is_finite() || kb < LEAST_VALUE_KB) {
-            return Err(("cluster.state.next.value_kb", "must be at least 0.5"));
+        if self.value_kb.is_some_and(|kb| !kb.is_finite() || kb < MIN_VALUE_KB) {
+            return Err(FieldError::new("cluster.state.next.value_kb", "must be at least 0.5"));
         }
-        if self.txn_ops.is_some_and(|writes| writes < LEAST_TRANSACTION_WRITES) {
-            return Err(("cluster.state.next.txn_ops", "must be at least 4"));
+        if self.txn_ops.is_some_and(|writes| writes < MIN_TRANSACTION_WRITES) {
+            return Err(FieldError::new("cluster.state.next.txn_ops", "must be at least 4"));
         }
         Ok(())
     }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -3,9 +3,9 @@
 use stonewheel_activation::ActivationSettings;
 use stonewheel_lending::LendingSettings;
 use stonewheel_rollout::Rollouts;
-use stonewheel_settings::SectionError;
+use stonewheel_settings::FieldError;
 
-use super::SettingsError;
+use super::error::SettingsError;
 
 /// What operators may set for themselves, with the project's defaults.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,43 +52,46 @@
     /// Reads the INI file; unknown sections and keys are mistakes here, since
     /// an operator who mistypes a key would otherwise never learn of it.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
-        let error = |field: &str, reason: &str| SettingsError {
-            file: file.into(),
-            field: field.into(),
-            reason: reason.into(),
-        };
-        let ini = ini::Ini::load_from_str(text).map_err(|e| error("syntax", &e.to_string()))?;
-        let mut operator = Self::default();
+        Self::parse_fields(text).map_err(|error| SettingsError::new(file, error))
+    }
+
+    fn parse_fields(text: &str) -> Result<Self, FieldError> {
+        let ini = ini::Ini::load_from_str(text)
+            .map_err(|error| FieldError::new("syntax", error.to_string()))?;
         let sections =
             || ini.iter().filter_map(|(name, keys)| Some((name?, keys.iter().collect())));
-        let mistake = |e: SectionError| error(&e.field, &e.reason);
-        operator.activation = stonewheel_activation::parse_sections(sections()).map_err(mistake)?;
-        operator.rollout = stonewheel_rollout::parse_sections(sections()).map_err(mistake)?;
-        operator.lending = stonewheel_lending::parse_sections(sections()).map_err(mistake)?;
+        let mut operator = Self {
+            activation: stonewheel_activation::parse_sections(sections())?,
+            rollout: stonewheel_rollout::parse_sections(sections())?,
+            lending: stonewheel_lending::parse_sections(sections())?,
+            ..Self::default()
+        };
         for (section, keys) in ini.iter().filter(|(name, _)| !name.is_some_and(is_of_a_part)) {
             for (key, value) in keys.iter() {
-                let field = format!("{}.{key}", section.unwrap_or(""));
-                let slot = match field.as_str() {
-                    "scheduler.round_s" => &mut operator.round_s,
-                    "scheduler.resize_gain" => &mut operator.resize_gain,
-                    "scheduler.gang_slope" => &mut operator.gang_slope,
-                    "fleet.idle_boots" => &mut operator.idle_boots,
-                    "fleet.headroom" => &mut operator.headroom,
-                    "fleet.expected_machines" => &mut operator.expected_machines,
-                    _ => return Err(error(&field, "unknown key")),
-                };
-                *slot = value
-                    .parse::<f64>()
-                    .ok()
-                    .filter(|v| v.is_finite() && *v >= 0.0)
-                    .ok_or_else(|| error(&field, "must be a number of at least 0"))?;
+                operator.set(&format!("{}.{key}", section.unwrap_or("")), value)?;
             }
         }
         if operator.round_s <= 0.0 {
-            return Err(error("scheduler.round_s", "must be more than 0"));
+            return Err(FieldError::new("scheduler.round_s", "must be more than 0"));
         }
         Ok(operator)
     }
+
+    /// Sets the number that `field`, a section and key, stands for.
+    fn set(&mut self, field: &str, value: &str) -> Result<(), FieldError> {
+        let slot = match field {
+            "scheduler.round_s" => &mut self.round_s,
+            "scheduler.resize_gain" => &mut self.resize_gain,
+            "scheduler.gang_slope" => &mut self.gang_slope,
+            "fleet.idle_boots" => &mut self.idle_boots,
+            "fleet.headroom" => &mut self.headroom,
+            "fleet.expected_machines" => &mut self.expected_machines,
+            _ => return Err(FieldError::new(field, "unknown key")),
+        };
+        let number = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+        *slot = number.ok_or_else(|| FieldError::new(field, "must be a number of at least 0"))?;
+        Ok(())
+    }
 }
 
 /// Whether a section is read by a part of its own.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{derived::MIN_BACKLOG, *};
 
 const GOOD: &str = r#"
 member = "m-0"
@@ -187,7 +187,7 @@
     let usual = settings("", "");
     assert_eq!(usual.noticed_cancellations(), MIN_NOTICED_CANCELLATIONS);
     assert_eq!(usual.frame_limit(), crate::peers::MIN_FRAME_LIMIT);
-    assert_eq!(usual.listen_backlog(), LEAST_BACKLOG);
+    assert_eq!(usual.listen_backlog(), MIN_BACKLOG);
     let fast = settings("write_rps = 60.0", "write_rps = 600.0");
     // Two leader leases of 11 / 3 s, which others may use for cancellations alone.
     assert_eq!(fast.noticed_cancellations(), 4400);
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::Settings;
+use super::platform::Settings;
 
 /// A machine's connection to its leader, and one of a user.
 const SOCKETS_PER_MACHINE: f64 = 2.0;
