--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -1,6 +1,4 @@
-//! Settings that work, but badly.
-
-use std::sync::Arc;
+//! Warnings for settings that are valid, but with which the service will perform badly.
 
 use super::platform::Settings;
 
@@ -11,7 +9,7 @@
 /// A connection that idles between reports, and what the leader knows of its
 /// machine and its tasks.
 const MEMORY_MB_PER_MACHINE: f64 = 0.02;
-/// The least share of a core that was seen to serve a heartbeat a second from each
+/// The smallest share of a core that was measured to serve a heartbeat a second from each
 /// machine (docs/operations.md, "The least machine").
 const CORE_SHARE_PER_REPORT: f64 = 0.012 / 155.0;
 /// Machines that one page of the cloud's list holds.
@@ -20,113 +18,159 @@
 /// places of many tasks, a small job those of few.
 const MACHINES_PER_WRITE: f64 = 8.0;
 
+/// Calls to the state service that each controller makes by itself per leader lease,
+/// without any user: renewals or reads several times, and a watch.
+const OWN_REQUESTS_PER_LEADER_LEASE: f64 = 8.0;
+/// Below this many changes a second a follower's submissions are late.
+const MIN_WRITES_PER_S: f64 = 1.0;
+/// A list page, the types and a deletion, now and then, and rentals.
+const MIN_CLOUD_CALLS_PER_S: f64 = 1.0;
+
 impl Settings {
     /// What will work, but badly: one line each, for the operator.
     pub fn warnings(&self) -> Vec<String> {
-        let limits = self.state_limits();
-        let mut found = Vec::new();
-        // Each controller asks by itself, without any user: renewals or reads
-        // several times per leader lease, and a watch.
-        let quiet = 8.0 / self.leader_lease().as_secs_f64();
-        let share = self.follower_share(limits.requests_per_s);
-        if share < quiet {
-            found.push(format!(
-                "cluster.state.rps: {:.1} requests a second are left for each of {} controllers, \
-                 and {quiet:.1} go to watches and reads alone: answers will be late",
-                share, self.cluster.size
-            ));
+        let deployment = [
+            self.state_request_warning(),
+            self.state_write_warning(),
+            self.cloud_warning(),
+            self.socket_warning(),
+            self.cancellation_warning(),
+            self.member_warning(),
+            self.zone_warning(),
+        ];
+        let mut found: Vec<String> = deployment.into_iter().flatten().collect();
+        let machines = self.operator.expected_machines;
+        if machines > 0.0 {
+            found.extend(self.fleet_warnings(machines));
         }
-        let writes = self.follower_share(limits.writes_per_s);
-        if writes < 1.0 {
-            found.push(format!(
+        found
+    }
+
+    fn state_request_warning(&self) -> Option<String> {
+        let own = OWN_REQUESTS_PER_LEADER_LEASE / self.leader_lease().as_secs_f64();
+        let share = self.follower_share(self.state_limits().requests_per_s);
+        (share < own).then(|| {
+            format!(
+                "cluster.state.rps: {share:.1} requests a second are left for each of {} \
+                 controllers, and {own:.1} go to watches and reads alone: answers will be late",
+                self.cluster.size
+            )
+        })
+    }
+
+    fn state_write_warning(&self) -> Option<String> {
+        let writes = self.follower_share(self.state_limits().writes_per_s);
+        (writes < MIN_WRITES_PER_S).then(|| {
+            format!(
                 "cluster.state.write_rps: {writes:.1} changes a second are left for each of {} \
                  controllers: submissions will be late",
                 self.cluster.size
-            ));
-        }
-        // A list page, the types and a deletion, now and then, and rentals.
-        if self.cluster.cloud.rps < 1.0 {
-            found.push(format!(
-                "cluster.cloud.rps: with {} calls a second machines are rented late",
-                self.cluster.cloud.rps
-            ));
-        }
-        let (own, all) = (self.public_sockets(), self.cluster.quota.fd_limit as usize);
-        if own * 2 < all {
-            found.push(format!(
-                "cluster.quota.fd_limit: of {all} sockets {own} are left for users and workers, \
+            )
+        })
+    }
+
+    fn cloud_warning(&self) -> Option<String> {
+        let calls = self.cluster.cloud.rps;
+        (calls < MIN_CLOUD_CALLS_PER_S).then(|| {
+            format!("cluster.cloud.rps: with {calls} calls a second machines are rented late")
+        })
+    }
+
+    fn socket_warning(&self) -> Option<String> {
+        let (public, all) = (self.public_sockets(), self.cluster.quota.fd_limit as usize);
+        (public * 2 < all).then(|| {
+            format!(
+                "cluster.quota.fd_limit: of {all} sockets {public} are left for users and workers, \
                  and each machine takes one of its leader"
-            ));
-        }
+            )
+        })
+    }
+
+    fn cancellation_warning(&self) -> Option<String> {
         let workers = &self.cluster.workers;
-        if self.renewal_limit() < self.leader_lease() {
-            found.push(format!(
+        (self.renewal_limit() < self.leader_lease()).then(|| {
+            format!(
                 "cluster.workers.cancel_s: with a lease of {} s, {} s leave a leader that is cut off \
                  no time to learn of cancellations: some may be stopped late",
                 workers.lease_s, workers.cancel_s
-            ));
-        }
-        if self.members.len() + 1 != self.cluster.size as usize {
-            found.push(format!(
-                "members: {} others are listed for {} controllers",
-                self.members.len(),
-                self.cluster.size
-            ));
-        }
-        if !self.cluster.zones.contains(&Arc::from(self.zone.as_str())) {
-            found.push("zone: not among cluster.zones".into());
-        }
-        found.extend(self.fleet_warnings());
-        found
+            )
+        })
+    }
+
+    fn member_warning(&self) -> Option<String> {
+        let (others, size) = (self.members.len(), self.cluster.size);
+        (others + 1 != size as usize)
+            .then(|| format!("members: {others} others are listed for {size} controllers"))
+    }
+
+    fn zone_warning(&self) -> Option<String> {
+        let is_known = self.cluster.zones.iter().any(|zone| **zone == *self.zone);
+        (!is_known).then(|| "zone: not among cluster.zones".into())
     }
 
     /// What falls short for as many machines as the operators expect.
-    fn fleet_warnings(&self) -> Vec<String> {
-        let machines = self.operator.expected_machines;
-        let quota = &self.cluster.quota;
-        let mut found = Vec::new();
-        if machines <= 0.0 {
-            return found;
-        }
+    fn fleet_warnings(&self, machines: f64) -> impl Iterator<Item = String> {
+        let found = [
+            self.fleet_socket_warning(machines),
+            self.fleet_memory_warning(machines),
+            self.fleet_core_warning(machines),
+            self.fleet_list_warning(machines),
+            self.fleet_write_warning(machines),
+        ];
+        found.into_iter().flatten()
+    }
+
+    fn fleet_socket_warning(&self, machines: f64) -> Option<String> {
         let sockets = self.public_sockets() as f64;
-        if sockets < machines * SOCKETS_PER_MACHINE {
-            found.push(format!(
-                "cluster.quota.fd_limit: {machines} machines and as many users need {} sockets, and \
-                 {sockets} are left for them",
-                machines * SOCKETS_PER_MACHINE
-            ));
-        }
-        let memory_mb = OWN_MEMORY_MB + machines * MEMORY_MB_PER_MACHINE;
-        if quota.mem_mb < memory_mb {
-            found.push(format!(
-                "cluster.quota.mem_mb: {machines} machines need about {memory_mb:.0} MB of {}",
-                quota.mem_mb
-            ));
-        }
-        let share = machines / self.cluster.workers.report_s * CORE_SHARE_PER_REPORT;
-        if quota.core_share < share {
-            found.push(format!(
-                "cluster.quota.core_share: the reports of {machines} machines take about {share:.2} \
-                 of a core, and {} is there",
-                quota.core_share
-            ));
-        }
+        let needed = machines * SOCKETS_PER_MACHINE;
+        (sockets < needed).then(|| {
+            format!(
+                "cluster.quota.fd_limit: {machines} machines and as many users need {needed} \
+                 sockets, and {sockets} are left for them"
+            )
+        })
+    }
+
+    fn fleet_memory_warning(&self, machines: f64) -> Option<String> {
+        let available_mb = self.cluster.quota.mem_mb;
+        let needed_mb = OWN_MEMORY_MB + machines * MEMORY_MB_PER_MACHINE;
+        (available_mb < needed_mb).then(|| {
+            format!(
+                "cluster.quota.mem_mb: {machines} machines need about {needed_mb:.0} MB of \
+                 {available_mb}"
+            )
+        })
+    }
+
+    fn fleet_core_warning(&self, machines: f64) -> Option<String> {
+        let available = self.cluster.quota.core_share;
+        let needed = machines / self.cluster.workers.report_s * CORE_SHARE_PER_REPORT;
+        (available < needed).then(|| {
+            format!(
+                "cluster.quota.core_share: the reports of {machines} machines take about \
+                 {needed:.2} of a core, and {available} is there"
+            )
+        })
+    }
+
+    fn fleet_list_warning(&self, machines: f64) -> Option<String> {
         let list_s = (machines / MACHINES_PER_LIST).ceil() / (self.cluster.cloud.rps / 2.0);
-        if list_s > self.worker_lease().as_secs_f64() {
-            found.push(format!(
+        (list_s > self.worker_lease().as_secs_f64()).then(|| {
+            format!(
                 "cluster.cloud.rps: a list of {machines} machines takes {list_s:.0} s, longer than \
                  a worker's lease"
-            ));
-        }
-        let limits = self.state_limits();
-        let rewritten = machines / self.worker_lease().as_secs_f64() / MACHINES_PER_WRITE;
-        let writes = self.leader_share(limits.writes_per_s);
-        if writes < rewritten {
-            found.push(format!(
+            )
+        })
+    }
+
+    fn fleet_write_warning(&self, machines: f64) -> Option<String> {
+        let needed = machines / self.worker_lease().as_secs_f64() / MACHINES_PER_WRITE;
+        let writes = self.leader_share(self.state_limits().writes_per_s);
+        (writes < needed).then(|| {
+            format!(
                 "cluster.state.write_rps: to start work on {machines} machines within a worker's \
-                 lease takes {rewritten:.0} changes a second, and the leader has {writes:.0}"
-            ));
-        }
-        found
+                 lease takes {needed:.0} changes a second, and the leader has {writes:.0}"
+            )
+        })
     }
 }
