--- a/crates/stonewheel-activation/src/settings.rs
+++ b/crates/stonewheel-activation/src/settings.rs
@@ -8,16 +8,14 @@
 };
 
 use garde::Validate;
-use stonewheel_settings::{FieldError, Section, check_name, known_priority, path, whole};
+use stonewheel_settings::{
+    FieldError, MAX_TIME_S, MIN_TIME_S, PartSections, Section, at_least, at_most, known_priority,
+    path, whole,
+};
 
-/// The section with what holds for all models.
-const GENERAL_SECTION: &str = "activation";
-/// The sections of models are called this and the model's name.
-const MODEL_SECTION: &str = "model ";
-/// A millisecond: nothing here is measured more finely.
-const SHORTEST_S: f64 = 0.001;
-/// A day: longer waits are mistakes.
-const LONGEST_S: f64 = 86_400.0;
+/// How the sections of this part are called.
+const SECTIONS: PartSections =
+    PartSections { general: "activation", prefix: "model ", table: "models" };
 /// The key that other times of a model are ratios to.
 const LOAD_TIME: &str = "load_s";
 const BYTES_PER_KB: f64 = 1024.0;
@@ -63,11 +61,11 @@
     #[garde(range(min = 1.0, max = self.hold_kb))]
     pub request_kb: f64,
     /// How long a request may take once it is forwarded.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub request_s: f64,
     /// How long a controller that can't renew its session goes on forwarding to
     /// models that were ready. A model drains for as long, and for one request.
-    #[garde(range(min = 0.0, max = LONGEST_S))]
+    #[garde(range(min = 0.0, max = MAX_TIME_S))]
     pub outage_s: f64,
     /// The models, by name.
     #[garde(dive)]
@@ -111,52 +109,34 @@
     #[garde(custom(path))]
     pub health: String,
     /// How long a replica usually takes from the request for it to its first answer.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub load_s: f64,
     /// When a start is given up that has not brought an answer.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(at_least("load_s", self.load_s)))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(at_least("load_s", self.load_s)))]
     pub start_s: f64,
     /// How long a request is held for a start.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub hold_s: f64,
     /// The model sleeps after so long without a request at any controller.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub idle_s: f64,
     /// But not sooner after a start.
-    #[garde(range(min = 0.0, max = LONGEST_S))]
+    #[garde(range(min = 0.0, max = MAX_TIME_S))]
     pub awake_s: f64,
     /// How often one cold start tries to start it.
     #[garde(range(min = 1.0, max = 100.0), custom(whole))]
     pub attempts: f64,
     /// The pause before the second attempt; it doubles with each further one.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub backoff_s: f64,
     /// How long requests are refused after the last attempt.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub retry_s: f64,
     /// How often the owner probes the replicas.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(at_most("start_s", self.start_s)))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(at_most("start_s", self.start_s)))]
     pub look_s: f64,
 }
 
-fn at_least(field: &'static str, other: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
-    move |value, &()| {
-        if *value >= other {
-            return Ok(());
-        }
-        Err(garde::Error::new(format!("must be at least {field}, which is {other}")))
-    }
-}
-
-fn at_most(field: &'static str, other: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
-    move |value, &()| {
-        if *value <= other {
-            return Ok(());
-        }
-        Err(garde::Error::new(format!("must be at most {field}, which is {other}")))
-    }
-}
-
 impl ActivationSettings {
     /// Bytes of bodies that may be held at once.
     pub fn hold_bytes(&self) -> usize {
@@ -192,7 +172,7 @@
             return Duration::ZERO;
         }
         let doublings = i32::try_from(attempt - 2).unwrap_or(i32::MAX);
-        Duration::from_secs_f64((self.backoff_s * 2f64.powi(doublings)).min(LONGEST_S))
+        Duration::from_secs_f64((self.backoff_s * 2f64.powi(doublings)).min(MAX_TIME_S))
     }
 }
 
@@ -201,42 +181,16 @@
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<ActivationSettings>, FieldError> {
-    let mut settings = None;
-    let mut models = BTreeMap::new();
-    for (name, pairs) in sections {
-        if name == GENERAL_SECTION {
-            if settings.replace(general(Section::new(name, &pairs)?)?).is_some() {
-                return Err(FieldError::stands_twice(name));
-            }
-        } else if let Some(model) = name.strip_prefix(MODEL_SECTION) {
-            check_name(name, model)?;
-            let parsed = model_settings(Section::new(name, &pairs)?)?;
-            if models.insert(model.to_owned(), parsed).is_some() {
-                return Err(FieldError::stands_twice(name));
-            }
-        }
-    }
-    let Some(mut settings) = settings else {
-        return match models.keys().next() {
-            Some(name) => Err(FieldError {
-                field: format!("{MODEL_SECTION}{name}"),
-                reason: format!("needs a section [{GENERAL_SECTION}]"),
-            }),
-            None => Ok(None),
-        };
-    };
-    if models.is_empty() {
-        let reason = format!("needs a section [{MODEL_SECTION}NAME]");
-        return Err(FieldError { field: GENERAL_SECTION.into(), reason });
-    }
-    settings.models = models;
+    let part = SECTIONS.read(sections, general, |_, section| model_settings(section))?;
+    let Some(part) = part else { return Ok(None) };
+    let settings = ActivationSettings { models: part.named, ..part.general };
     settings.validate().map_err(|report| first_error(&report))?;
     Ok(Some(settings))
 }
 
 /// Whether a section belongs to this part.
 pub fn is_section(name: &str) -> bool {
-    name == GENERAL_SECTION || name.starts_with(MODEL_SECTION)
+    SECTIONS.contain(name)
 }
 
 /// The first mistake of a report, in the file's terms.
@@ -244,17 +198,7 @@
     // Other times follow from the load time where they are not set, and so do their
     // mistakes.
     let follows = |path: &garde::Path| !path.to_string().ends_with(LOAD_TIME);
-    let Some((path, error)) = report.iter().min_by_key(|(path, _)| follows(path)) else {
-        return FieldError { field: GENERAL_SECTION.into(), reason: "is invalid".into() };
-    };
-    let path = path.to_string();
-    let field = match path.strip_prefix("models.").and_then(|rest| rest.rsplit_once('.')) {
-        Some((model, key)) => {
-            format!("{MODEL_SECTION}{}.{key}", model.trim_matches(['[', ']', '"']))
-        }
-        None => format!("{GENERAL_SECTION}.{path}"),
-    };
-    FieldError { field, reason: error.message().into() }
+    SECTIONS.validation_error(report.iter().min_by_key(|(path, _)| follows(path)))
 }
 
 fn general(mut section: Section<'_>) -> Result<ActivationSettings, FieldError> {
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -3,16 +3,17 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use garde::Validate;
-use stonewheel_settings::{FieldError, Section, check_name, whole};
+use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole};
 use tokio::time::Duration;
 
 use crate::{claim::TeamName, ledger::LONGEST_NAME};
 
-const GENERAL_SECTION: &str = "lending";
-const TEAM_SECTION: &str = "lending-team ";
+/// How the sections of this part are called.
+const SECTIONS: PartSections =
+    PartSections { general: "lending", prefix: "lending-team ", table: "teams" };
 
-/// A worker's lease holds at least so many looks: fewer say nothing of a machine.
-const LEAST_LOOKS_A_LEASE: f64 = 3.0;
+/// A worker's lease holds at least so many probes: fewer say nothing of a machine.
+const MIN_PROBES_PER_LEASE: f64 = 3.0;
 
 /// Times and sizes; times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Validate)]
@@ -28,7 +29,7 @@
     #[garde(range(max = 1e5), custom(at_least("look_s", self.look_s)))]
     pub grace_s: f64,
     /// How long a machine may be silent before it is returned.
-    #[garde(range(max = 1e5), custom(at_least("three times look_s", self.look_s * LEAST_LOOKS_A_LEASE)))]
+    #[garde(range(max = 1e5), custom(at_least("three times look_s", self.look_s * MIN_PROBES_PER_LEASE)))]
     pub worker_lease_s: f64,
     /// How long a halt may wait for others in its zone.
     #[garde(range(min = 0.0, max = 1e5))]
@@ -50,16 +51,6 @@
     pub expected_machines: f64,
 }
 
-/// A time that makes no sense below another one.
-fn at_least(what: &'static str, least: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
-    move |value, &()| {
-        if *value >= least {
-            return Ok(());
-        }
-        Err(garde::Error::new(format!("must be at least {what}, which is {least}")))
-    }
-}
-
 /// What a team was promised, and may use at most, in machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Team {
@@ -83,7 +74,7 @@
 
 /// Whether a section belongs to this part.
 pub fn is_section(name: &str) -> bool {
-    name == GENERAL_SECTION || name.starts_with(TEAM_SECTION)
+    SECTIONS.contain(name)
 }
 
 /// Reads the sections of this part out of an INI file's. None if there is no section
@@ -91,35 +82,9 @@
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<LendingSettings>, FieldError> {
-    let mut times = None;
-    let mut teams = Teams::new();
-    for (name, pairs) in sections {
-        if name == GENERAL_SECTION {
-            if times.replace(general(Section::new(name, &pairs)?)?).is_some() {
-                return Err(FieldError::stands_twice(name));
-            }
-        } else if let Some(team) = name.strip_prefix(TEAM_SECTION) {
-            check_name(name, team)?;
-            let parsed = team_settings(team, Section::new(name, &pairs)?)?;
-            if teams.insert(Arc::from(team), parsed).is_some() {
-                return Err(FieldError::stands_twice(name));
-            }
-        }
-    }
-    let Some(times) = times else {
-        return match teams.keys().next() {
-            Some(team) => Err(needs(&format!("{TEAM_SECTION}{team}"), GENERAL_SECTION)),
-            None => Ok(None),
-        };
-    };
-    if teams.is_empty() {
-        return Err(needs(GENERAL_SECTION, "lending-team NAME"));
-    }
-    Ok(Some(LendingSettings { times, teams }))
-}
-
-fn needs(field: &str, section: &str) -> FieldError {
-    FieldError { field: field.into(), reason: format!("needs a section [{section}]") }
+    let Some(part) = SECTIONS.read(sections, general, team_settings)? else { return Ok(None) };
+    let teams = part.named.into_iter().map(|(name, team)| (Arc::from(name), team)).collect();
+    Ok(Some(LendingSettings { times: part.general, teams }))
 }
 
 fn general(mut section: Section<'_>) -> Result<Times, FieldError> {
@@ -141,19 +106,10 @@
         expected_machines: section.number("expected_machines", Some(USUAL_MACHINES))?,
     };
     section.end()?;
-    times.validate().map_err(|report| first_error(&report))?;
+    times.validate().map_err(|report| SECTIONS.validation_error(report.iter().next()))?;
     Ok(times)
 }
 
-/// The first mistake of a report, in the file's terms.
-fn first_error(report: &garde::Report) -> FieldError {
-    let (field, reason) = match report.iter().next() {
-        Some((path, error)) => (path.to_string(), error.message().to_owned()),
-        None => (String::new(), "is invalid".to_owned()),
-    };
-    FieldError { field: format!("{GENERAL_SECTION}.{field}"), reason }
-}
-
 fn team_settings(name: &str, mut section: Section<'_>) -> Result<Team, FieldError> {
     let guarantee = machines(&mut section, "guarantee")?;
     let ceiling = machines(&mut section, "ceiling")?;
--- a/crates/stonewheel-rollout/src/settings.rs
+++ b/crates/stonewheel-rollout/src/settings.rs
@@ -5,37 +5,34 @@
 
 use crate::condition::PromotionCondition;
 use garde::Validate;
-use stonewheel_settings::{FieldError, Section, check_name, known_priority, path, whole};
+use stonewheel_settings::{
+    FieldError, MAX_TIME_S, MIN_TIME_S, PartSections, Section, known_priority, path, whole,
+};
 
-/// The section with what holds for all services.
-const GENERAL_SECTION: &str = "rollout";
-/// The sections of services are called this and the service's name.
-const SERVICE_SECTION: &str = "service ";
+/// How the sections of this part are called.
+const SECTIONS: PartSections =
+    PartSections { general: "rollout", prefix: "service ", table: "services" };
 
 /// Of the time between two probes, a promotion condition may take one in so many parts.
 /// Its operations are limited too, and mostly end it far earlier; a process that
 /// stands still for a moment must not turn a rollout back.
 const CONDITION_PARTS: u32 = 4;
-/// A millisecond: nothing here is measured more finely.
-const SHORTEST_S: f64 = 0.001;
-/// A day: longer waits are mistakes.
-const LONGEST_S: f64 = 86_400.0;
 
 /// The times of a rollout, and what its health gate allows.
 #[derive(Clone, Copy, Debug, PartialEq, Validate)]
 pub struct RolloutSettings {
     /// How often replicas are probed.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub look_s: f64,
     /// A replica that has a place and doesn't answer for so long has failed.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(spans_several_probes(self.look_s)))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(spans_several_probes(self.look_s)))]
     pub start_s: f64,
     /// How long a step is watched before the next one.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S), custom(spans_several_probes(self.look_s)))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(spans_several_probes(self.look_s)))]
     pub soak_s: f64,
     /// How long a replica drains: longer than balancers and clients may lag, and than
     /// the longest request.
-    #[garde(range(min = SHORTEST_S, max = LONGEST_S))]
+    #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub drain_s: f64,
     /// Probes of new replicas that may go unanswered, as a share of all within a step.
     #[garde(range(min = 0.0, max = 1.0))]
@@ -105,7 +102,7 @@
 
 /// Whether a section belongs to this part.
 pub fn is_section(name: &str) -> bool {
-    name == GENERAL_SECTION || name.starts_with(SERVICE_SECTION)
+    SECTIONS.contain(name)
 }
 
 /// Reads the sections of this part out of an INI file's. None if there is no section
@@ -113,54 +110,14 @@
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<Rollouts>, FieldError> {
-    let mut general_settings = None;
-    let mut services = BTreeMap::new();
-    for (name, pairs) in sections {
-        if name == GENERAL_SECTION {
-            if general_settings.replace(general(Section::new(name, &pairs)?)?).is_some() {
-                return Err(FieldError::stands_twice(name));
-            }
-        } else if let Some(service) = name.strip_prefix(SERVICE_SECTION) {
-            check_name(name, service)?;
-            let parsed = service_settings(Section::new(name, &pairs)?)?;
-            if services.insert(service.to_owned(), parsed).is_some() {
-                return Err(FieldError::stands_twice(name));
-            }
-        }
-    }
-    let needs = |field: &str, section: &str| FieldError {
-        field: field.into(),
-        reason: format!("needs a section [{section}]"),
-    };
-    let Some((listen, times)) = general_settings else {
-        return match services.keys().next() {
-            Some(name) => Err(needs(&format!("{SERVICE_SECTION}{name}"), GENERAL_SECTION)),
-            None => Ok(None),
-        };
-    };
-    if services.is_empty() {
-        return Err(needs(GENERAL_SECTION, "service NAME"));
-    }
-    let rollouts = Rollouts { listen, times, services };
-    rollouts.validate().map_err(|report| first_error(&report))?;
+    let part = SECTIONS.read(sections, general, |_, section| service_settings(section))?;
+    let Some(part) = part else { return Ok(None) };
+    let (listen, times) = part.general;
+    let rollouts = Rollouts { listen, times, services: part.named };
+    rollouts.validate().map_err(|report| SECTIONS.validation_error(report.iter().next()))?;
     Ok(Some(rollouts))
 }
 
-/// The first mistake of a report, in the file's terms.
-fn first_error(report: &garde::Report) -> FieldError {
-    let Some((path, error)) = report.iter().next() else {
-        return FieldError { field: GENERAL_SECTION.into(), reason: "is invalid".into() };
-    };
-    let path = path.to_string();
-    let field = match path.strip_prefix("services.").and_then(|rest| rest.rsplit_once('.')) {
-        Some((name, key)) => {
-            format!("{SERVICE_SECTION}{}.{key}", name.trim_matches(['[', ']', '"']))
-        }
-        None => format!("{GENERAL_SECTION}.{}", path.trim_start_matches("times.")),
-    };
-    FieldError { field, reason: error.message().into() }
-}
-
 fn general(mut section: Section<'_>) -> Result<(SocketAddr, RolloutSettings), FieldError> {
     let listen = section.text("listen", Some("127.0.0.1:8091"))?;
     let listen = listen.parse().map_err(|_| section.error("listen", "must be address:port"))?;
