--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -61,7 +61,7 @@
         let dependencies = &watch_cache.dependencies;
         let ended = watch_cache.ended_jobs.contains(id) || dependencies.is_cancelled(id);
         job.ended = ended.then(|| KnownEnd::learned(now));
-        job.awaits_dependencies = dependencies.waits(id);
+        job.awaits_dependencies = dependencies.is_waiting(id);
         job.priority = dependencies.effective_priority(id).unwrap_or(job.priority);
         Some(job)
     }
@@ -109,7 +109,7 @@
     fn follow_dependencies(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
-        let waits = watch_cache.dependencies.waits(id);
+        let waits = watch_cache.dependencies.is_waiting(id);
         let waited = std::mem::replace(&mut job.awaits_dependencies, waits);
         if waited && !waits {
             info!(job = %id, "job dependencies done");
