--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -3,16 +3,17 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use garde::Validate;
-use stonewheel_settings::{Section, SectionError, check_name, whole};
+use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole};
 use tokio::time::Duration;
 
 use crate::{claim::TeamName, ledger::LONGEST_NAME};
 
-const GENERAL_SECTION: &str = "lending";
-const TEAM_SECTION: &str = "lending-team ";
+/// How the sections of this part are called.
+const SECTIONS: PartSections =
+    PartSections { general: "lending", prefix: "lending-team ", table: "teams" };
 
-/// A worker's lease holds at least so many looks: fewer say nothing of a machine.
-const LEAST_LOOKS_A_LEASE: f64 = 3.0;
+/// A worker's lease holds at least so many probes: fewer say nothing of a machine.
+const MIN_PROBES_PER_LEASE: f64 = 3.0;
 
 /// Times and sizes; times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Validate)]
@@ -28,7 +29,7 @@
     #[garde(range(max = 1e5), custom(at_least("look_s", self.look_s)))]
     pub grace_s: f64,
     /// How long a machine may be silent before it is returned.
-    #[garde(range(max = 1e5), custom(at_least("three times look_s", self.look_s * LEAST_LOOKS_A_LEASE)))]
+    #[garde(range(max = 1e5), custom(at_least("three times look_s", self.look_s * MIN_PROBES_PER_LEASE)))]
     pub worker_lease_s: f64,
     /// How long a halt may wait for others in its zone.
     #[garde(range(min = 0.0, max = 1e5))]
@@ -50,16 +51,6 @@
     pub expected_machines: f64,
 }
 
-/// A time that makes no sense below another one.
-fn at_least(what: &'static str, least: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
-    move |value, &()| {
-        if *value >= least {
-            return Ok(());
-        }
-        Err(garde::Error::new(format!("must be at least {what}, which is {least}")))
-    }
-}
-
 /// What a team was promised, and may use at most, in machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Team {
@@ -83,46 +74,20 @@
 
 /// Whether a section belongs to this part.
 pub fn is_section(name: &str) -> bool {
-    name == GENERAL_SECTION || name.starts_with(TEAM_SECTION)
+    SECTIONS.contain(name)
 }
 
 /// Reads the sections of this part out of an INI file's. None if there is no section
 /// `lending`. Sections of other parts are passed over.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
-) -> Result<Option<LendingSettings>, SectionError> {
-    let mut times = None;
-    let mut teams = Teams::new();
-    for (name, pairs) in sections {
-        if name == GENERAL_SECTION {
-            if times.replace(general(Section::new(name, &pairs)?)?).is_some() {
-                return Err(SectionError::stands_twice(name));
-            }
-        } else if let Some(team) = name.strip_prefix(TEAM_SECTION) {
-            check_name(name, team)?;
-            let parsed = team_settings(team, Section::new(name, &pairs)?)?;
-            if teams.insert(Arc::from(team), parsed).is_some() {
-                return Err(SectionError::stands_twice(name));
-            }
-        }
-    }
-    let Some(times) = times else {
-        return match teams.keys().next() {
-            Some(team) => Err(needs(&format!("{TEAM_SECTION}{team}"), GENERAL_SECTION)),
-            None => Ok(None),
-        };
-    };
-    if teams.is_empty() {
-        return Err(needs(GENERAL_SECTION, "lending-team NAME"));
-    }
-    Ok(Some(LendingSettings { times, teams }))
+) -> Result<Option<LendingSettings>, FieldError> {
+    let Some(part) = SECTIONS.read(sections, general, team_settings)? else { return Ok(None) };
+    let teams = part.named.into_iter().map(|(name, team)| (Arc::from(name), team)).collect();
+    Ok(Some(LendingSettings { times: part.general, teams }))
 }
 
-fn needs(field: &str, section: &str) -> SectionError {
-    SectionError { field: field.into(), reason: format!("needs a section [{section}]") }
-}
-
-fn general(mut section: Section<'_>) -> Result<Times, SectionError> {
+fn general(mut section: Section<'_>) -> Result<Times, FieldError> {
     /// Machines that a ledger is laid out for if nobody says.
     const USUAL_MACHINES: f64 = 4000.0;
     let look_s = section.number("look_s", Some(1.0))?;
@@ -141,20 +106,11 @@
         expected_machines: section.number("expected_machines", Some(USUAL_MACHINES))?,
     };
     section.end()?;
-    times.validate().map_err(|report| first_error(&report))?;
+    times.validate().map_err(|report| SECTIONS.validation_error(report.iter().next()))?;
     Ok(times)
 }
 
-/// The first mistake of a report, in the file's terms.
-fn first_error(report: &garde::Report) -> SectionError {
-    let (field, reason) = match report.iter().next() {
-        Some((path, error)) => (path.to_string(), error.message().to_owned()),
-        None => (String::new(), "is invalid".to_owned()),
-    };
-    SectionError { field: format!("{GENERAL_SECTION}.{field}"), reason }
-}
-
-fn team_settings(name: &str, mut section: Section<'_>) -> Result<Team, SectionError> {
+fn team_settings(name: &str, mut section: Section<'_>) -> Result<Team, FieldError> {
     let guarantee = machines(&mut section, "guarantee")?;
     let ceiling = machines(&mut section, "ceiling")?;
     if guarantee > ceiling {
@@ -168,7 +124,7 @@
     Ok(Team { guarantee, ceiling })
 }
 
-fn machines(section: &mut Section<'_>, key: &str) -> Result<u32, SectionError> {
+fn machines(section: &mut Section<'_>, key: &str) -> Result<u32, FieldError> {
     const MOST: f64 = 1e6;
     let number = section.number(key, None)?;
     if !(0.0..=MOST).contains(&number) || number.fract() != 0.0 {
--- a/src/controller/provisioning/tests.rs
+++ b/src/controller/provisioning/tests.rs
@@ -29,7 +29,8 @@
     let mut provisioning = Provisioning::default();
     let now = Instant::now();
     let until = now + Duration::from_secs(5);
-    provisioning.mark_exhausted((0, 1, true), until);
-    assert_eq!(provisioning.exhausted(now), [(0, 1, true)]);
+    let kind = MachineKind { machine_type: 0, zone: 1, spot: true };
+    provisioning.mark_exhausted(kind, until);
+    assert_eq!(provisioning.exhausted(now), [kind]);
     assert!(provisioning.exhausted(until).is_empty());
 }
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -6,10 +6,10 @@
 };
 
 use super::{
-    eligibility::{Allowed, Zones, allows},
+    eligibility::{MachineEligibility, ZoneConstraint, is_eligible},
     resources::Resources,
     snapshot::Snapshot,
-    view::{JobView, MachineView},
+    view::{JobView, MachineKind, MachineView},
 };
 
 /// A fetch may take a third longer than its machine type says.
@@ -18,7 +18,7 @@
 /// How long a machine needs for a job's image, if it has to be fetched.
 pub fn fetch_s(snapshot: &Snapshot<'_>, at: usize, machine: usize) -> f64 {
     let (job, view) = (&snapshot.jobs[at], &snapshot.machines[machine]);
-    let rate = snapshot.types[view.kind].fetch_gb_per_s;
+    let rate = snapshot.types[view.machine_type].fetch_gb_per_s;
     if rate <= 0.0 || view.images.contains(&job.spec.image) {
         0.0
     } else {
@@ -26,22 +26,36 @@
     }
 }
 
+/// Which machines tasks are looked a place for on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MachineReadiness {
+    /// Machines that take tasks now.
+    Ready,
+    /// Machines that boot, or that are to be provisioned.
+    Booting,
+}
+
 /// Machines for up to `count` more tasks of a job, in one zone if it must be.
-pub fn find(snapshot: &Snapshot<'_>, at: usize, count: usize, ready: bool) -> Vec<usize> {
+pub fn find_machines(
+    snapshot: &Snapshot<'_>,
+    at: usize,
+    count: usize,
+    readiness: MachineReadiness,
+) -> Vec<usize> {
     let job = &snapshot.jobs[at];
-    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
+    let zones = ZoneConstraint::of(snapshot, job);
     // An empty ordinary machine is dear and wanted whole by others: work that
     // may use spot machines leaves it alone while the cloud has those.
-    let spot_comes = job.spec.spot && spot_obtainable(snapshot, job);
-    let allowed = Allowed::of(snapshot, job);
+    let spot_is_obtainable = job.spec.spot && is_spot_obtainable(snapshot, job);
+    let eligibility = MachineEligibility::of(snapshot, job);
     let open: Vec<usize> = (0..snapshot.machines.len())
         .filter(|&m| {
             let machine = &snapshot.machines[m];
-            machine.ready == ready
-                && allowed.takes(machine)
+            machine.ready == (readiness == MachineReadiness::Ready)
+                && eligibility.accepts(machine)
                 && machine.takes_tasks_of(&job.id)
                 && !job.avoid.contains(&machine.id)
-                && !(spot_comes && machine.empty && !machine.spot)
+                && !(spot_is_obtainable && machine.empty && !machine.spot)
         })
         .collect();
     if job.spec.one_zone && job.spec.tasks > 1 && job.bound.is_empty() {
@@ -51,71 +65,77 @@
             .map(|zone| {
                 let here: Vec<usize> =
                     open.iter().copied().filter(|&m| snapshot.machines[m].zone == zone).collect();
-                (zone, fill(snapshot, job, &here, count, zones.clone()))
+                (zone, cheapest_places(snapshot, job, &here, count, zones.clone()))
             })
             .max_by_key(|(zone, found)| {
-                (found.len() == count || obtainable(snapshot, job, *zone), found.len())
+                (found.len() == count || is_obtainable(snapshot, job, *zone), found.len())
             })
             .map(|(_, found)| found)
             .unwrap_or_default();
     }
-    fill(snapshot, job, &open, count, zones)
+    cheapest_places(snapshot, job, &open, count, zones)
 }
 
 /// Whether the cloud may have machines for a job in this zone.
-pub(super) fn obtainable(snapshot: &Snapshot<'_>, job: &JobView, zone: u8) -> bool {
-    snapshot.types.iter().enumerate().any(|(kind, t)| {
+pub(super) fn is_obtainable(snapshot: &Snapshot<'_>, job: &JobView, zone: u8) -> bool {
+    snapshot.types.iter().enumerate().any(|(machine_type, t)| {
         let here = t.zones.iter().any(|z| snapshot.settings.zone_index(z) == Some(zone));
         here && [false, true].iter().any(|&spot| {
-            allows(&job.spec, t, spot) && !snapshot.refused.contains(&(kind, zone, spot))
+            is_eligible(&job.spec, t, spot)
+                && snapshot.may_be_provisioned(&MachineKind { machine_type, zone, spot })
         })
     })
 }
 
-fn spot_obtainable(snapshot: &Snapshot<'_>, job: &JobView) -> bool {
-    let zones = Zones::of(job, |z| snapshot.settings.zone_index(z));
-    snapshot.types.iter().enumerate().any(|(kind, t)| {
-        allows(&job.spec, t, true)
-            && t.zones
-                .iter()
-                .filter_map(|z| snapshot.settings.zone_index(z))
-                .any(|zone| zones.allow(zone) && !snapshot.refused.contains(&(kind, zone, true)))
+fn is_spot_obtainable(snapshot: &Snapshot<'_>, job: &JobView) -> bool {
+    let zones = ZoneConstraint::of(snapshot, job);
+    snapshot.types.iter().enumerate().any(|(machine_type, t)| {
+        let mut offered_in = t.zones.iter().filter_map(|z| snapshot.settings.zone_index(z));
+        is_eligible(&job.spec, t, true)
+            && offered_in.any(|zone| {
+                let kind = MachineKind { machine_type, zone, spot: true };
+                zones.allows(zone) && snapshot.may_be_provisioned(&kind)
+            })
     })
 }
 
 /// The cheapest places one after the other. A place taken changes the cost of
 /// its own machine only, so the others keep their order.
-fn fill(
+fn cheapest_places(
     snapshot: &Snapshot<'_>,
     job: &JobView,
     open: &[usize],
     count: usize,
-    mut zones: Zones<'_>,
+    mut zones: ZoneConstraint<'_>,
 ) -> Vec<usize> {
     let need = Resources::of_task(&job.spec);
-    snapshot.weigh(open.len());
+    snapshot.count_evaluated(open.len());
     let mut free: HashMap<usize, Resources> = HashMap::new();
     let mut places: BinaryHeap<Place> = open
         .iter()
         .map(|&m| (m, &snapshot.machines[m].free))
         .filter(|(_, free)| free.holds(&need))
-        .map(|(machine, free)| Place { cost: cost(snapshot, job, machine, free, false), machine })
+        .map(|(machine, free)| Place {
+            cost: placement_cost(snapshot, job, machine, free, false),
+            machine,
+        })
         .collect();
     let mut found = Vec::new();
     while found.len() < count
         && let Some(Place { machine, .. }) = places.pop()
     {
         // What a zone refuses it goes on refusing as more places are taken.
-        if !zones.allow(snapshot.machines[machine].zone) {
+        if !zones.allows(snapshot.machines[machine].zone) {
             continue;
         }
-        zones.take(snapshot.machines[machine].zone);
+        zones.add_task(snapshot.machines[machine].zone);
         found.push(machine);
         let free = free.entry(machine).or_insert(snapshot.machines[machine].free);
         free.sub(&need);
         if free.holds(&need) {
-            snapshot.weigh(1);
-            places.push(Place { cost: cost(snapshot, job, machine, free, true), machine });
+            snapshot.count_evaluated(1);
+            places
+                .push(Place { cost: placement_cost(snapshot, job, machine, free, true), machine });
         }
     }
     found
@@ -151,7 +171,7 @@
 /// What a place costs, in seconds: the fetch of an image it lacks, the whole
 /// machine it breaks into, the room it leaves scattered, and an ordinary
 /// machine given to work that spot machines could do.
-fn cost(
+fn placement_cost(
     snapshot: &Snapshot<'_>,
     job: &JobView,
     machine: usize,
@@ -159,7 +179,7 @@
     taken: bool,
 ) -> f64 {
     let view: &MachineView = &snapshot.machines[machine];
-    let kind = &snapshot.types[view.kind];
+    let kind = &snapshot.types[view.machine_type];
     let fetch = if taken || view.images.contains(&job.spec.image) || kind.fetch_gb_per_s <= 0.0 {
         0.0
     } else {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -17,15 +17,16 @@
 mod scale_out;
 mod snapshot;
 mod team_use;
+mod vacancy;
 mod view;
 
-pub use decisions::{Decisions, Stopping};
-pub use eligibility::allows;
+pub use decisions::{Decisions, GrantedWidth, PlacedTask, ScaleOut, Stopping};
+pub use eligibility::is_eligible;
 pub use quota::team_room;
 pub use resources::Resources;
-pub use snapshot::{Slot, Snapshot};
+pub use snapshot::{Snapshot, TaskSlot};
 pub use team_use::TeamUse;
-pub use view::{BoundView, JobView, MachineView, Reservation};
+pub use view::{BoundView, JobView, MachineKind, MachineView, Reservation};
 
 /// One pass: widths (in a round), then places, then room by preemption, then
 /// machines to rent for what is left.
@@ -34,7 +35,13 @@
     quota::mark_guaranteed(&mut snapshot);
     reservations::clear_reserved(&mut snapshot, &mut decisions);
     admission::set_widths(&mut snapshot, &mut decisions);
-    placement::place(&mut snapshot, &mut decisions);
-    decisions.weighed = snapshot.weighed.get();
+    // What is only placed tentatively in this pass is not yet anybody's to stop.
+    let bound_by_machine = snapshot.bound_by_machine();
+    let unplaced = placement::place(&mut snapshot, &bound_by_machine, &mut decisions);
+    if snapshot.round && unplaced.is_empty() {
+        consolidation::vacate_machines(&mut snapshot, &bound_by_machine, &mut decisions);
+    }
+    scale_out::scale_out(&mut snapshot, &unplaced, &mut decisions);
+    decisions.candidates_evaluated = snapshot.candidates_evaluated.get();
     decisions
 }
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -5,7 +5,7 @@
 use super::{
     resources::Resources,
     team_use::TeamUse,
-    view::{BoundView, JobView, MachineView},
+    view::{BoundView, JobView, MachineKind, MachineView},
 };
 use crate::{protocol::MachineType, settings::Settings};
 
@@ -18,50 +18,66 @@
     pub jobs: Vec<JobView>,
     /// What each team's bound tasks use.
     pub usage: HashMap<Arc<str>, TeamUse>,
-    /// Kinds of machine (type, zone, spot) that the cloud refused lately.
-    pub refused: Vec<(usize, u8, bool)>,
+    /// Kinds of machine of which the cloud had no more lately.
+    pub exhausted: Vec<MachineKind>,
     /// Empty ordinary machines to have ready for what may come.
-    pub spare: usize,
+    pub headroom_machines: usize,
     /// Empty spot machines to have ready.
-    pub spare_spot: usize,
+    pub headroom_spot_machines: usize,
     /// Room on ordinary machines, in machines, to keep for what may come.
-    pub spare_room: f64,
+    pub headroom_capacity: f64,
     /// Whether the design's round is due now.
     pub round: bool,
-    /// How many places were weighed so far: what a pass costs.
-    pub weighed: Cell<u64>,
+    /// How many places were evaluated so far: what a pass costs.
+    pub candidates_evaluated: Cell<u64>,
 }
 
-/// A bound task: the job's place in the snapshot and the binding's in the job.
-pub type Slot = (usize, usize);
+/// A bound task, by its place in a snapshot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TaskSlot {
+    /// The job's place in the snapshot.
+    pub job: usize,
+    /// The binding's place in the job.
+    pub binding: usize,
+}
 
 impl Snapshot<'_> {
-    pub(super) fn weigh(&self, places: usize) {
-        self.weighed.set(self.weighed.get() + places as u64);
+    /// The type of a machine.
+    pub(super) fn type_of(&self, machine: usize) -> &MachineType {
+        &self.types[self.machines[machine].machine_type]
+    }
+
+    /// Whether the cloud may have machines of a kind.
+    pub(super) fn may_be_provisioned(&self, kind: &MachineKind) -> bool {
+        !self.exhausted.contains(kind)
+    }
+
+    pub(super) fn count_evaluated(&self, places: usize) {
+        self.candidates_evaluated.set(self.candidates_evaluated.get() + places as u64);
     }
 
     /// The tasks bound to each machine.
-    pub(super) fn residents(&self) -> Vec<Vec<Slot>> {
-        let mut residents = vec![Vec::new(); self.machines.len()];
-        for (at, job) in self.jobs.iter().enumerate() {
-            for (slot, bound) in job.bound.iter().enumerate() {
+    pub(super) fn bound_by_machine(&self) -> Vec<Vec<TaskSlot>> {
+        let mut bound_by_machine = vec![Vec::new(); self.machines.len()];
+        for (job, view) in self.jobs.iter().enumerate() {
+            for (binding, bound) in view.bound.iter().enumerate() {
                 if let Some(machine) = bound.machine {
-                    residents[machine].push((at, slot));
+                    bound_by_machine[machine].push(TaskSlot { job, binding });
                 }
             }
         }
-        residents
+        bound_by_machine
     }
 }
 
 pub fn bind_tentatively(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
-    hold(snapshot, at, machine);
+    occupy(snapshot, at, machine);
     let zone = snapshot.machines[machine].zone;
-    snapshot.jobs[at].bound.push(BoundView::held(machine, zone, false));
+    snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, false));
 }
 
 /// Takes a place out of the snapshot.
-fn hold(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
+fn occupy(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
     let spec = &snapshot.jobs[at].spec;
     let view = &mut snapshot.machines[machine];
     view.free.sub(&Resources::of_task(spec));
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -5,10 +5,21 @@
 use super::resources::Resources;
 use crate::protocol::{JobId, JobSpec, MachineId, Priority, Shape};
 
+/// A kind of machine that the cloud provides. Ordered by its fields.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct MachineKind {
+    /// The machine type's place among the types on offer.
+    pub machine_type: usize,
+    /// The zone's place in the settings.
+    pub zone: u8,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+}
+
 #[derive(Clone, Debug)]
 pub struct MachineView {
     pub id: MachineId,
-    pub kind: usize,
+    pub machine_type: usize,
     pub zone: u8,
     pub spot: bool,
     pub free: Resources,
@@ -34,6 +45,11 @@
 }
 
 impl MachineView {
+    /// Its kind.
+    pub fn kind(&self) -> MachineKind {
+        MachineKind { machine_type: self.machine_type, zone: self.zone, spot: self.spot }
+    }
+
     /// Whether a job may count on its room.
     pub fn open_to(&self, job: &JobId) -> bool {
         self.reservation.as_ref().is_none_or(|reservation| reservation.job == *job)
@@ -59,12 +75,12 @@
 
 impl BoundView {
     /// The task of a place that is held tentatively.
-    pub const HELD: u32 = u32::MAX;
+    pub const TENTATIVE: u32 = u32::MAX;
 
     /// A place held on a machine, as if a task were bound there.
-    pub fn held(machine: usize, zone: u8, stopping: bool) -> Self {
+    pub fn tentative(machine: usize, zone: u8, stopping: bool) -> Self {
         let machine = Some(machine);
-        Self { task: Self::HELD, machine, zone, stopping, settled: false, loss_s: 0.0 }
+        Self { task: Self::TENTATIVE, machine, zone, stopping, settled: false, loss_s: 0.0 }
     }
 }
 
@@ -88,7 +104,7 @@
     /// Fits its team's guarantee together with the team's earlier jobs.
     pub guaranteed: bool,
     /// Waits out a failure of its own.
-    pub held: bool,
+    pub blocked: bool,
     /// Machines that failed its tasks.
     pub avoid: Vec<MachineId>,
 }
@@ -96,7 +112,7 @@
 impl JobView {
     /// Tasks that its width still lets start.
     pub fn startable(&self) -> usize {
-        if self.held {
+        if self.blocked {
             return 0;
         }
         match self.spec.shape {
