--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -20,12 +20,14 @@
 /// Units of room in one machine when types have no GPUs.
 const UNITS_WITHOUT_GPUS: f64 = 8.0;
 
+/// Sets the widths of arrays: in a round those of all, between rounds the least width
+/// of those that wait.
 pub fn set_widths(snapshot: &mut Snapshot<'_>, decisions: &mut Decisions) {
     if snapshot.round {
         round(snapshot);
     }
     for job in &mut snapshot.jobs {
-        // Between rounds a waiting job starts at its least width.
+        // Between rounds a waiting array starts at its least width.
         if job.spec.shape == Shape::Array && job.width == 0 {
             job.width = 1;
             if !snapshot.round {
@@ -63,9 +65,9 @@
         tasks.div_ceil(self.tasks)
     }
 
-    /// The width of so many steps, for a job of at most `most` tasks.
-    fn width(&self, steps: u32, most: u32) -> u32 {
-        steps.saturating_mul(self.tasks).min(most)
+    /// The width of so many steps, for a job of at most `max_tasks` tasks.
+    fn width(&self, steps: u32, max_tasks: u32) -> u32 {
+        steps.saturating_mul(self.tasks).min(max_tasks)
     }
 }
 
@@ -80,7 +82,7 @@
 struct Candidate {
     at: usize,
     step: Step,
-    most: u32,
+    max_tasks: u32,
     curve: Curve,
 }
 
@@ -96,7 +98,7 @@
     let candidates = candidates(snapshot, units);
     // A job past its team's limit waits and does not end admission.
     let eligible: Vec<&Candidate> = candidates.iter().filter(|c| c.curve.max > 0).collect();
-    // While the cloud rents, the room held grows with the demand.
+    // While the cloud has machines, the room grows with the demand.
     let wanted: usize = eligible.iter().map(|c| c.curve.max as usize * c.curve.cost).sum();
     let room = if any_is_obtainable(snapshot) { wanted } else { room_of_arrays(snapshot, units) };
     let steps = if wanted <= room {
@@ -107,7 +109,7 @@
     let widths: Vec<(usize, u32)> = eligible
         .iter()
         .zip(steps)
-        .map(|(candidate, steps)| (candidate.at, candidate.step.width(steps, candidate.most)))
+        .map(|(candidate, steps)| (candidate.at, candidate.step.width(steps, candidate.max_tasks)))
         .collect();
     for (at, width) in widths {
         snapshot.jobs[at].width = width;
@@ -173,12 +175,12 @@
         let job = &snapshot.jobs[at];
         let usage = used.entry(job.spec.team.clone()).or_default();
         let limit = team_room(snapshot.settings.team(&job.spec.team), usage, &job.spec);
-        let most = job.remaining.min(limit);
-        usage.cpus += job.spec.cpus * f64::from(most);
-        usage.gpus += job.spec.gpus * f64::from(most);
+        let max_tasks = job.remaining.min(limit);
+        usage.cpus += job.spec.cpus * f64::from(max_tasks);
+        usage.gpus += job.spec.gpus * f64::from(max_tasks);
         let step = step_of(snapshot, job, units);
-        let curve = Curve { min: 1, max: step.steps(most), cost: step.units, slope: 0.0 };
-        candidates.push(Candidate { at, step, most, curve });
+        let curve = Curve { min: 1, max: step.steps(max_tasks), cost: step.units, slope: 0.0 };
+        candidates.push(Candidate { at, step, max_tasks, curve });
     }
     candidates
 }
@@ -234,6 +236,7 @@
     best >= kept * (1.0 + snapshot.settings.operator.resize_gain)
 }
 
+/// Whether the cloud may have machines of any kind.
 fn any_is_obtainable(snapshot: &Snapshot<'_>) -> bool {
     snapshot.types.iter().enumerate().any(|(machine_type, t)| {
         t.zones.iter().any(|zone| {
--- a/src/scheduler/admission/tests.rs
+++ b/src/scheduler/admission/tests.rs
@@ -108,10 +108,10 @@
         let snapshot = snapshot(&settings, jobs);
         let candidates: Vec<Candidate> = (0..snapshot.jobs.len())
             .map(|at| {
-                let most = snapshot.jobs[at].remaining;
+                let max_tasks = snapshot.jobs[at].remaining;
                 let step = Step { tasks: rng.random_range(1..4), units: 1 };
-                let curve = Curve { min: 1, max: step.steps(most), cost: 1, slope: 0.0 };
-                Candidate { at, step, most, curve }
+                let curve = Curve { min: 1, max: step.steps(max_tasks), cost: 1, slope: 0.0 };
+                Candidate { at, step, max_tasks, curve }
             })
             .collect();
         let eligible: Vec<&Candidate> = candidates.iter().collect();
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -17,8 +17,12 @@
 
 /// How long a machine needs for a job's image, if it has to be fetched.
 pub fn fetch_s(snapshot: &Snapshot<'_>, at: usize, machine: usize) -> f64 {
-    let (job, view) = (&snapshot.jobs[at], &snapshot.machines[machine]);
-    let rate = snapshot.types[view.machine_type].fetch_gb_per_s;
+    fetch_time_s(snapshot, &snapshot.jobs[at], machine)
+}
+
+fn fetch_time_s(snapshot: &Snapshot<'_>, job: &JobView, machine: usize) -> f64 {
+    let view = &snapshot.machines[machine];
+    let rate = snapshot.type_of(machine).fetch_gb_per_s;
     if rate <= 0.0 || view.images.contains(&job.spec.image) {
         0.0
     } else {
@@ -26,7 +30,7 @@
     }
 }
 
-/// Which machines tasks are looked a place for on.
+/// The machines among which places are looked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineReadiness {
     /// Machines that take tasks now.
@@ -87,6 +91,7 @@
     })
 }
 
+/// Whether the cloud may have spot machines for one more task of a job.
 fn is_spot_obtainable(snapshot: &Snapshot<'_>, job: &JobView) -> bool {
     let zones = ZoneConstraint::of(snapshot, job);
     snapshot.types.iter().enumerate().any(|(machine_type, t)| {
@@ -116,7 +121,7 @@
         .map(|&m| (m, &snapshot.machines[m].free))
         .filter(|(_, free)| free.holds(&need))
         .map(|(machine, free)| Place {
-            cost: placement_cost(snapshot, job, machine, free, false),
+            cost: placement_cost(snapshot, job, machine, free, EarlierPlace::None),
             machine,
         })
         .collect();
@@ -124,7 +129,7 @@
     while found.len() < count
         && let Some(Place { machine, .. }) = places.pop()
     {
-        // What a zone refuses it goes on refusing as more places are taken.
+        // A zone that allows no more tasks allows none later, as more places are taken.
         if !zones.allows(snapshot.machines[machine].zone) {
             continue;
         }
@@ -134,15 +139,17 @@
         free.sub(&need);
         if free.holds(&need) {
             snapshot.count_evaluated(1);
-            places
-                .push(Place { cost: placement_cost(snapshot, job, machine, free, true), machine });
+            places.push(Place {
+                cost: placement_cost(snapshot, job, machine, free, EarlierPlace::Taken),
+                machine,
+            });
         }
     }
     found
 }
 
-/// A machine that could take one more task: the cheapest is the greatest, of
-/// equal ones the first.
+/// A machine that could take one more task. The cheapest is the greatest, and of equal
+/// ones the first, for a heap yields the greatest.
 struct Place {
     cost: f64,
     machine: usize,
@@ -168,6 +175,13 @@
 
 impl Eq for Place {}
 
+/// Whether the same search has taken a place on the machine already.
+#[derive(Clone, Copy, PartialEq)]
+enum EarlierPlace {
+    None,
+    Taken,
+}
+
 /// What a place costs, in seconds: the fetch of an image it lacks, the whole
 /// machine it breaks into, the room it leaves scattered, and an ordinary
 /// machine given to work that spot machines could do.
@@ -176,16 +190,13 @@
     job: &JobView,
     machine: usize,
     free: &Resources,
-    taken: bool,
+    earlier: EarlierPlace,
 ) -> f64 {
+    let taken = earlier == EarlierPlace::Taken;
     let view: &MachineView = &snapshot.machines[machine];
-    let kind = &snapshot.types[view.machine_type];
-    let fetch = if taken || view.images.contains(&job.spec.image) || kind.fetch_gb_per_s <= 0.0 {
-        0.0
-    } else {
-        job.spec.image_gb / kind.fetch_gb_per_s
-    };
-    // A fetch that may make the job miss its aim on waiting costs more.
+    let kind = snapshot.type_of(machine);
+    let fetch = if taken { 0.0 } else { fetch_time_s(snapshot, job, machine) };
+    // A fetch that may make the job miss its objective for waiting costs more.
     let late = job.patience_s.is_some_and(|p| p > 0.0 && fetch * SLOW_FETCH > p);
     let fetch = if late { fetch + kind.boot_s } else { fetch };
     let total = Resources::of_type(kind);
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -9,24 +9,36 @@
 };
 use crate::protocol::{JobSpec, MachineType};
 
-/// Whether a job may use machines of this kind, zone aside.
-pub fn is_eligible(spec: &JobSpec, kind: &MachineType, spot: bool) -> bool {
+/// Whether a job may use machines of this type, zone aside. `spot`: as spot machines.
+pub fn is_eligible(spec: &JobSpec, machine_type: &MachineType, spot: bool) -> bool {
     (spec.spot || !spot)
-        && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
-        && Resources::of_type(kind).holds(&Resources::of_task(spec))
+        && spec.types.as_ref().is_none_or(|types| types.contains(&machine_type.name))
+        && Resources::of_type(machine_type).holds(&Resources::of_task(spec))
 }
 
-/// Which kinds of machine a job may use, told once for all machines.
-pub struct MachineEligibility(Vec<[bool; 2]>);
+/// Which machine types a job may use, zone aside, worked out once for all machines.
+pub struct MachineEligibility(Vec<TypeEligibility>);
+
+/// Whether a job may use machines of one type.
+struct TypeEligibility {
+    ordinary: bool,
+    spot: bool,
+}
 
 impl MachineEligibility {
+    /// What a job may use of the types on offer.
     pub fn of(snapshot: &Snapshot<'_>, job: &JobView) -> Self {
-        let both = |t| [is_eligible(&job.spec, t, false), is_eligible(&job.spec, t, true)];
-        Self(snapshot.types.iter().map(both).collect())
+        let of_type = |machine_type| TypeEligibility {
+            ordinary: is_eligible(&job.spec, machine_type, false),
+            spot: is_eligible(&job.spec, machine_type, true),
+        };
+        Self(snapshot.types.iter().map(of_type).collect())
     }
 
+    /// Whether the job may use a machine.
     pub fn accepts(&self, machine: &MachineView) -> bool {
-        self.0[machine.machine_type][usize::from(machine.spot)]
+        let eligibility = &self.0[machine.machine_type];
+        if machine.spot { eligibility.spot } else { eligibility.ordinary }
     }
 }
 
@@ -34,11 +46,14 @@
 #[derive(Clone)]
 pub struct ZoneConstraint<'a> {
     spec: &'a JobSpec,
+    /// The only zone that the job may use, if its user named one.
     fixed: Option<u8>,
+    /// How many of its tasks each zone holds.
     counts: BTreeMap<u8, u32>,
 }
 
 impl<'a> ZoneConstraint<'a> {
+    /// Where one more task of a job may go, with its tasks as they are bound now.
     pub fn of(snapshot: &Snapshot<'_>, job: &'a JobView) -> Self {
         let mut counts = BTreeMap::new();
         for bound in &job.bound {
@@ -50,6 +65,7 @@
         Self { spec: &job.spec, fixed, counts }
     }
 
+    /// Whether one more task may go to a zone.
     pub fn allows(&self, zone: u8) -> bool {
         if self.fixed.is_some_and(|z| z != zone) {
             return false;
@@ -61,6 +77,7 @@
         !self.spec.spread || here < self.spec.tasks.div_ceil(2)
     }
 
+    /// Counts one more task in a zone.
     pub fn add_task(&mut self, zone: u8) {
         *self.counts.entry(zone).or_default() += 1;
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -29,7 +29,7 @@
 pub use view::{BoundView, JobView, MachineKind, MachineView, Reservation};
 
 /// One pass: widths (in a round), then places, then room by preemption, then
-/// machines to rent for what is left.
+/// machines to provision for what is left.
 pub fn decide(mut snapshot: Snapshot<'_>) -> Decisions {
     let mut decisions = Decisions::default();
     quota::mark_guaranteed(&mut snapshot);
--- a/src/scheduler/optimizer.rs
+++ b/src/scheduler/optimizer.rs
@@ -8,7 +8,9 @@
 /// How a job's throughput scales with its width, and what a width costs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Curve {
+    /// The least width that the job may have.
     pub min: u32,
+    /// The greatest width that it may have.
     pub max: u32,
     /// Units of room that one task takes.
     pub cost: usize,
@@ -18,6 +20,7 @@
 }
 
 impl Curve {
+    /// The throughput at a width, as a multiple of that at width 1.
     pub fn factor(&self, width: u32) -> f64 {
         let k = f64::from(width);
         if width == 0 { 0.0 } else { k / (1.0 + self.slope * (k - 1.0)) }
@@ -31,7 +34,7 @@
 }
 
 enum Widths {
-    /// The job has one width. A swarm of one-task jobs has a row each, and a
+    /// The job has one width. Each of many one-task jobs has a row, and a
     /// table for each of those would not fit a small machine.
     Only(u32),
     /// The job's width for each room up to the last one; more room than that
@@ -50,6 +53,7 @@
 }
 
 impl Program {
+    /// A program without jobs over `room` units.
     pub fn new(room: usize) -> Self {
         Self { room, rows: Vec::new(), best: vec![0.0] }
     }
@@ -74,6 +78,7 @@
         feasible
     }
 
+    /// The greatest sum of throughput factors of the admitted jobs.
     pub fn total(&self) -> f64 {
         self.best[self.best.len() - 1]
     }
--- a/src/scheduler/resources.rs
+++ b/src/scheduler/resources.rs
@@ -2,10 +2,14 @@
 
 use crate::protocol::{JobSpec, MachineType};
 
+/// What a task needs, or a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
+    /// CPU cores.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
@@ -13,26 +17,32 @@
 pub(super) const SLACK: f64 = 1e-6;
 
 impl Resources {
+    /// What one task of a job needs.
     pub fn of_task(spec: &JobSpec) -> Self {
         Self { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    pub fn of_type(kind: &MachineType) -> Self {
-        Self { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb }
+    /// What an empty machine of a type has.
+    pub fn of_type(machine_type: &MachineType) -> Self {
+        let MachineType { cpus, gpus, memory_gb, .. } = *machine_type;
+        Self { cpus, gpus, memory_gb }
     }
 
+    /// Whether `need` fits.
     pub fn holds(&self, need: &Self) -> bool {
         need.cpus <= self.cpus + SLACK
             && need.gpus <= self.gpus + SLACK
             && need.memory_gb <= self.memory_gb + SLACK
     }
 
+    /// Adds `other`.
     pub fn add(&mut self, other: &Self) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
+    /// Subtracts `other`; the result may be negative.
     pub fn sub(&mut self, other: &Self) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -9,12 +9,17 @@
 };
 use crate::{protocol::MachineType, settings::Settings};
 
+/// The state that a pass decides on. The pass marks in it what it decides, so that later
+/// decisions of the same pass reckon with that.
 #[derive(Clone)]
 pub struct Snapshot<'a> {
+    /// The settings.
     pub settings: &'a Settings,
+    /// The machine types on offer.
     pub types: &'a [MachineType],
+    /// The machines that take tasks or boot, and then those that the pass adds.
     pub machines: Vec<MachineView>,
-    /// In order of arrival.
+    /// The unfinished jobs that wait for no other job, in order of arrival.
     pub jobs: Vec<JobView>,
     /// What each team's bound tasks use.
     pub usage: HashMap<Arc<str>, TeamUse>,
@@ -26,7 +31,7 @@
     pub headroom_spot_machines: usize,
     /// Room on ordinary machines, in machines, to keep for what may come.
     pub headroom_capacity: f64,
-    /// Whether the design's round is due now.
+    /// Whether a round is due now, which also sets the widths of arrays.
     pub round: bool,
     /// How many places were evaluated so far: what a pass costs.
     pub candidates_evaluated: Cell<u64>,
@@ -52,6 +57,7 @@
         !self.exhausted.contains(kind)
     }
 
+    /// Counts places that are evaluated.
     pub(super) fn count_evaluated(&self, places: usize) {
         self.candidates_evaluated.set(self.candidates_evaluated.get() + places as u64);
     }
@@ -70,13 +76,15 @@
     }
 }
 
+/// Binds one more task of a job to a machine for the rest of the pass, whichever task it
+/// is: later decisions of the pass reckon with the place.
 pub fn bind_tentatively(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
     occupy(snapshot, at, machine);
     let zone = snapshot.machines[machine].zone;
     snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, false));
 }
 
-/// Takes a place out of the snapshot.
+/// Takes the room of one task of a job on a machine.
 fn occupy(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
     let spec = &snapshot.jobs[at].spec;
     let view = &mut snapshot.machines[machine];
