--- a/src/activation.rs
+++ b/src/activation.rs
@@ -1,5 +1,5 @@
 //! Scale to zero onto the scheduler: a model's replicas are the tasks of a service
-//! job, which the owner of a cold start submits and, once the model sleeps, withdraws.
+//! job, which the owner of a cold start submits and, once the model scales to zero, cancels.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -10,8 +10,8 @@
 use stonewheel_coordination::Coordinator;
 
 use crate::{
-    node::{InternalJobReply, Node, Unavailable},
-    replica_jobs::{JobProbe, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
+    node::Node,
+    replica_jobs::{JobOrder, JobProbe, ReplicaJobError, ReplicaJobs, ReplicaNeeds, ReplicaProbe},
 };
 
 /// Replicas as tasks of service jobs.
@@ -26,21 +26,21 @@
         Self { jobs, models }
     }
 
+    /// The settings of the model that an order is for.
     fn model(&self, order: &ReplicaOrder) -> Result<&ModelSettings, StarterError> {
         let unknown = || StarterError::Rejected(format!("no model {}", order.model));
         self.models.get(&order.model).ok_or_else(unknown)
     }
 
     async fn start_job(&self, order: &ReplicaOrder) -> Result<(), StarterError> {
-        let spec = job_spec(&order.job, &needs(self.model(order)?));
-        let spec = spec.map_err(StarterError::Rejected)?;
+        let needs = needs(self.model(order)?);
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.submit_internal_job(&spec, &order.fence, &marker).await)
+        Ok(self.jobs.start(job_order(order, &marker), &needs).await?)
     }
 
     async fn stop_job(&self, order: &ReplicaOrder) -> Result<(), StarterError> {
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.cancel_internal_job(&order.job, &order.fence, &marker).await)
+        Ok(self.jobs.stop(job_order(order, &marker)).await?)
     }
 
     async fn probe_at(&self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
@@ -53,16 +53,16 @@
         let answering = placed.iter().filter(|replica| replica.answers);
         let endpoints: Vec<String> = answering
             .map(|replica| replica.endpoint.to_string())
-            .take(self.most_endpoints())
+            .take(self.max_endpoints())
             .collect();
         Ok(if endpoints.is_empty() { Replicas::Pending } else { Replicas::Ready(endpoints) })
     }
 
-    /// As many as surely fit a record.
-    fn most_endpoints(&self) -> usize {
-        const LONGEST_ENDPOINT: usize = 64;
+    /// As many endpoints as surely fit a record.
+    fn max_endpoints(&self) -> usize {
+        const MAX_ENDPOINT_BYTES: usize = 64;
         let value_bytes = self.jobs.node.settings.state_limits().value_bytes;
-        (value_bytes / LONGEST_ENDPOINT / 2).max(1)
+        (value_bytes / MAX_ENDPOINT_BYTES / 2).max(1)
     }
 }
 
@@ -83,6 +83,10 @@
     }
 }
 
+fn job_order<'a>(order: &'a ReplicaOrder, marker: &'a str) -> JobOrder<'a> {
+    JobOrder { job: &order.job, fence: &order.fence, marker }
+}
+
 fn needs(model: &ModelSettings) -> ReplicaNeeds<'_> {
     ReplicaNeeds {
         team: &model.team,
@@ -97,13 +101,14 @@
     }
 }
 
-fn outcome(reply: Result<InternalJobReply, Unavailable>) -> Result<(), StarterError> {
-    match reply {
-        Ok(InternalJobReply::Done) => Ok(()),
-        Ok(InternalJobReply::NameTaken) => Err(StarterError::NameTaken),
-        Ok(InternalJobReply::Stale) => Err(StarterError::Stale),
-        Ok(InternalJobReply::Impossible(reason)) => Err(StarterError::Rejected(reason)),
-        Err(unavailable) => Err(StarterError::Unavailable(unavailable.to_string())),
+impl From<ReplicaJobError> for StarterError {
+    fn from(error: ReplicaJobError) -> Self {
+        match error {
+            ReplicaJobError::NameTaken => Self::NameTaken,
+            ReplicaJobError::Stale => Self::Stale,
+            ReplicaJobError::Rejected(reason) => Self::Rejected(reason),
+            ReplicaJobError::Unavailable(reason) => Self::Unavailable(reason),
+        }
     }
 }
 
--- a/src/replica_jobs.rs
+++ b/src/replica_jobs.rs
@@ -1,6 +1,5 @@
-//! Replicas as tasks of service jobs of our own: submitted and withdrawn under a fence,
-//! and probed through the records and by asking them. Scale to zero and rollouts
-//! share this.
+//! Replicas as tasks of internal service jobs: submitted and cancelled under a fence, and
+//! probed through the records and over HTTP. Scale to zero and rollouts share this.
 
 use std::{
     collections::HashMap,
@@ -11,10 +10,12 @@
 
 use futures_util::future::{BoxFuture, join_all};
 use hyper::{Method, StatusCode};
+use stonewheel_protocol::Condition;
+use thiserror::Error;
 
 use crate::{
     http::client::HttpClient,
-    node::Node,
+    node::{InternalJobReply, Node, Unavailable},
     protocol::{JobSpec, JobState, MachineId, Priority, Shape},
     settings::Settings,
     state::lock,
@@ -23,13 +24,13 @@
 /// Connections kept to each replica for probes.
 const IDLE_CONNECTIONS: usize = 1;
 
-/// Asks a replica whether it can take requests.
+/// Probes whether a replica can take requests.
 pub trait ReplicaProbe: Send + Sync {
     /// Whether the replica at this endpoint answers this path with 200.
     fn answers(&self, endpoint: SocketAddr, path: &str) -> BoxFuture<'_, bool>;
 }
 
-/// Asks over HTTP.
+/// Probes over HTTP.
 pub struct HttpProbe {
     client: HttpClient,
     within: Duration,
@@ -53,25 +54,25 @@
     }
 }
 
-/// A replica that has a place.
+/// A replica that is placed on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedReplica {
     /// The machine that it is on.
     pub machine: MachineId,
-    /// Where it is to answer.
+    /// The endpoint at which it is to answer.
     pub endpoint: SocketAddr,
-    /// Whether it does.
+    /// Whether the endpoint answers.
     pub answers: bool,
 }
 
 /// What a probe of a job shows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobProbe {
-    /// It is over.
+    /// It is done or cancelled.
     Gone,
-    /// No task has a place, as far as the records are known here.
+    /// None of its tasks is placed, as far as the records are known here.
     Pending,
-    /// These have one.
+    /// These replicas are placed.
     Placed(Vec<PlacedReplica>),
 }
 
@@ -98,7 +99,35 @@
     pub replicas: u32,
 }
 
-/// Probes replicas of service jobs.
+/// Why the job of a replica was not submitted or cancelled, or may not have been.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum ReplicaJobError {
+    /// Another job has its id.
+    #[error("its job's id is taken")]
+    NameTaken,
+    /// The fence no longer holds.
+    #[error("the order is out of date")]
+    Stale,
+    /// The job can never run.
+    #[error("{0}")]
+    Rejected(String),
+    /// Whether it was carried out is not known; a repeat is safe.
+    #[error("{0}")]
+    Unavailable(String),
+}
+
+/// The identity of a replica's job, and under what it may be changed.
+#[derive(Clone, Copy, Debug)]
+pub struct JobOrder<'a> {
+    /// The job's id.
+    pub job: &'a str,
+    /// The condition that must hold when the change is made.
+    pub fence: &'a Condition,
+    /// The key of the record that marks the job as submitted.
+    pub marker: &'a str,
+}
+
+/// Submits, cancels and probes the jobs of replicas.
 pub struct ReplicaJobs {
     /// The controller that they are submitted through.
     pub node: Arc<Node>,
@@ -108,13 +137,28 @@
 }
 
 impl ReplicaJobs {
-    /// Over a controller and what asks the replicas.
+    /// Over a controller, and with this probe for the replicas.
     pub fn new(node: Arc<Node>, probe: Arc<dyn ReplicaProbe>) -> Self {
         Self { node, probe, addresses: Mutex::default() }
     }
 
-    /// What the records and the replicas themselves say; the state service is not
-    /// asked.
+    /// Submits a service job whose tasks are replicas. A repeat has no further effect.
+    pub async fn start(
+        &self,
+        order: JobOrder<'_>,
+        needs: &ReplicaNeeds<'_>,
+    ) -> Result<(), ReplicaJobError> {
+        let spec = job_spec(order.job, needs).map_err(ReplicaJobError::Rejected)?;
+        outcome(self.node.submit_internal_job(&spec, order.fence, order.marker).await)
+    }
+
+    /// Cancels a job. A repeat has no further effect.
+    pub async fn stop(&self, order: JobOrder<'_>) -> Result<(), ReplicaJobError> {
+        outcome(self.node.cancel_internal_job(order.job, order.fence, order.marker).await)
+    }
+
+    /// Probes a job by the records and its replicas' health paths, without a call to the
+    /// state service.
     pub async fn probe(&self, job: &str, port: u16, health: &str) -> JobProbe {
         let state = lock(&self.node.watch_cache).status(job).map(|status| status.state);
         match state {
@@ -123,20 +167,19 @@
             None | Some(JobState::Pending) => return JobProbe::Pending,
             Some(JobState::Running) => {}
         }
-        let mut places = Vec::new();
+        let mut placed = Vec::new();
         for machine in self.machines_of(job) {
             if let Some(address) = self.address(&machine).await {
-                places.push((machine, SocketAddr::new(address.ip(), port)));
+                let endpoint = SocketAddr::new(address.ip(), port);
+                placed.push(PlacedReplica { machine, endpoint, answers: false });
             }
         }
-        let asked = places.iter().map(|(_, endpoint)| self.probe.answers(*endpoint, health));
-        let answers = join_all(asked).await;
-        let placed = places.into_iter().zip(answers);
-        JobProbe::Placed(
-            placed
-                .map(|((machine, endpoint), answers)| PlacedReplica { machine, endpoint, answers })
-                .collect(),
-        )
+        let probes = placed.iter().map(|replica| self.probe.answers(replica.endpoint, health));
+        let answers = join_all(probes).await;
+        for (replica, answers) in placed.iter_mut().zip(answers) {
+            replica.answers = answers;
+        }
+        JobProbe::Placed(placed)
     }
 
     /// The machines that hold the job's tasks, by the records.
@@ -165,8 +208,18 @@
     }
 }
 
+fn outcome(reply: Result<InternalJobReply, Unavailable>) -> Result<(), ReplicaJobError> {
+    match reply {
+        Ok(InternalJobReply::Done) => Ok(()),
+        Ok(InternalJobReply::NameTaken) => Err(ReplicaJobError::NameTaken),
+        Ok(InternalJobReply::Stale) => Err(ReplicaJobError::Stale),
+        Ok(InternalJobReply::Impossible(reason)) => Err(ReplicaJobError::Rejected(reason)),
+        Err(unavailable) => Err(ReplicaJobError::Unavailable(unavailable.to_string())),
+    }
+}
+
 /// The service job whose tasks are replicas, or why there can't be one.
-pub fn job_spec(job: &str, needs: &ReplicaNeeds<'_>) -> Result<JobSpec, String> {
+fn job_spec(job: &str, needs: &ReplicaNeeds<'_>) -> Result<JobSpec, String> {
     let priority = match needs.priority {
         "production" => Priority::Production,
         "high" => Priority::High,
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -10,8 +10,8 @@
 };
 
 use crate::{
-    node::{InternalJobReply, Node, Unavailable},
-    replica_jobs::{JobProbe, ReplicaJobs, ReplicaNeeds, ReplicaProbe, job_spec},
+    node::Node,
+    replica_jobs::{JobOrder, JobProbe, ReplicaJobError, ReplicaJobs, ReplicaNeeds, ReplicaProbe},
 };
 
 /// Replicas as service jobs of one task each.
@@ -28,9 +28,8 @@
 
     async fn start_job(&self, order: &ReplicaOrder) -> Result<(), HostError> {
         let needs = needs(self.service(order)?, &order.version);
-        let spec = job_spec(&order.job, &needs).map_err(HostError::Rejected)?;
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.submit_internal_job(&spec, &order.fence, &marker).await)
+        Ok(self.jobs.start(job_order(order, &marker), &needs).await?)
     }
 
     async fn probe_at(&self, order: &ReplicaOrder) -> Result<ProbeResult, HostError> {
@@ -52,7 +51,7 @@
 
     async fn stop_job(&self, order: &ReplicaOrder) -> Result<(), HostError> {
         let marker = job_key(&order.job);
-        outcome(self.jobs.node.cancel_internal_job(&order.job, &order.fence, &marker).await)
+        Ok(self.jobs.stop(job_order(order, &marker)).await?)
     }
 }
 
@@ -73,6 +72,10 @@
     }
 }
 
+fn job_order<'a>(order: &'a ReplicaOrder, marker: &'a str) -> JobOrder<'a> {
+    JobOrder { job: &order.job, fence: &order.fence, marker }
+}
+
 fn needs<'a>(service: &'a ServiceSettings, version: &'a str) -> ReplicaNeeds<'a> {
     ReplicaNeeds {
         team: &service.team,
@@ -87,14 +90,15 @@
     }
 }
 
-fn outcome(reply: Result<InternalJobReply, Unavailable>) -> Result<(), HostError> {
-    match reply {
-        Ok(InternalJobReply::Done) => Ok(()),
-        // Named at random among as many as 16 digits hold: told, and turned back from.
-        Ok(InternalJobReply::NameTaken) => Err(HostError::Rejected("its job's id is taken".into())),
-        Ok(InternalJobReply::Stale) => Err(HostError::Stale),
-        Ok(InternalJobReply::Impossible(reason)) => Err(HostError::Rejected(reason)),
-        Err(unavailable) => Err(HostError::Unavailable(unavailable.to_string())),
+impl From<ReplicaJobError> for HostError {
+    fn from(error: ReplicaJobError) -> Self {
+        match error {
+            // Ids are random with 16 digits: reported, and the rollout is rolled back.
+            ReplicaJobError::NameTaken => Self::Rejected(error.to_string()),
+            ReplicaJobError::Stale => Self::Stale,
+            ReplicaJobError::Rejected(reason) => Self::Rejected(reason),
+            ReplicaJobError::Unavailable(reason) => Self::Unavailable(reason),
+        }
     }
 }
 
