--- a/crates/stonewheel-lending/src/accounts.rs
+++ b/crates/stonewheel-lending/src/accounts.rs
@@ -3,19 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::{
-    claim::{ClaimId, MachineName, StandingClaim, TeamName},
+    claim::{ActiveClaim, ClaimId, MachineName, TeamName},
     ledger::{Entry, LoanState},
     settings::{LendingSettings, Teams},
 };
 
 /// Which claims are inside their teams' guarantees: those that fit together with all
 /// before them, the ones that can't be stopped first, each group in admission order.
-pub fn inside(claims: &[StandingClaim], teams: &Teams, grace_s: f64) -> Vec<bool> {
+pub fn inside(claims: &[ActiveClaim], teams: &Teams, grace_s: f64) -> Vec<bool> {
     let mut inside = vec![false; claims.len()];
     let mut asked: HashMap<&TeamName, u32> = HashMap::new();
     for revocable in [false, true] {
-        for (at, standing) in claims.iter().enumerate() {
-            let claim = &standing.claim;
+        for (at, active) in claims.iter().enumerate() {
+            let claim = &active.claim;
             if claim.revocable(grace_s) != revocable {
                 continue;
             }
@@ -29,14 +29,14 @@
 
 /// What each team's claims inside its guarantee ask for.
 pub fn entitlements(
-    claims: &[StandingClaim],
+    claims: &[ActiveClaim],
     inside: &[bool],
     teams: &Teams,
 ) -> BTreeMap<TeamName, u32> {
     let mut entitlements: BTreeMap<TeamName, u32> =
         teams.keys().map(|team| (team.clone(), 0)).collect();
-    for (standing, _) in claims.iter().zip(inside).filter(|(_, inside)| **inside) {
-        *entitlements.entry(standing.claim.team.clone()).or_default() += standing.claim.machines;
+    for (active, _) in claims.iter().zip(inside).filter(|(_, inside)| **inside) {
+        *entitlements.entry(active.claim.team.clone()).or_default() += active.claim.machines;
     }
     entitlements
 }
@@ -92,18 +92,18 @@
 
 impl Accounts {
     /// Nothing held yet.
-    pub fn new(claims: &[StandingClaim], settings: &LendingSettings) -> Self {
+    pub fn new(claims: &[ActiveClaim], settings: &LendingSettings) -> Self {
         let grace_s = settings.times.grace_s;
         let inside = inside(claims, &settings.teams, grace_s);
-        let account = |(standing, inside): (&StandingClaim, bool)| ClaimAccount {
+        let account = |(active, inside): (&ActiveClaim, bool)| ClaimAccount {
             inside,
-            revocable: standing.claim.revocable(grace_s),
+            revocable: active.claim.revocable(grace_s),
             ..ClaimAccount::default()
         };
         Self {
             claims: claims.iter().zip(inside).map(account).collect(),
             index: claims.iter().enumerate().map(|(at, c)| (c.id.clone(), at)).collect(),
-            owners: claims.iter().map(|standing| standing.claim.team.clone()).collect(),
+            owners: claims.iter().map(|active| active.claim.team.clone()).collect(),
             teams: HashMap::new(),
             outside_fixed: 0,
             unclaimed: BTreeSet::new(),
@@ -112,7 +112,7 @@
     }
 
     /// The place of a claim that stands.
-    pub fn place(&self, claim: &str) -> Option<usize> {
+    pub fn index_of(&self, claim: &str) -> Option<usize> {
         self.index.get(claim).copied()
     }
 
@@ -138,54 +138,54 @@
     }
 
     fn account(&mut self, machine: &MachineName, entry: &Entry, sign: Sign) {
-        let borrower = self.place(&entry.claim);
+        let borrower = self.index_of(&entry.claim);
         if entry.state != LoanState::Released {
-            step(&mut self.teams.entry(entry.borrower.clone()).or_default().used, sign);
+            update_count(&mut self.teams.entry(entry.borrower.clone()).or_default().used, sign);
         }
         if let Some(lender) = entry.lender.as_ref().filter(|_| entry.runs()) {
-            note(self.lent.entry(lender.clone()).or_default(), machine, sign);
+            update_set(self.lent.entry(lender.clone()).or_default(), machine, sign);
         }
         if entry.leaves() && entry.claimant.is_none() {
-            note(&mut self.unclaimed, machine, sign);
+            update_set(&mut self.unclaimed, machine, sign);
         }
         if let Some(at) = borrower {
             let account = &mut self.claims[at];
             let (inside, fixed) = (account.inside, !account.inside && !account.revocable);
             // Until it is proven gone it covers nobody's guarantee.
             if fixed && entry.state != LoanState::Released {
-                step(&mut self.outside_fixed, sign);
+                update_count(&mut self.outside_fixed, sign);
             }
             if entry.runs() {
-                note(&mut account.held, machine, sign);
+                update_set(&mut account.held, machine, sign);
                 if inside {
                     let team = self.teams.entry(entry.borrower.clone()).or_default();
-                    step(&mut team.inside_held, sign);
+                    update_count(&mut team.inside_held, sign);
                 }
             } else if entry.leaves() {
-                note(&mut account.leaving, machine, sign);
+                update_set(&mut account.leaving, machine, sign);
             }
         }
         self.account_claimant(machine, entry, sign);
     }
 
     fn account_claimant(&mut self, machine: &MachineName, entry: &Entry, sign: Sign) {
-        let Some(at) = entry.claimant.as_ref().and_then(|claimant| self.place(claimant)) else {
+        let Some(at) = entry.claimant.as_ref().and_then(|claimant| self.index_of(claimant)) else {
             return;
         };
-        note(&mut self.claims[at].coming, machine, sign);
+        update_set(&mut self.claims[at].coming, machine, sign);
         // A machine that the same team leaves is counted already.
         let team = &self.owners[at];
         if entry.state == LoanState::Released || *team != entry.borrower {
-            step(&mut self.teams.entry(team.clone()).or_default().coming, sign);
+            update_count(&mut self.teams.entry(team.clone()).or_default().coming, sign);
         }
     }
 }
 
-fn step(count: &mut u32, sign: Sign) {
+fn update_count(count: &mut u32, sign: Sign) {
     *count = if sign == Sign::Add { *count + 1 } else { count.saturating_sub(1) };
 }
 
-fn note(machines: &mut BTreeSet<MachineName>, machine: &MachineName, sign: Sign) {
+fn update_set(machines: &mut BTreeSet<MachineName>, machine: &MachineName, sign: Sign) {
     if sign == Sign::Add {
         machines.insert(machine.clone());
     } else {
--- a/crates/stonewheel-lending/src/backoff.rs
+++ b/crates/stonewheel-lending/src/backoff.rs
@@ -7,15 +7,15 @@
 use crate::settings::Times;
 
 /// The first pause is this part of the time between looks.
-const FIRST_PARTS: u32 = 4;
+const FIRST_PAUSE_PARTS: u32 = 4;
 /// No pause is longer than so many looks.
-const MOST_LOOKS: u32 = 4;
+const MAX_PAUSE_INTERVALS: u32 = 4;
 /// A pause is drawn from this share of its length up to all of it.
-const LEAST_SHARE: f64 = 0.5;
+const MIN_PAUSE_SHARE: f64 = 0.5;
 
 /// The longest pause between two tries.
 pub(crate) fn longest_pause(times: &Times) -> Duration {
-    times.look() * MOST_LOOKS
+    times.probe_interval() * MAX_PAUSE_INTERVALS
 }
 
 /// The tries of one order.
@@ -39,8 +39,10 @@
     /// Notes a failure.
     pub fn failed(&mut self, now: Instant, times: &Times, rng: &mut StdRng) {
         let factor = 2_u32.saturating_pow(self.failures);
-        let pause = (times.look() / FIRST_PARTS).saturating_mul(factor).min(longest_pause(times));
+        let pause = (times.probe_interval() / FIRST_PAUSE_PARTS)
+            .saturating_mul(factor)
+            .min(longest_pause(times));
         self.failures += 1;
-        self.next = now + pause.mul_f64(rng.random_range(LEAST_SHARE..=1.0));
+        self.next = now + pause.mul_f64(rng.random_range(MIN_PAUSE_SHARE..=1.0));
     }
 }
--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -10,13 +10,13 @@
 
 /// The claim, the halt's acknowledgement, the end and the release are each seen within
 /// one look.
-const LOOKS: u32 = 4;
+const PROBES: u32 = 4;
 /// Request, release and grant are each one write.
 const WRITES: u32 = 3;
 /// Halt, end, return of a silent machine, start.
 const ORDERS: u32 = 4;
 /// The new holder looks once before it adopts and once before it plans.
-const TAKEOVER_LOOKS: u32 = 2;
+const TAKEOVER_PROBES: u32 = 2;
 
 /// Bounds that follow from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,16 +39,16 @@
         let times = &settings.times;
         let takeover = session
             + session / ADOPTION_PARTS * members
-            + times.look() * TAKEOVER_LOOKS
+            + times.probe_interval() * TAKEOVER_PROBES
             + state_timeout;
         Self { reclaim: reclaim(times, state_timeout), takeover }
     }
 }
 
 fn reclaim(times: &Times, state_timeout: Duration) -> Duration {
-    let seen = times.look() * LOOKS;
+    let seen = times.probe_interval() * PROBES;
     let written = state_timeout * WRITES;
-    let ordered = times.order() * ORDERS + longest_pause(times);
-    let saved = times.spread() + times.grace();
+    let ordered = times.order_timeout() * ORDERS + longest_pause(times);
+    let saved = times.spread() + times.grace_period();
     seen + written + ordered + saved + times.worker_lease()
 }
--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -7,7 +7,7 @@
 use stonewheel_settings::check_name;
 use thiserror::Error;
 
-use crate::{PREFIX, ledger::LONGEST_NAME, settings::LendingSettings};
+use crate::{PREFIX, ledger::MAX_NAME_BYTES, settings::LendingSettings};
 
 /// A team's name.
 pub type TeamName = Arc<str>;
@@ -109,8 +109,8 @@
     /// Checks a claim against the settings.
     pub fn check(&self, id: &str, settings: &LendingSettings) -> Result<(), ClaimError> {
         check_name("id", id).map_err(|error| ClaimError::Id(error.to_string()))?;
-        if id.len() > LONGEST_NAME {
-            return Err(ClaimError::Id(format!("id: must have at most {LONGEST_NAME} bytes")));
+        if id.len() > MAX_NAME_BYTES {
+            return Err(ClaimError::Id(format!("id: must have at most {MAX_NAME_BYTES} bytes")));
         }
         let Some(team) = settings.teams.get(&self.team) else {
             return Err(ClaimError::UnknownTeam(self.team.to_string()));
@@ -148,7 +148,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRecord {
     /// It asks for its machines.
-    Stands(Claim),
+    #[serde(rename = "stands")]
+    Active(Claim),
     /// Whoever asked needs them no more.
     Withdrawn,
     /// Its work is complete.
@@ -157,7 +158,7 @@
 
 /// A claim that stands, and its place in admission order.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StandingClaim {
+pub struct ActiveClaim {
     /// Its id.
     pub id: ClaimId,
     /// What it asks for.
--- a/crates/stonewheel-lending/src/claims.rs
+++ b/crates/stonewheel-lending/src/claims.rs
@@ -4,11 +4,11 @@
 
 use stonewheel_coordination::Records;
 
-use crate::claim::{ClaimId, ClaimRecord, StandingClaim, claim_key, claims_prefix};
+use crate::claim::{ActiveClaim, ClaimId, ClaimRecord, claim_key, claims_prefix};
 
 /// A claim's record, and its version.
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredClaim {
     version: u64,
     /// None: it can't be read. It asks for nothing then.
     record: Option<ClaimRecord>,
@@ -17,27 +17,27 @@
 /// All claims.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Claims {
-    held: HashMap<ClaimId, Held>,
-    standing: Vec<StandingClaim>,
+    stored: HashMap<ClaimId, StoredClaim>,
+    active: Vec<ActiveClaim>,
 }
 
 impl Claims {
     /// Takes over what the records say.
-    pub fn follow(&mut self, records: &Records) {
+    pub fn refresh(&mut self, records: &Records) {
         let prefix = claims_prefix();
         let mut changed = false;
         let mut count = 0;
         for id in records.names(&prefix) {
             count += 1;
             let version = records.version(&claim_key(id));
-            if self.held.get(id).is_none_or(|held| held.version != version) {
-                let record = records.get::<ClaimRecord>(&claim_key(id)).map(|held| held.value);
-                self.held.insert(ClaimId::from(id), Held { version, record });
+            if self.stored.get(id).is_none_or(|stored| stored.version != version) {
+                let record = records.get::<ClaimRecord>(&claim_key(id)).map(|stored| stored.value);
+                self.stored.insert(ClaimId::from(id), StoredClaim { version, record });
                 changed = true;
             }
         }
-        if count != self.held.len() {
-            self.held.retain(|id, _| records.version(&claim_key(id)) > 0);
+        if count != self.stored.len() {
+            self.stored.retain(|id, _| records.version(&claim_key(id)) > 0);
             changed = true;
         }
         if changed {
@@ -46,32 +46,35 @@
     }
 
     fn order(&mut self) {
-        let standing = self.held.iter().filter_map(|(id, held)| match &held.record {
-            Some(ClaimRecord::Stands(claim)) => {
-                Some(StandingClaim { id: id.clone(), claim: claim.clone(), order: held.version })
+        let active = self.stored.iter().filter_map(|(id, stored)| match &stored.record {
+            Some(ClaimRecord::Active(claim)) => {
+                Some(ActiveClaim { id: id.clone(), claim: claim.clone(), order: stored.version })
             }
             _ => None,
         });
-        self.standing = standing.collect();
-        self.standing.sort_by(|a, b| (a.order, &a.id).cmp(&(b.order, &b.id)));
+        self.active = active.collect();
+        self.active.sort_by(|a, b| (a.order, &a.id).cmp(&(b.order, &b.id)));
     }
 
     /// Claims that stand, in admission order.
-    pub fn standing(&self) -> &[StandingClaim] {
-        &self.standing
+    pub fn active(&self) -> &[ActiveClaim] {
+        &self.active
     }
 
     /// A claim's record and version.
     pub fn get(&self, id: &str) -> Option<(&ClaimRecord, u64)> {
-        let held = self.held.get(id)?;
-        held.record.as_ref().map(|record| (record, held.version))
+        let stored = self.stored.get(id)?;
+        stored.record.as_ref().map(|record| (record, stored.version))
     }
 
     /// Claims that are over, with their records' versions.
-    pub fn over(&self) -> impl Iterator<Item = (&ClaimId, u64)> {
-        let over =
-            |held: &&Held| matches!(held.record, Some(ClaimRecord::Withdrawn | ClaimRecord::Done));
-        let held = self.held.iter();
-        held.filter(move |(_, held)| over(held)).map(|(id, held)| (id, held.version))
+    pub fn finished(&self) -> impl Iterator<Item = (&ClaimId, u64)> {
+        let is_finished = |stored: &&StoredClaim| {
+            matches!(stored.record, Some(ClaimRecord::Withdrawn | ClaimRecord::Done))
+        };
+        let stored = self.stored.iter();
+        stored
+            .filter(move |(_, stored)| is_finished(stored))
+            .map(|(id, stored)| (id, stored.version))
     }
 }
--- a/crates/stonewheel-lending/src/executor.rs
+++ b/crates/stonewheel-lending/src/executor.rs
@@ -30,14 +30,14 @@
     holder::{HOLDER_KEY, HolderRecord},
     host::MachineHost,
     ledger::{Ledger, shard_count},
+    observations::MachineObservations,
     planner::{Plan, PlannerInput, WaitReason},
     reserve::Reserve,
     settings::LendingSettings,
-    watch::Watch,
 };
 
 /// Steps are at least this part of a look apart.
-const STEP_PARTS: u32 = 8;
+const STEPS_PER_INTERVAL: u32 = 8;
 
 /// A planner: [`crate::planner::plan`], or in tests a broken one that a checker must
 /// find.
@@ -68,28 +68,28 @@
 
 /// Where a claim stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Explanation {
+pub enum ClaimStatus {
     /// Nobody asked for it, or it was forgotten.
     Unknown,
     /// It was withdrawn, or its work is complete.
-    Over,
+    Finished,
     /// This controller doesn't hold the ledger; the named one does, if any.
     HeldElsewhere {
         /// The holder.
         holder: Option<String>,
     },
     /// What it waits for, by the last plan. None: not planned yet.
-    Standing(Option<WaitReason>),
+    Active(Option<WaitReason>),
 }
 
 /// What the holder of the ledger keeps for its term.
 struct Term {
     ledger: Ledger,
-    watch: Watch,
+    observations: MachineObservations,
     reserve: Reserve,
     reasons: BTreeMap<ClaimId, WaitReason>,
     waits_since: HashMap<ClaimId, Instant>,
-    over_since: HashMap<ClaimId, Instant>,
+    finished_since: HashMap<ClaimId, Instant>,
     next_number: u64,
     may_lend_from: Instant,
 }
@@ -150,7 +150,7 @@
     }
 
     /// Whether this process held the ledger at its last step.
-    pub fn holds(&self) -> bool {
+    pub fn holds_ledger(&self) -> bool {
         lock(&self.term).is_some()
     }
 
@@ -165,7 +165,7 @@
 
     async fn drive(self: Arc<Self>, stop: &CancellationToken) {
         let mut changes = self.coordinator.subscribe();
-        let pause = self.settings.times.look() / STEP_PARTS;
+        let pause = self.settings.times.probe_interval() / STEPS_PER_INTERVAL;
         loop {
             changes.mark_unchanged();
             self.step(stop).await;
@@ -173,7 +173,7 @@
             tokio::select! {
                 _ = changes.changed() => {}
                 () = self.calls_changed.notified() => {}
-                () = sleep(self.settings.times.look() - pause) => {}
+                () = sleep(self.settings.times.probe_interval() - pause) => {}
             }
         }
     }
@@ -201,15 +201,17 @@
             _ => *lock(&self.term) = None,
         }
         match mine {
-            Some(held) if !eligible => self.give_back(held).await,
+            Some(held) if !eligible => self.release_ledger(held).await,
             None if eligible => self.adopt_if_due(holder.as_ref()).await,
             _ => {}
         }
     }
 
     /// Lets another controller hold the ledger.
-    async fn give_back(&self, held: &Versioned<HolderRecord>) {
-        let Ok(write) = put(HOLDER_KEY.into(), &held.value.given_back(), None) else { return };
+    async fn release_ledger(&self, held: &Versioned<HolderRecord>) {
+        let Ok(write) = put(HOLDER_KEY.into(), &held.value.released_by_holder(), None) else {
+            return;
+        };
         let condition = Condition { key: HOLDER_KEY.into(), version: held.version };
         match self.commit(vec![condition], vec![write]).await {
             Ok(_) => info!(epoch = held.value.epoch, "gives the ledger back"),
@@ -232,7 +234,7 @@
         let machines = self.settings.times.expected_machines as u32;
         let shards = shard_count(machines, self.limits.value_bytes);
         let me = self.coordinator.me().clone();
-        let next = HolderRecord::succeed(holder.map(|held| &held.value), me, shards);
+        let next = HolderRecord::successor(holder.map(|held| &held.value), me, shards);
         let version = holder.map_or(0, |held| held.version);
         let condition = Condition { key: HOLDER_KEY.into(), version };
         let Ok(write) = put(HOLDER_KEY.into(), &next, None) else { return };
@@ -259,7 +261,7 @@
     /// What is known of an earlier term says nothing in this one.
     fn begin_term(&self, holder: &HolderRecord) {
         let mut term = lock(&self.term);
-        if term.as_ref().is_some_and(|term| term.watch.epoch == holder.epoch) {
+        if term.as_ref().is_some_and(|term| term.observations.epoch == holder.epoch) {
             return;
         }
         let now = Instant::now();
@@ -267,11 +269,11 @@
         let first = holder.epoch == 1;
         *term = Some(Term {
             ledger: Ledger::new(holder.shards, self.limits.value_bytes),
-            watch: Watch::new(times, holder.epoch, now),
+            observations: MachineObservations::new(times, holder.epoch, now),
             reserve: Reserve::new(times.settle(), times.memory(), self.bounds.reclaim),
             reasons: BTreeMap::new(),
             waits_since: HashMap::new(),
-            over_since: HashMap::new(),
+            finished_since: HashMap::new(),
             next_number: 1,
             // What serving gave back to the former holder is not known here.
             may_lend_from: if first { now } else { now + times.settle() },
@@ -280,7 +282,7 @@
 
     async fn hold(self: &Arc<Self>, holder: &Versioned<HolderRecord>, stop: &CancellationToken) {
         let epoch = holder.value.epoch;
-        let asked = timeout(self.settings.times.order(), self.host.observe(epoch)).await;
+        let asked = timeout(self.settings.times.order_timeout(), self.host.observe(epoch)).await;
         let observation = match asked {
             Ok(Ok(observation)) => observation,
             Ok(Err(error)) => return debug!(%error, "machines can't be observed"),
--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -32,32 +32,34 @@
         let (orders, silent) = {
             let mut claims = lock(&self.claims);
             let mut held = lock(&self.term);
-            let Some(term) = held.as_mut().filter(|term| term.watch.epoch == epoch) else { return };
+            let Some(term) = held.as_mut().filter(|term| term.observations.epoch == epoch) else {
+                return;
+            };
             {
                 let records = self.coordinator.records();
-                term.ledger.follow(&records);
-                claims.follow(&records);
+                term.ledger.refresh(&records);
+                claims.refresh(&records);
             }
-            term.watch.follow(&term.ledger, now);
-            let views = term.watch.views(now);
+            term.observations.track_loans(&term.ledger, now);
+            let views = term.observations.views(now);
             let orders = due(&OrderInput {
                 settings: &self.settings,
-                claims: claims.standing(),
+                claims: claims.active(),
                 ledger: &term.ledger,
                 machines: &views,
-                age: &|entry| term.watch.age(entry, now),
+                age: &|entry| term.observations.age(entry, now),
                 epoch,
             });
-            let silent = term.watch.silent(&term.ledger, now);
+            let silent = term.observations.silent(&term.ledger, now);
             let silent: Vec<MachineName> = silent
                 .into_iter()
-                .filter(|m| term.watch.begin_call(m, CALLS_AT_ONCE, now))
+                .filter(|m| term.observations.begin_call(m, CALLS_AT_ONCE, now))
                 .collect();
             let mut allowed = Vec::new();
             for order in orders {
-                if term.watch.begin_call(&order.machine, CALLS_AT_ONCE, now) {
+                if term.observations.begin_call(&order.machine, CALLS_AT_ONCE, now) {
                     if matches!(order.kind, OrderKind::Halt { .. }) {
-                        term.watch.halts(order.loan);
+                        term.observations.record_halt(order.loan);
                     }
                     self.count_ended_save(term, &order, &views);
                     allowed.push(order);
@@ -112,7 +114,7 @@
     }
 
     async fn call(&self, epoch: u64, machine: MachineName, call: Call) {
-        let limit = self.settings.times.order();
+        let limit = self.settings.times.order_timeout();
         let outcome = match &call {
             Call::Order(order) => timeout(limit, self.host.order(order)).await,
             Call::Retire => timeout(limit, self.host.retire(&machine, epoch)).await,
@@ -122,13 +124,15 @@
             debug!(%machine, %error, "a call to a machine");
         }
         let mut held = lock(&self.term);
-        let Some(term) = held.as_mut().filter(|term| term.watch.epoch == epoch) else { return };
-        term.watch.end_call(&machine, outcome.is_err(), &mut lock(&self.rng));
+        let Some(term) = held.as_mut().filter(|term| term.observations.epoch == epoch) else {
+            return;
+        };
+        term.observations.end_call(&machine, outcome.is_err(), &mut lock(&self.rng));
         let mut counters = lock(&self.counters);
         counters.stale_orders += u64::from(outcome == Err(HostError::Stale));
         if outcome.is_ok() && matches!(call, Call::Retire) {
             counters.retired += 1;
-            term.watch.retired(machine);
+            term.observations.record_retired(machine);
         }
         self.calls_changed.notify_one();
     }
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -16,7 +16,7 @@
     host::Observation,
     ledger::{LoanState, ShardWrite, Transition},
     planner::{Plan, PlannerInput, WaitReason},
-    residents::{is_resident, merge},
+    unmanaged::{combine, is_unmanaged},
 };
 
 /// Changes that one plan begins, in transactions.
@@ -37,46 +37,46 @@
         let now = Instant::now();
         let mut claims = lock(&self.claims);
         let mut held = lock(&self.term);
-        let term = held.as_mut().filter(|term| term.watch.epoch == epoch)?;
+        let term = held.as_mut().filter(|term| term.observations.epoch == epoch)?;
         {
             let records = self.coordinator.records();
-            term.ledger.follow(&records);
-            claims.follow(&records);
+            term.ledger.refresh(&records);
+            claims.refresh(&records);
         }
-        let residents = observation.residents.clone();
-        term.watch.note(observation, now);
-        term.watch.follow(&term.ledger, now);
-        let standing = claims.standing();
+        let unmanaged = observation.unmanaged_workloads.clone();
+        term.observations.record(observation, now);
+        term.observations.track_loans(&term.ledger, now);
+        let active = claims.active();
         let teams = &self.settings.teams;
-        let inside = accounts::inside(standing, teams, self.settings.times.grace_s);
-        term.reserve.note(now, &accounts::entitlements(standing, &inside, teams));
-        let mut views = term.watch.views(now);
+        let inside = accounts::inside(active, teams, self.settings.times.grace_s);
+        term.reserve.record(now, &accounts::entitlements(active, &inside, teams));
+        let mut views = term.observations.views(now);
         let number = term.next_number;
-        let merged = (!residents.is_empty())
-            .then(|| merge(standing, &term.ledger, &residents, &mut views, epoch, number));
-        let merged = merged.as_ref();
+        let combined = (!unmanaged.is_empty())
+            .then(|| combine(active, &term.ledger, &unmanaged, &mut views, epoch, number));
+        let combined = combined.as_ref();
         let mut plan = (self.planner)(&PlannerInput {
             settings: &self.settings,
-            claims: merged.map_or(standing, |merged| &merged.claims),
-            ledger: merged.map_or(&term.ledger, |merged| &merged.ledger),
+            claims: combined.map_or(active, |combined| &combined.claims),
+            ledger: combined.map_or(&term.ledger, |combined| &combined.ledger),
             machines: &views,
-            gone: &term.watch.gone(),
-            halted: term.watch.halted(),
+            gone: &term.observations.gone(),
+            halted: term.observations.halted(),
             reserve: &term.reserve.machines(teams),
             may_lend: now >= term.may_lend_from,
             epoch,
-            next_number: merged.map_or(number, |merged| merged.next_number),
-            most_changes: self.limits.transaction_writes * TRANSACTIONS_A_PLAN,
+            next_number: combined.map_or(number, |combined| combined.next_number),
+            max_changes: self.limits.transaction_writes * TRANSACTIONS_A_PLAN,
         });
-        plan.reasons.retain(|claim, _| !is_resident(claim));
+        plan.reasons.retain(|claim, _| !is_unmanaged(claim));
         // Numbers of a plan that is not written are not used again.
         term.next_number = plan.next_number;
         let writes = term.ledger.writes(plan.transitions.clone()).ok()?;
-        self.note_reasons(term, &plan, now);
+        self.record_wait_reasons(term, &plan, now);
         Some(Step { plan, writes })
     }
 
-    fn note_reasons(&self, term: &mut Term, plan: &Plan, now: Instant) {
+    fn record_wait_reasons(&self, term: &mut Term, plan: &Plan, now: Instant) {
         let mut counters = lock(&self.counters);
         for (claim, reason) in &plan.reasons {
             if *reason != WaitReason::Served {
@@ -116,15 +116,15 @@
                 debug!(%error, "the ledger was not written");
                 return false;
             }
-            self.tell(&transitions);
+            self.record_transitions(&transitions);
         }
-        self.forget_over(&fence).await
+        self.delete_finished(&fence).await
     }
 
     async fn finish(&self, fence: &Condition, claim: &ClaimId) -> bool {
         let key = claim_key(claim);
         let version = match lock(&self.claims).get(claim) {
-            Some((ClaimRecord::Stands(_), version)) => version,
+            Some((ClaimRecord::Active(_), version)) => version,
             _ => return true,
         };
         let Ok(write) = put(key.clone(), &ClaimRecord::Done, None) else { return false };
@@ -138,19 +138,20 @@
 
     /// Deletes the records of claims that have been over for long: nothing of them can
     /// still be on its way.
-    async fn forget_over(&self, fence: &Condition) -> bool {
+    async fn delete_finished(&self, fence: &Condition) -> bool {
         let now = Instant::now();
         let kept = self.bounds.reclaim * KEPT_BOUNDS;
         let old: Vec<(ClaimId, u64)> = {
             let claims = lock(&self.claims);
             let mut held = lock(&self.term);
             let Some(term) = held.as_mut() else { return false };
-            let over: HashMap<ClaimId, u64> = claims.over().map(|(c, v)| (c.clone(), v)).collect();
-            term.over_since.retain(|claim, _| over.contains_key(claim));
+            let over: HashMap<ClaimId, u64> =
+                claims.finished().map(|(c, v)| (c.clone(), v)).collect();
+            term.finished_since.retain(|claim, _| over.contains_key(claim));
             for claim in over.keys() {
-                term.over_since.entry(claim.clone()).or_insert(now);
+                term.finished_since.entry(claim.clone()).or_insert(now);
             }
-            let old = over.into_iter().filter(|(c, _)| now >= term.over_since[c] + kept);
+            let old = over.into_iter().filter(|(c, _)| now >= term.finished_since[c] + kept);
             old.take(self.limits.transaction_writes).collect()
         };
         if old.is_empty() {
@@ -166,7 +167,7 @@
         self.commit(conditions, writes).await.is_ok()
     }
 
-    fn tell(&self, transitions: &[Transition]) {
+    fn record_transitions(&self, transitions: &[Transition]) {
         let mut counters = lock(&self.counters);
         counters.transactions += 1;
         for Transition { machine, after } in transitions {
--- a/crates/stonewheel-lending/src/executor/submission.rs
+++ b/crates/stonewheel-lending/src/executor/submission.rs
@@ -4,9 +4,9 @@
 use stonewheel_protocol::Condition;
 use stonewheel_state::{StateError, lock};
 
-use super::{ClaimFailure, Executor, Explanation};
+use super::{ClaimFailure, ClaimStatus, Executor};
 use crate::{
-    claim::{Claim, ClaimError, ClaimRecord, StandingClaim, claim_key},
+    claim::{ActiveClaim, Claim, ClaimError, ClaimRecord, claim_key},
     holder::{HOLDER_KEY, HolderRecord},
 };
 
@@ -15,8 +15,8 @@
 
 /// What a claim's record leaves to do.
 enum Outcome {
-    /// It stands as asked for.
-    Stands,
+    /// Nothing: its record says this already.
+    AlreadyWritten,
     /// It is to be written.
     Write,
     /// Another claim has the id.
@@ -28,11 +28,11 @@
     /// controller. A repeat has no further effect.
     pub async fn submit(&self, id: &str, claim: &Claim) -> Result<(), ClaimFailure> {
         claim.check(id, &self.settings)?;
-        let record = ClaimRecord::Stands(claim.clone());
+        let record = ClaimRecord::Active(claim.clone());
         self.write_claim(id, &record, |held| match held {
             None => Outcome::Write,
-            Some(ClaimRecord::Stands(held)) if held != claim => Outcome::Taken,
-            Some(_) => Outcome::Stands,
+            Some(ClaimRecord::Active(held)) if held != claim => Outcome::Taken,
+            Some(_) => Outcome::AlreadyWritten,
         })
         .await
     }
@@ -41,8 +41,8 @@
     /// afterwards.
     pub async fn withdraw(&self, id: &str) -> Result<(), ClaimFailure> {
         self.write_claim(id, &ClaimRecord::Withdrawn, |held| match held {
-            Some(ClaimRecord::Withdrawn | ClaimRecord::Done) => Outcome::Stands,
-            None | Some(ClaimRecord::Stands(_)) => Outcome::Write,
+            Some(ClaimRecord::Withdrawn | ClaimRecord::Done) => Outcome::AlreadyWritten,
+            None | Some(ClaimRecord::Active(_)) => Outcome::Write,
         })
         .await
     }
@@ -63,7 +63,7 @@
                 (records.version(&key), records.get::<ClaimRecord>(&key))
             };
             match decide(held.as_ref().map(|held| &held.value)) {
-                Outcome::Stands => return Ok(()),
+                Outcome::AlreadyWritten => return Ok(()),
                 Outcome::Taken => return Err(ClaimError::IdTaken.into()),
                 Outcome::Write => {}
             }
@@ -80,24 +80,24 @@
     }
 
     /// Where a claim stands.
-    pub fn explain(&self, id: &str) -> Explanation {
+    pub fn status(&self, id: &str) -> ClaimStatus {
         let records = self.coordinator.records();
         match records.get::<ClaimRecord>(&claim_key(id)).map(|held| held.value) {
-            None => return Explanation::Unknown,
-            Some(ClaimRecord::Withdrawn | ClaimRecord::Done) => return Explanation::Over,
-            Some(ClaimRecord::Stands(_)) => {}
+            None => return ClaimStatus::Unknown,
+            Some(ClaimRecord::Withdrawn | ClaimRecord::Done) => return ClaimStatus::Finished,
+            Some(ClaimRecord::Active(_)) => {}
         }
         let holder = records.get::<HolderRecord>(HOLDER_KEY);
         let holder = holder.and_then(|held| Some(held.value.owner?.member));
         drop(records);
         match lock(&self.term).as_ref() {
-            Some(term) => Explanation::Standing(term.reasons.get(id).copied()),
-            None => Explanation::HeldElsewhere { holder },
+            Some(term) => ClaimStatus::Active(term.reasons.get(id).copied()),
+            None => ClaimStatus::HeldElsewhere { holder },
         }
     }
 
     /// Claims that stand, as last read.
-    pub fn standing(&self) -> Vec<StandingClaim> {
-        lock(&self.claims).standing().to_vec()
+    pub fn active_claims(&self) -> Vec<ActiveClaim> {
+        lock(&self.claims).active().to_vec()
     }
 }
--- a/crates/stonewheel-lending/src/holder.rs
+++ b/crates/stonewheel-lending/src/holder.rs
@@ -22,7 +22,7 @@
 impl HolderRecord {
     /// The record of the next holder. `shards`: what the first one lays the ledger out
     /// for.
-    pub fn succeed(before: Option<&Self>, owner: Owner, shards: u32) -> Self {
+    pub fn successor(before: Option<&Self>, owner: Owner, shards: u32) -> Self {
         let owner = Some(owner);
         match before {
             Some(before) => Self { epoch: before.epoch + 1, owner, shards: before.shards },
@@ -31,7 +31,7 @@
     }
 
     /// The record once its holder gave it back.
-    pub fn given_back(&self) -> Self {
+    pub fn released_by_holder(&self) -> Self {
         Self { owner: None, ..self.clone() }
     }
 }
--- a/crates/stonewheel-lending/src/host.rs
+++ b/crates/stonewheel-lending/src/host.rs
@@ -76,7 +76,7 @@
 /// Revocable work outside its team's guarantee that a scheduler placed on a machine
 /// without asking: a loan that has no entry yet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Resident {
+pub struct UnmanagedWorkload {
     /// The machine.
     pub machine: MachineName,
     /// The team whose work it is.
@@ -96,7 +96,7 @@
     pub gone: BTreeSet<MachineName>,
     /// Work that may be taken off machines without an entry. Machines with other work and
     /// no entry are not reported.
-    pub residents: Vec<Resident>,
+    pub unmanaged_workloads: Vec<UnmanagedWorkload>,
 }
 
 /// What a machine is to do.
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -11,7 +11,7 @@
 use tracing::error;
 
 pub use entry::{Change, Entry, HISTORY, LoanId, LoanState, TransitionError, Why};
-pub use shard::{ENTRY_BYTES, LONGEST_NAME, Shard, shard_count, shard_key, shard_of};
+pub use shard::{ENTRY_BYTES, MAX_NAME_BYTES, Shard, shard_count, shard_key, shard_of};
 
 use crate::claim::MachineName;
 
@@ -26,7 +26,7 @@
 
 /// A shard as last read.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct StoredShard {
     version: u64,
     /// None: it can't be read.
     shard: Option<Arc<Shard>>,
@@ -35,7 +35,7 @@
 /// The ledger as last read. Shards are parsed anew only when they changed.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    shards: Vec<Held>,
+    shards: Vec<StoredShard>,
     entries: BTreeMap<MachineName, Entry>,
     unreadable: usize,
     /// The largest value that the state service takes, in bytes.
@@ -56,28 +56,28 @@
 impl Ledger {
     /// An empty ledger of so many shards, over values of so many bytes.
     pub fn new(shards: u32, value_bytes: usize) -> Self {
-        let shards = vec![Held::default(); shards as usize];
+        let shards = vec![StoredShard::default(); shards as usize];
         Self { shards, value_bytes, ..Self::default() }
     }
 
     /// Takes over what the records say.
-    pub fn follow(&mut self, records: &Records) {
+    pub fn refresh(&mut self, records: &Records) {
         for number in 0..self.shards.len() {
             let key = shard_key(number as u32);
             let version = records.version(&key);
             if self.shards[number].version != version {
-                let shard = records.get::<Shard>(&key).map(|held| Arc::new(held.value));
+                let shard = records.get::<Shard>(&key).map(|stored| Arc::new(stored.value));
                 self.replace(number, version, shard);
             }
         }
     }
 
     fn replace(&mut self, number: usize, version: u64, shard: Option<Arc<Shard>>) {
-        let old = std::mem::replace(&mut self.shards[number], Held { version, shard });
+        let old = std::mem::replace(&mut self.shards[number], StoredShard { version, shard });
         for machine in old.shard.iter().flat_map(|shard| shard.entries.keys()) {
             self.entries.remove(machine);
         }
-        self.unreadable = self.shards.iter().filter(|held| held.is_unreadable()).count();
+        self.unreadable = self.shards.iter().filter(|stored| stored.is_unreadable()).count();
         match &self.shards[number].shard {
             Some(shard) => {
                 let entries = shard.entries.iter().map(|(name, e)| (name.clone(), e.clone()));
@@ -103,15 +103,15 @@
     /// Whether a machine's shard can be read: of others nothing is known.
     pub fn knows(&self, machine: &str) -> bool {
         let number = shard_of(machine, self.shards()) as usize;
-        self.shards.get(number).is_some_and(|held| !held.is_unreadable())
+        self.shards.get(number).is_some_and(|stored| !stored.is_unreadable())
     }
 
     /// Whether a machine's entry can be written: its shard can be read, and has room.
     pub fn takes(&self, machine: &str) -> bool {
-        let held = self.shards.get(shard_of(machine, self.shards()) as usize);
-        held.is_some_and(|held| match &held.shard {
+        let stored = self.shards.get(shard_of(machine, self.shards()) as usize);
+        stored.is_some_and(|stored| match &stored.shard {
             Some(shard) => shard.has_room(machine, self.value_bytes),
-            None => held.version == 0 && machine.len() <= LONGEST_NAME,
+            None => stored.version == 0 && machine.len() <= MAX_NAME_BYTES,
         })
     }
 
@@ -150,8 +150,8 @@
     }
 
     fn write(&self, number: u32, changes: Vec<Transition>) -> Result<ShardWrite, StateError> {
-        let held = &self.shards[number as usize];
-        let mut shard = held.shard.as_deref().cloned().unwrap_or_default();
+        let stored = &self.shards[number as usize];
+        let mut shard = stored.shard.as_deref().cloned().unwrap_or_default();
         let mut transitions = Vec::new();
         for change in changes {
             if shard.set(&change, self.value_bytes) {
@@ -161,7 +161,7 @@
             }
         }
         let key = shard_key(number);
-        let condition = Condition { key: key.clone(), version: held.version };
+        let condition = Condition { key: key.clone(), version: stored.version };
         // An empty shard goes: a version of 0 is as good as an empty one.
         let write =
             if shard.entries.is_empty() { Write::Delete { key } } else { put(key, &shard, None)? };
@@ -177,7 +177,7 @@
     }
 }
 
-impl Held {
+impl StoredShard {
     fn is_unreadable(&self) -> bool {
         self.version > 0 && self.shard.is_none()
     }
--- a/crates/stonewheel-lending/src/ledger/shard.rs
+++ b/crates/stonewheel-lending/src/ledger/shard.rs
@@ -9,7 +9,7 @@
 use crate::{PREFIX, claim::MachineName};
 
 /// The longest name of a machine, a team or a claim, in bytes.
-pub const LONGEST_NAME: usize = 32;
+pub const MAX_NAME_BYTES: usize = 32;
 /// What the longest entry takes, its machine's name included.
 pub const ENTRY_BYTES: usize = 512;
 /// Shards are laid out for this part of the entries that fit, since names don't spread
@@ -47,7 +47,7 @@
     /// Whether a machine has an entry here, or room for one.
     pub fn has_room(&self, machine: &str, value_bytes: usize) -> bool {
         let fits = (self.entries.len() + 1) * ENTRY_BYTES <= value_bytes;
-        self.entries.contains_key(machine) || (fits && machine.len() <= LONGEST_NAME)
+        self.entries.contains_key(machine) || (fits && machine.len() <= MAX_NAME_BYTES)
     }
 
     /// Makes a change; false if there is no room for it. What only changes an entry
--- a/crates/stonewheel-lending/src/lib.rs
+++ b/crates/stonewheel-lending/src/lib.rs
@@ -18,20 +18,20 @@
 mod holder;
 mod host;
 pub mod ledger;
+mod observations;
 pub mod orders;
 pub mod planner;
 mod reserve;
-mod residents;
 mod settings;
-mod watch;
+mod unmanaged;
 
 pub use bound::Bounds;
 pub use counters::Counters;
-pub use executor::{ClaimFailure, Executor, Explanation, Planner, StateLimits};
+pub use executor::{ClaimFailure, ClaimStatus, Executor, Planner, StateLimits};
 pub use holder::{HOLDER_KEY, HolderRecord};
 pub use host::{
-    Exit, HostError, MachineHost, MachineReport, Observation, Order, OrderKind, Resident,
-    RunReport, RunState,
+    Exit, HostError, MachineHost, MachineReport, Observation, Order, OrderKind, RunReport,
+    RunState, UnmanagedWorkload,
 };
 pub use settings::{LendingSettings, Team, Teams, Times, is_section, parse_sections};
 
--- a/crates/stonewheel-lending/src/watch.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -15,34 +15,34 @@
 };
 
 /// A machine that was not heard for so many looks isn't given out.
-const STALE_LOOKS: u32 = 3;
+const STALE_INTERVALS: u32 = 3;
 /// A machine that failed a start isn't given out for so many leases.
-const AVOID_LEASES: u32 = 10;
+const QUARANTINE_LEASES: u32 = 10;
 
 /// A machine's latest report, and when the machine was heard.
 #[derive(Debug)]
-struct Seen {
+struct ReceivedReport {
     report: MachineReport,
-    heard: Instant,
+    received_at: Instant,
 }
 
 /// What one holder saw.
 #[derive(Debug)]
-pub(crate) struct Watch {
+pub(crate) struct MachineObservations {
     times: Times,
     pub epoch: u64,
     pub began: Instant,
-    reports: BTreeMap<MachineName, Seen>,
+    reports: BTreeMap<MachineName, ReceivedReport>,
     gone: BTreeSet<MachineName>,
     retired: BTreeSet<MachineName>,
     halted: HashSet<LoanId>,
     since: HashMap<LoanId, (LoanState, Instant)>,
-    avoided: HashMap<MachineName, Instant>,
+    quarantined: HashMap<MachineName, Instant>,
     backoffs: HashMap<MachineName, Backoff>,
     in_flight: HashSet<MachineName>,
 }
 
-impl Watch {
+impl MachineObservations {
     pub fn new(times: Times, epoch: u64, now: Instant) -> Self {
         Self {
             times,
@@ -53,24 +53,24 @@
             retired: BTreeSet::new(),
             halted: HashSet::new(),
             since: HashMap::new(),
-            avoided: HashMap::new(),
+            quarantined: HashMap::new(),
             backoffs: HashMap::new(),
             in_flight: HashSet::new(),
         }
     }
 
     /// Takes in what machines reported.
-    pub fn note(&mut self, observation: Observation, now: Instant) {
+    pub fn record(&mut self, observation: Observation, now: Instant) {
         self.gone = observation.gone;
         for report in observation.reports {
-            self.note_report(report, now);
+            self.record_report(report, now);
         }
         let (gone, retired) = (&self.gone, &self.retired);
         self.reports.retain(|name, _| !gone.contains(name) && !retired.contains(name));
-        self.avoided.retain(|_, until| *until > now);
+        self.quarantined.retain(|_, until| *until > now);
     }
 
-    fn note_report(&mut self, report: MachineReport, now: Instant) {
+    fn record_report(&mut self, report: MachineReport, now: Instant) {
         // A copy of an earlier report may come late.
         let newest = self.reports.get(&report.machine).map(|s| (s.report.session, s.report.tick));
         if newest.is_some_and(|newest| newest > (report.session, report.tick)) {
@@ -78,11 +78,11 @@
         }
         let failed = |run: &crate::host::RunReport| run.state == RunState::Ended(Exit::Failed);
         if report.run.as_ref().is_some_and(failed) {
-            let until = now + self.times.worker_lease() * AVOID_LEASES;
-            self.avoided.entry(report.machine.clone()).or_insert(until);
+            let until = now + self.times.worker_lease() * QUARANTINE_LEASES;
+            self.quarantined.entry(report.machine.clone()).or_insert(until);
         }
-        let heard = now.checked_sub(report.silent).unwrap_or(now);
-        self.reports.insert(report.machine.clone(), Seen { report, heard });
+        let received_at = now.checked_sub(report.silent).unwrap_or(now);
+        self.reports.insert(report.machine.clone(), ReceivedReport { report, received_at });
     }
 
     /// Machines that are certainly gone.
@@ -91,7 +91,7 @@
     }
 
     /// Notes since when each loan is in its state.
-    pub fn follow(&mut self, ledger: &Ledger, now: Instant) {
+    pub fn track_loans(&mut self, ledger: &Ledger, now: Instant) {
         let mut since = HashMap::with_capacity(ledger.len());
         for (_, entry) in ledger.entries() {
             let known = self.since.get(&entry.loan).filter(|(state, _)| *state == entry.state);
@@ -110,16 +110,16 @@
 
     /// What is known of the machines.
     pub fn views(&self, now: Instant) -> BTreeMap<MachineName, MachineView> {
-        let stale = self.times.look() * STALE_LOOKS;
-        let view = |(name, seen): (&MachineName, &Seen)| {
+        let stale = self.times.probe_interval() * STALE_INTERVALS;
+        let view = |(name, received): (&MachineName, &ReceivedReport)| {
             let view = MachineView {
-                zone: seen.report.zone,
-                session: seen.report.session,
-                heard: now.saturating_duration_since(seen.heard) < stale,
-                confirmed: seen.report.token == self.epoch,
-                leaving: seen.report.leaving,
-                avoided: self.avoided.contains_key(name),
-                run: seen.report.run.clone(),
+                zone: received.report.zone,
+                session: received.report.session,
+                reachable: now.saturating_duration_since(received.received_at) < stale,
+                confirmed: received.report.token == self.epoch,
+                leaving: received.report.leaving,
+                quarantined: self.quarantined.contains_key(name),
+                run: received.report.run.clone(),
             };
             (name.clone(), view)
         };
@@ -130,12 +130,13 @@
     pub fn silent(&self, ledger: &Ledger, now: Instant) -> Vec<MachineName> {
         let lease = self.times.worker_lease();
         let silent = |machine: &MachineName| {
-            let heard = self.reports.get(machine).map_or(self.began, |seen| seen.heard);
-            now >= heard.max(self.began) + lease
+            let last_received =
+                self.reports.get(machine).map_or(self.began, |received| received.received_at);
+            now >= last_received.max(self.began) + lease
         };
         let machines = ledger.entries().map(|(machine, _)| machine);
-        let there = |m: &&MachineName| !self.gone.contains(*m) && !self.retired.contains(*m);
-        machines.filter(there).filter(|machine| silent(machine)).cloned().collect()
+        let is_present = |m: &&MachineName| !self.gone.contains(*m) && !self.retired.contains(*m);
+        machines.filter(is_present).filter(|machine| silent(machine)).cloned().collect()
     }
 
     /// Loans for which this holder sent a halt.
@@ -144,7 +145,7 @@
     }
 
     /// Notes that a halt is about to leave: it may take effect whatever its answer.
-    pub fn halts(&mut self, loan: LoanId) {
+    pub fn record_halt(&mut self, loan: LoanId) {
         self.halted.insert(loan);
     }
 
@@ -168,7 +169,7 @@
     }
 
     /// Notes that a machine's return was answered.
-    pub fn retired(&mut self, machine: MachineName) {
+    pub fn record_retired(&mut self, machine: MachineName) {
         self.reports.remove(&machine);
         self.retired.insert(machine);
     }
--- a/crates/stonewheel-lending/src/orders.rs
+++ b/crates/stonewheel-lending/src/orders.rs
@@ -7,7 +7,7 @@
 use tokio::time::Duration;
 
 use crate::{
-    claim::{Claim, ClaimId, MachineName, StandingClaim},
+    claim::{ActiveClaim, Claim, ClaimId, MachineName},
     host::{Order, OrderKind, RunState},
     ledger::{Entry, Ledger, LoanState},
     planner::MachineView,
@@ -20,7 +20,7 @@
     /// The operators' settings.
     pub settings: &'a LendingSettings,
     /// Claims that stand.
-    pub claims: &'a [StandingClaim],
+    pub claims: &'a [ActiveClaim],
     /// The ledger as committed.
     pub ledger: &'a Ledger,
     /// What is known of the machines.
@@ -43,12 +43,12 @@
 
 /// Orders that are due.
 pub fn due(input: &OrderInput<'_>) -> Vec<Order> {
-    let standing: HashMap<&ClaimId, &Claim> =
-        input.claims.iter().map(|standing| (&standing.id, &standing.claim)).collect();
+    let active: HashMap<&ClaimId, &Claim> =
+        input.claims.iter().map(|active| (&active.id, &active.claim)).collect();
     let mut by_claim: BTreeMap<&ClaimId, Run<'_>> = BTreeMap::new();
     for (machine, entry) in input.ledger.entries() {
         let run = by_claim.entry(&entry.claim).or_default();
-        run.claim = standing.get(&entry.claim).copied();
+        run.claim = active.get(&entry.claim).copied();
         match entry.state {
             LoanState::Lent | LoanState::Granted => run.runs.push((machine, entry)),
             LoanState::ReclaimRequested => run.requested.push((machine, entry)),
@@ -59,7 +59,7 @@
     let runs: Vec<(&ClaimId, Run<'_>)> = by_claim.into_iter().collect();
     let saving = runs.iter().flat_map(|(_, run)| &run.saving);
     let ends = saving.filter_map(|(machine, entry)| end(input, machine, entry));
-    let mut orders = strays(input);
+    let mut orders = ends_of_unmanaged_runs(input);
     orders.extend(starts(input, &runs));
     orders.extend(halts(input, &runs));
     orders.extend(ends);
@@ -78,8 +78,8 @@
 }
 
 /// Runs that the ledger knows nothing of.
-fn strays(input: &OrderInput<'_>) -> Vec<Order> {
-    let stray = |(machine, view): (&MachineName, &MachineView)| {
+fn ends_of_unmanaged_runs(input: &OrderInput<'_>) -> Vec<Order> {
+    let unmanaged_end = |(machine, view): (&MachineName, &MachineView)| {
         let run = view.run.as_ref().filter(|_| view.confirmed)?;
         let known = input.ledger.get(machine).is_some_and(|entry| entry.loan == run.loan);
         let over = matches!(run.state, RunState::Ended(_));
@@ -89,7 +89,7 @@
         let (machine, session) = (machine.clone(), view.session);
         Some(Order { machine, session, token: input.epoch, loan: run.loan, kind: OrderKind::End })
     };
-    input.machines.iter().filter_map(stray).collect()
+    input.machines.iter().filter_map(unmanaged_end).collect()
 }
 
 /// Starts of work that has all the machines it needs, durably.
--- a/crates/stonewheel-lending/src/planner/mod.rs
+++ b/crates/stonewheel-lending/src/planner/mod.rs
@@ -4,8 +4,8 @@
 //! what is left. It may be made again at any time: what it can't finish now it goes on
 //! with the next time.
 
-mod draft;
 mod lend;
+mod plan_builder;
 mod serve;
 mod settle;
 mod victims;
@@ -13,12 +13,12 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 use crate::{
-    claim::{ClaimId, MachineName, StandingClaim, TeamName},
+    claim::{ActiveClaim, ClaimId, MachineName, TeamName},
     host::{Exit, RunReport, RunState},
     ledger::{Ledger, LoanId, Transition},
     settings::LendingSettings,
 };
-use draft::Draft;
+use plan_builder::PlanBuilder;
 
 /// What is known of a machine.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,13 +28,13 @@
     /// Its present session.
     pub session: u64,
     /// Heard lately.
-    pub heard: bool,
+    pub reachable: bool,
     /// Its latest report answers the holder's own token, so it refuses earlier holders.
     pub confirmed: bool,
     /// It will be taken back.
     pub leaving: bool,
     /// It failed a start a short while ago.
-    pub avoided: bool,
+    pub quarantined: bool,
     /// The latest run on it.
     pub run: Option<RunReport>,
 }
@@ -42,7 +42,7 @@
 impl MachineView {
     /// Whether it counts: it was heard, and stays.
     pub fn usable(&self) -> bool {
-        self.heard && !self.leaving
+        self.reachable && !self.leaving
     }
 
     /// Whether a report proves that a loan's work is gone, and can't start again.
@@ -71,7 +71,7 @@
     /// The operators' settings.
     pub settings: &'a LendingSettings,
     /// Claims that stand, in admission order.
-    pub claims: &'a [StandingClaim],
+    pub claims: &'a [ActiveClaim],
     /// The ledger as committed.
     pub ledger: &'a Ledger,
     /// All machines that were ever reported and are not gone.
@@ -89,7 +89,7 @@
     /// The number of its next loan.
     pub next_number: u64,
     /// Changes after which a plan begins nothing new.
-    pub most_changes: usize,
+    pub max_changes: usize,
 }
 
 /// Why a claim doesn't have all its machines.
@@ -131,10 +131,10 @@
 
 /// Makes a plan.
 pub fn plan(input: &PlannerInput<'_>) -> Plan {
-    let mut draft = Draft::new(input);
+    let mut builder = PlanBuilder::new(input);
     let done = settle::finished(input);
-    settle::settle(&mut draft, &done);
-    let short = serve::serve(&mut draft);
-    lend::lend(&mut draft, short);
-    draft.into_plan(done)
+    settle::settle(&mut builder, &done);
+    let short = serve::serve(&mut builder);
+    lend::lend(&mut builder, short);
+    builder.build(done)
 }
--- a/crates/stonewheel-lending/src/planner/draft.rs
+++ b/crates/stonewheel-lending/src/planner/plan_builder.rs
@@ -5,11 +5,11 @@
 use super::{MachineView, Plan, PlannerInput, WaitReason};
 use crate::{
     accounts::Accounts,
-    claim::{ClaimId, MachineName, StandingClaim},
+    claim::{ActiveClaim, ClaimId, MachineName},
     ledger::{Entry, LoanId, Transition, TransitionError},
 };
 
-pub(super) struct Draft<'a> {
+pub(super) struct PlanBuilder<'a> {
     pub input: &'a PlannerInput<'a>,
     pub accounts: Accounts,
     /// Machines that may be given out.
@@ -21,7 +21,7 @@
     next_number: u64,
 }
 
-impl<'a> Draft<'a> {
+impl<'a> PlanBuilder<'a> {
     pub fn new(input: &'a PlannerInput<'a>) -> Self {
         let mut accounts = Accounts::new(input.claims, input.settings);
         for (machine, entry) in input.ledger.entries() {
@@ -30,7 +30,7 @@
         let known =
             |(name, view): &(&MachineName, &MachineView)| view.usable() && input.ledger.knows(name);
         let usable = input.machines.iter().filter(known).count() as u32;
-        let mut draft = Self {
+        let mut builder = Self {
             input,
             accounts,
             free: BTreeSet::new(),
@@ -39,9 +39,9 @@
             reasons: BTreeMap::new(),
             next_number: input.next_number,
         };
-        let open = input.machines.keys().filter(|name| draft.may_be_free(name));
-        draft.free = open.cloned().collect();
-        draft
+        let open = input.machines.keys().filter(|name| builder.may_be_free(name));
+        builder.free = open.cloned().collect();
+        builder
     }
 
     /// Whether a machine without an entry can be given out.
@@ -50,7 +50,7 @@
         let idle = view.run.as_ref().is_none_or(|run| view.proves_gone(run.loan));
         view.usable()
             && view.confirmed
-            && !view.avoided
+            && !view.quarantined
             && idle
             && self.input.ledger.takes(machine)
             && self.entry(machine).is_none()
@@ -63,7 +63,7 @@
         }
     }
 
-    pub fn standing(&self, at: usize) -> &'a StandingClaim {
+    pub fn active(&self, at: usize) -> &'a ActiveClaim {
         &self.input.claims[at]
     }
 
@@ -91,7 +91,7 @@
 
     /// Whether enough changes at once already.
     pub fn is_full(&self) -> bool {
-        self.changed.len() >= self.input.most_changes
+        self.changed.len() >= self.input.max_changes
     }
 
     pub fn next_loan(&mut self) -> LoanId {
@@ -100,26 +100,26 @@
         LoanId { epoch: self.input.epoch, number }
     }
 
-    pub fn wait(&mut self, at: usize, reason: WaitReason) {
+    pub fn set_wait_reason(&mut self, at: usize, reason: WaitReason) {
         self.reasons.insert(self.input.claims[at].id.clone(), reason);
     }
 
     /// Machines that a claim still asks for.
-    pub fn need(&self, at: usize) -> u32 {
+    pub fn missing_machines(&self, at: usize) -> u32 {
         let account = &self.accounts.claims[at];
         let has = account.held.len() + account.leaving.len() + account.coming.len();
-        self.standing(at).claim.machines.saturating_sub(has as u32)
+        self.active(at).claim.machines.saturating_sub(has as u32)
     }
 
     /// Machines that a claim's team may use beyond those that it has or gets.
     pub fn headroom(&self, at: usize) -> u32 {
-        let team = &self.standing(at).claim.team;
+        let team = &self.active(at).claim.team;
         let account = self.accounts.team(team);
         let ceiling = self.input.settings.teams.get(team).map_or(0, |team| team.ceiling);
         ceiling.saturating_sub(account.used + account.coming)
     }
 
-    pub fn into_plan(self, done: Vec<ClaimId>) -> Plan {
+    pub fn build(self, done: Vec<ClaimId>) -> Plan {
         let differs = |(machine, after): (MachineName, Option<Entry>)| {
             let same = self.input.ledger.get(&machine) == after.as_ref();
             (!same).then_some(Transition { machine, after })
--- a/crates/stonewheel-lending/src/planner/serve.rs
+++ b/crates/stonewheel-lending/src/planner/serve.rs
@@ -2,8 +2,8 @@
 
 use super::{
     WaitReason,
-    draft::Draft,
-    settle::{give_back_part, grace_ms, withdraw_requests},
+    plan_builder::PlanBuilder,
+    settle::{grace_ms, release_incomplete_gang, withdraw_requests},
     victims::Candidates,
 };
 use crate::{
@@ -12,71 +12,75 @@
 };
 
 /// Serves them in admission order. True if any is short of machines.
-pub(super) fn serve(draft: &mut Draft<'_>) -> bool {
-    let inside = (0..draft.input.claims.len()).filter(|at| draft.accounts.claims[*at].inside);
+pub(super) fn serve(builder: &mut PlanBuilder<'_>) -> bool {
+    let inside = (0..builder.input.claims.len()).filter(|at| builder.accounts.claims[*at].inside);
     let inside: Vec<usize> = inside.collect();
     for &at in &inside {
-        prefer_free(draft, at);
+        prefer_free_machines(builder, at);
     }
-    withdraw_requests(draft);
+    withdraw_requests(builder);
     let mut short = false;
     let mut candidates = Candidates::default();
     for at in inside {
-        let reason = serve_claim(draft, at, &mut candidates);
+        let reason = serve_claim(builder, at, &mut candidates);
         short |= matches!(reason, WaitReason::Short | WaitReason::Queued);
-        draft.wait(at, reason);
+        builder.set_wait_reason(at, reason);
     }
     short
 }
 
 /// What became free meanwhile takes the place of what is still to be reclaimed, so that
 /// requests whose halt has not left can be withdrawn.
-fn prefer_free(draft: &mut Draft<'_>, at: usize) {
-    let coming: Vec<MachineName> = draft.accounts.claims[at].coming.iter().cloned().collect();
+fn prefer_free_machines(builder: &mut PlanBuilder<'_>, at: usize) {
+    let coming: Vec<MachineName> = builder.accounts.claims[at].coming.iter().cloned().collect();
     for machine in coming {
-        let Some(entry) = draft.entry(&machine).cloned() else { continue };
-        let waits = entry.leaves() && !draft.input.halted.contains(&entry.loan);
+        let Some(entry) = builder.entry(&machine).cloned() else { continue };
+        let waits = entry.leaves() && !builder.input.halted.contains(&entry.loan);
         // A gang's room comes together: what it waits for last decides.
-        if !waits || draft.standing(at).claim.is_gang() || draft.free.is_empty() {
+        if !waits || builder.active(at).claim.is_gang() || builder.free.is_empty() {
             continue;
         }
-        draft.set(&machine, Some(entry.without_claimant()));
-        if draft.headroom(at) > 0 {
-            grant_free(draft, at, 1);
+        builder.set(&machine, Some(entry.without_claimant()));
+        if builder.headroom(at) > 0 {
+            grant_free(builder, at, 1);
         } else {
-            draft.set(&machine, Some(entry));
+            builder.set(&machine, Some(entry));
         }
     }
 }
 
-fn serve_claim(draft: &mut Draft<'_>, at: usize, candidates: &mut Candidates) -> WaitReason {
-    let standing = draft.standing(at);
-    let account = &draft.accounts.claims[at];
-    let (gang, stopping) = (standing.claim.is_gang(), !account.leaving.is_empty());
+fn serve_claim(
+    builder: &mut PlanBuilder<'_>,
+    at: usize,
+    candidates: &mut Candidates,
+) -> WaitReason {
+    let active = builder.active(at);
+    let account = &builder.accounts.claims[at];
+    let (gang, stopping) = (active.claim.is_gang(), !account.leaving.is_empty());
     if gang && stopping {
         return WaitReason::Stopping;
     }
-    let mut need = draft.need(at);
-    if need > 0 && draft.is_full() {
+    let mut need = builder.missing_machines(at);
+    if need > 0 && builder.is_full() {
         return WaitReason::Queued;
     }
-    need -= take_unclaimed(draft, at, need);
-    let headroom = draft.headroom(at);
-    let free = need.min(draft.free.len() as u32).min(headroom);
+    need -= take_unclaimed(builder, at, need);
+    let headroom = builder.headroom(at);
+    let free = need.min(builder.free.len() as u32).min(headroom);
     let lacking = need - free;
-    let found = candidates.choose(draft, at, lacking, headroom - free);
+    let found = candidates.choose(builder, at, lacking, headroom - free);
     if gang && found.machines < lacking {
-        give_back_part(draft, at);
+        release_incomplete_gang(builder, at);
         return if headroom < need { WaitReason::AtCeiling } else { WaitReason::Short };
     }
-    grant_free(draft, at, free);
-    reclaim(draft, at, lacking, &found.runs);
-    reason(draft, at, headroom)
+    grant_free(builder, at, free);
+    reclaim(builder, at, lacking, &found.runs);
+    reason(builder, at, headroom)
 }
 
-fn reason(draft: &Draft<'_>, at: usize, headroom: u32) -> WaitReason {
-    let account = &draft.accounts.claims[at];
-    if draft.need(at) > 0 {
+fn reason(builder: &PlanBuilder<'_>, at: usize, headroom: u32) -> WaitReason {
+    let account = &builder.accounts.claims[at];
+    if builder.missing_machines(at) > 0 {
         return if headroom == 0 { WaitReason::AtCeiling } else { WaitReason::Short };
     }
     match (account.coming.len() as u32, account.leaving.is_empty()) {
@@ -86,67 +90,68 @@
     }
 }
 
-fn grant_free(draft: &mut Draft<'_>, at: usize, count: u32) {
+fn grant_free(builder: &mut PlanBuilder<'_>, at: usize, count: u32) {
     for _ in 0..count {
-        let Some(machine) = draft.free.pop_first() else { return };
-        let standing = draft.standing(at);
-        let (team, id) = (standing.claim.team.clone(), standing.id.clone());
-        let entry = Entry::grant(draft.next_loan(), team, id, Why::Free);
-        draft.set(&machine, Some(entry));
+        let Some(machine) = builder.free.pop_first() else { return };
+        let active = builder.active(at);
+        let (team, id) = (active.claim.team.clone(), active.id.clone());
+        let entry = Entry::grant(builder.next_loan(), team, id, Why::Free);
+        builder.set(&machine, Some(entry));
     }
 }
 
 /// Machines that are on their way for nobody are as good as a reclaim, and cost nothing.
-fn take_unclaimed(draft: &mut Draft<'_>, at: usize, need: u32) -> u32 {
+fn take_unclaimed(builder: &mut PlanBuilder<'_>, at: usize, need: u32) -> u32 {
     if need == 0 {
         return 0;
     }
-    let input = draft.input;
-    let on_their_way = draft.accounts.unclaimed.iter().filter(|machine| {
-        let others = draft.entry(machine).is_some_and(|e| e.claim != draft.standing(at).id);
-        others && input.machines.get(*machine).is_some_and(|v| v.usable() && !v.avoided)
+    let input = builder.input;
+    let on_their_way = builder.accounts.unclaimed.iter().filter(|machine| {
+        let others = builder.entry(machine).is_some_and(|e| e.claim != builder.active(at).id);
+        others && input.machines.get(*machine).is_some_and(|v| v.usable() && !v.quarantined)
     });
     let on_their_way: Vec<MachineName> = on_their_way.take(need as usize).cloned().collect();
     let mut taken = 0;
     for machine in on_their_way {
-        let Some(entry) = draft.entry(&machine).cloned() else { continue };
-        let standing = draft.standing(at);
-        if draft.headroom(at) == 0 && entry.borrower != standing.claim.team {
+        let Some(entry) = builder.entry(&machine).cloned() else { continue };
+        let active = builder.active(at);
+        if builder.headroom(at) == 0 && entry.borrower != active.claim.team {
             continue;
         }
-        let claimant = Some(standing.id.clone());
-        draft.set(&machine, Some(Entry { claimant, ..entry }));
+        let claimant = Some(active.id.clone());
+        builder.set(&machine, Some(Entry { claimant, ..entry }));
         taken += 1;
     }
     taken
 }
 
 /// Requests the reclaim of whole runs, as many of their machines as needed for the claim.
-fn reclaim(draft: &mut Draft<'_>, at: usize, lacking: u32, runs: &[usize]) {
-    let grace_ms = grace_ms(draft);
-    let id = draft.standing(at).id.clone();
-    let team = draft.standing(at).claim.team.clone();
+fn reclaim(builder: &mut PlanBuilder<'_>, at: usize, lacking: u32, runs: &[usize]) {
+    let grace_ms = grace_ms(builder);
+    let id = builder.active(at).id.clone();
+    let team = builder.active(at).claim.team.clone();
     let mut wanted = lacking;
     for &run in runs {
-        let machines: Vec<MachineName> = draft.accounts.claims[run].held.iter().cloned().collect();
+        let machines: Vec<MachineName> =
+            builder.accounts.claims[run].held.iter().cloned().collect();
         for machine in machines {
-            let Some(entry) = draft.entry(&machine).cloned() else { continue };
-            swap_lender(draft, &entry, &team);
-            let fits = draft.headroom(at) > 0 || entry.borrower == team;
+            let Some(entry) = builder.entry(&machine).cloned() else { continue };
+            swap_lender(builder, &entry, &team);
+            let fits = builder.headroom(at) > 0 || entry.borrower == team;
             let claimant = (wanted > 0 && fits).then(|| id.clone());
             wanted -= u32::from(claimant.is_some());
-            draft.change(&machine, entry.request(claimant, grace_ms, Why::Claimed));
+            builder.change(&machine, entry.request(claimant, grace_ms, Why::Claimed));
         }
     }
 }
 
 /// A machine that covers another team's guarantee is taken for this one's: one that
 /// covers this one's covers the other's from now on.
-fn swap_lender(draft: &mut Draft<'_>, entry: &Entry, team: &TeamName) {
+fn swap_lender(builder: &mut PlanBuilder<'_>, entry: &Entry, team: &TeamName) {
     let Some(other) = entry.lender.as_ref().filter(|lender| *lender != team) else { return };
-    let lent = draft.accounts.lent.get(team).and_then(|machines| machines.first().cloned());
+    let lent = builder.accounts.lent.get(team).and_then(|machines| machines.first().cloned());
     let Some(machine) = lent else { return };
-    if let Some(lent) = draft.entry(&machine).cloned() {
-        draft.set(&machine, Some(Entry { lender: Some(other.clone()), ..lent }));
+    if let Some(lent) = builder.entry(&machine).cloned() {
+        builder.set(&machine, Some(Entry { lender: Some(other.clone()), ..lent }));
     }
 }
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{MachineView, PlannerInput, draft::Draft};
+use super::{MachineView, PlannerInput, plan_builder::PlanBuilder};
 use crate::{
     claim::{ClaimId, MachineName},
     host::{Exit, RunState},
@@ -22,84 +22,85 @@
     done.into_iter().collect()
 }
 
-pub(super) fn settle(draft: &mut Draft<'_>, done: &[ClaimId]) {
-    let entries = draft.input.ledger.entries();
+pub(super) fn settle(builder: &mut PlanBuilder<'_>, done: &[ClaimId]) {
+    let entries = builder.input.ledger.entries();
     for (machine, entry) in entries {
-        settle_machine(draft, machine, entry);
+        settle_machine(builder, machine, entry);
     }
-    for at in 0..draft.input.claims.len() {
-        let is_done = done.contains(&draft.standing(at).id);
-        stop_broken_run(draft, at, is_done);
-        give_up_excess(draft, at, is_done);
+    for at in 0..builder.input.claims.len() {
+        let is_done = done.contains(&builder.active(at).id);
+        stop_broken_run(builder, at, is_done);
+        release_excess_claimants(builder, at, is_done);
     }
 }
 
-fn settle_machine(draft: &mut Draft<'_>, machine: &MachineName, entry: &Entry) {
-    if draft.input.gone.contains(machine) {
-        draft.set(machine, None);
+fn settle_machine(builder: &mut PlanBuilder<'_>, machine: &MachineName, entry: &Entry) {
+    if builder.input.gone.contains(machine) {
+        builder.set(machine, None);
         return;
     }
-    let view = draft.input.machines.get(machine);
+    let view = builder.input.machines.get(machine);
     if entry.state == LoanState::Released {
-        settle_released(draft, machine, entry, view);
+        settle_released(builder, machine, entry, view);
     } else if view.is_some_and(|view| view.proves_gone(entry.loan)) {
-        draft.change(machine, entry.release(Why::Ended));
-    } else if entry.runs() && draft.accounts.place(&entry.claim).is_none() {
-        draft.change(machine, entry.request(None, 0, Why::Over));
+        builder.change(machine, entry.release(Why::Ended));
+    } else if entry.runs() && builder.accounts.index_of(&entry.claim).is_none() {
+        builder.change(machine, entry.request(None, 0, Why::Over));
     } else if entry.state == LoanState::ReclaimRequested
         && view.and_then(|v| v.live_run(entry.loan)).is_some_and(|r| r.state == RunState::Saving)
     {
-        draft.change(machine, entry.halted());
-    } else if entry.claimant.as_ref().is_some_and(|id| draft.accounts.place(id).is_none()) {
-        draft.set(machine, Some(entry.without_claimant()));
+        builder.change(machine, entry.halted());
+    } else if entry.claimant.as_ref().is_some_and(|id| builder.accounts.index_of(id).is_none()) {
+        builder.set(machine, Some(entry.without_claimant()));
     }
 }
 
 /// A gang that can't be whole now holds nothing: its machines may serve others.
-pub(super) fn give_back_part(draft: &mut Draft<'_>, at: usize) {
-    let held = draft.accounts.claims[at].held.clone();
+pub(super) fn release_incomplete_gang(builder: &mut PlanBuilder<'_>, at: usize) {
+    let held = builder.accounts.claims[at].held.clone();
     for machine in held {
-        if let Some(entry) = draft.entry(&machine).cloned() {
-            draft.change(&machine, entry.request(None, 0, Why::Incomplete));
+        if let Some(entry) = builder.entry(&machine).cloned() {
+            builder.change(&machine, entry.request(None, 0, Why::Incomplete));
         }
     }
 }
 
 /// Grants what is released to its claimant, or makes it available.
 fn settle_released(
-    draft: &mut Draft<'_>,
+    builder: &mut PlanBuilder<'_>,
     machine: &MachineName,
     entry: &Entry,
     view: Option<&MachineView>,
 ) {
-    let claimant = entry.claimant.as_ref().and_then(|claimant| draft.accounts.place(claimant));
-    let usable = view.is_some_and(|view| view.usable() && !view.avoided);
-    match claimant.filter(|at| usable && draft.accounts.claims[*at].inside) {
+    let claimant = entry.claimant.as_ref().and_then(|claimant| builder.accounts.index_of(claimant));
+    let usable = view.is_some_and(|view| view.usable() && !view.quarantined);
+    match claimant.filter(|at| usable && builder.accounts.claims[*at].inside) {
         Some(at) => {
-            let standing = draft.standing(at);
-            let loan = draft.next_loan();
-            let (team, id) = (standing.claim.team.clone(), standing.id.clone());
-            draft.change(machine, entry.grant_to_claimant(loan, team, id));
+            let active = builder.active(at);
+            let loan = builder.next_loan();
+            let (team, id) = (active.claim.team.clone(), active.id.clone());
+            builder.change(machine, entry.grant_to_claimant(loan, team, id));
         }
-        None => draft.set(machine, None),
+        None => builder.set(machine, None),
     }
 }
 
 /// A batch run that lost a machine, or is about to, stops whole; a replica on a machine
 /// that leaves stops there.
-fn stop_broken_run(draft: &mut Draft<'_>, at: usize, is_done: bool) {
+fn stop_broken_run(builder: &mut PlanBuilder<'_>, at: usize, is_done: bool) {
     if is_done {
         return;
     }
-    let claim = &draft.standing(at).claim;
-    let (gang, revocable) = (claim.is_gang(), draft.accounts.claims[at].revocable);
-    let account = draft.accounts.claims[at].clone();
-    let leaves =
-        |machine: &MachineName| draft.input.machines.get(machine).is_some_and(|view| view.leaving);
+    let claim = &builder.active(at).claim;
+    let (gang, revocable) = (claim.is_gang(), builder.accounts.claims[at].revocable);
+    let account = builder.accounts.claims[at].clone();
+    let leaves = |machine: &MachineName| {
+        builder.input.machines.get(machine).is_some_and(|view| view.leaving)
+    };
     let leaving: Vec<MachineName> = account.held.iter().filter(|m| leaves(m)).cloned().collect();
     let partly = !account.leaving.is_empty() && !account.held.is_empty();
-    let lost = started(draft, &account.held) && (account.held.len() as u32) < claim.machines;
-    let grace_ms = if revocable { grace_ms(draft) } else { 0 };
+    let lost = started(builder, &account.held) && (account.held.len() as u32) < claim.machines;
+    let grace_ms = if revocable { grace_ms(builder) } else { 0 };
     let (stopped, why) = if gang && (partly || lost || !leaving.is_empty()) {
         (account.held.iter().cloned().collect(), Why::Incomplete)
     } else {
@@ -110,31 +111,31 @@
         return;
     }
     for machine in stopped {
-        if let Some(entry) = draft.entry(&machine).cloned() {
-            draft.change(&machine, entry.request(None, grace_ms, why));
+        if let Some(entry) = builder.entry(&machine).cloned() {
+            builder.change(&machine, entry.request(None, grace_ms, why));
         }
     }
 }
 
 /// Whether any of these machines was told to start its loan: a gang whose entries are
 /// still being written has not.
-fn started(draft: &Draft<'_>, held: &BTreeSet<MachineName>) -> bool {
+fn started(builder: &PlanBuilder<'_>, held: &BTreeSet<MachineName>) -> bool {
     held.iter().any(|machine| {
-        let view = draft.input.machines.get(machine);
-        let entry = draft.entry(machine);
+        let view = builder.input.machines.get(machine);
+        let entry = builder.entry(machine);
         view.zip(entry).is_some_and(|(view, entry)| view.live_run(entry.loan).is_some())
     })
 }
 
-pub(super) fn grace_ms(draft: &Draft<'_>) -> u64 {
-    draft.input.settings.times.grace().as_millis() as u64
+pub(super) fn grace_ms(builder: &PlanBuilder<'_>) -> u64 {
+    builder.input.settings.times.grace_period().as_millis() as u64
 }
 
 /// Machines that come for a claim which needs them no more. Whole runs whose halt has
 /// not left go on; the others are released for whoever comes next.
-fn give_up_excess(draft: &mut Draft<'_>, at: usize, is_done: bool) {
-    let account = &draft.accounts.claims[at];
-    let asked = draft.standing(at).claim.machines as usize;
+fn release_excess_claimants(builder: &mut PlanBuilder<'_>, at: usize, is_done: bool) {
+    let account = &builder.accounts.claims[at];
+    let asked = builder.active(at).claim.machines as usize;
     let wanted = if account.inside && !is_done { asked } else { 0 };
     let has = account.held.len() + account.leaving.len();
     let mut excess = (has + account.coming.len()).saturating_sub(wanted.max(has));
@@ -143,42 +144,42 @@
         if excess == 0 {
             return;
         }
-        let Some(entry) = draft.entry(&machine).cloned() else { continue };
-        draft.set(&machine, Some(entry.without_claimant()));
+        let Some(entry) = builder.entry(&machine).cloned() else { continue };
+        builder.set(&machine, Some(entry.without_claimant()));
         excess -= 1;
     }
 }
 
 /// Runs that are to be stopped for nobody, or that came inside their guarantee, go on
 /// if no halt has left for them.
-pub(super) fn withdraw_requests(draft: &mut Draft<'_>) {
-    for at in 0..draft.input.claims.len() {
-        let account = &draft.accounts.claims[at];
+pub(super) fn withdraw_requests(builder: &mut PlanBuilder<'_>) {
+    for at in 0..builder.input.claims.len() {
+        let account = &builder.accounts.claims[at];
         if account.leaving.is_empty() || !account.held.is_empty() || !account.revocable {
             continue;
         }
         let inside = account.inside;
         let machines: Vec<MachineName> = account.leaving.iter().cloned().collect();
         let entries: Vec<Entry> =
-            machines.iter().filter_map(|machine| draft.entry(machine).cloned()).collect();
-        let whole = entries.len() as u32 == draft.standing(at).claim.machines;
+            machines.iter().filter_map(|machine| builder.entry(machine).cloned()).collect();
+        let whole = entries.len() as u32 == builder.active(at).claim.machines;
         let needed = entries.iter().any(|entry| entry.claimant.is_some());
         let requested = entries.iter().all(|entry| {
             let last = entry.history.last().map(|change| change.why);
             entry.state == LoanState::ReclaimRequested && last == Some(Why::Claimed)
         });
-        let untouched = machines.iter().zip(&entries).all(|(m, e)| is_untouched(draft, m, e));
+        let untouched = machines.iter().zip(&entries).all(|(m, e)| is_untouched(builder, m, e));
         if whole && requested && untouched && (inside || !needed) {
             for (machine, entry) in machines.iter().zip(&entries) {
-                draft.change(machine, entry.withdraw());
+                builder.change(machine, entry.withdraw());
             }
         }
     }
 }
 
 /// Whether no halt has reached the machine, nor can one of a former holder any more.
-fn is_untouched(draft: &Draft<'_>, machine: &MachineName, entry: &Entry) -> bool {
-    let Some(view) = draft.input.machines.get(machine) else { return false };
+fn is_untouched(builder: &PlanBuilder<'_>, machine: &MachineName, entry: &Entry) -> bool {
+    let Some(view) = builder.input.machines.get(machine) else { return false };
     let runs = view.live_run(entry.loan).is_some_and(|run| run.state == RunState::Running);
-    view.usable() && view.confirmed && runs && !draft.input.halted.contains(&entry.loan)
+    view.usable() && view.confirmed && runs && !builder.input.halted.contains(&entry.loan)
 }
--- a/crates/stonewheel-lending/src/planner/victims.rs
+++ b/crates/stonewheel-lending/src/planner/victims.rs
@@ -1,6 +1,6 @@
 //! Which runs are stopped for a claim: whole ones, with the least lost work.
 
-use super::draft::Draft;
+use super::plan_builder::PlanBuilder;
 use crate::{
     accounts::ClaimAccount,
     claim::{MachineName, Work},
@@ -48,32 +48,38 @@
 
 impl Candidates {
     /// Runs for so many machines, of which `headroom` may come from other teams.
-    pub fn choose(&mut self, draft: &Draft<'_>, at: usize, lacking: u32, headroom: u32) -> Victims {
+    pub fn choose(
+        &mut self,
+        builder: &PlanBuilder<'_>,
+        at: usize,
+        lacking: u32,
+        headroom: u32,
+    ) -> Victims {
         if lacking == 0 {
             return Victims::default();
         }
-        let ranked = self.0.get_or_insert_with(|| rank(draft));
+        let ranked = self.0.get_or_insert_with(|| rank(builder));
         // What was chosen for an earlier claim is leaving.
-        ranked.retain(|candidate| draft.accounts.claims[candidate.run].leaving.is_empty());
+        ranked.retain(|candidate| builder.accounts.claims[candidate.run].leaving.is_empty());
         let mut chosen = Chosen::default();
         // What the ceiling leaves to the team's own work comes from there.
         let own_only = lacking.saturating_sub(headroom);
-        take(draft, at, ranked, &mut chosen, true, |chosen| chosen.own >= own_only);
+        take(builder, at, ranked, &mut chosen, true, |chosen| chosen.own >= own_only);
         let enough = |chosen: &Chosen| chosen.machines(headroom) >= lacking;
-        take(draft, at, ranked, &mut chosen, false, enough);
-        put_back(draft, at, &mut chosen, lacking, headroom);
+        take(builder, at, ranked, &mut chosen, false, enough);
+        put_back(builder, at, &mut chosen, lacking, headroom);
         let machines = chosen.machines(headroom).min(lacking);
         Victims { runs: chosen.runs.iter().map(|candidate| candidate.run).collect(), machines }
     }
 }
 
-fn is_own(draft: &Draft<'_>, at: usize, candidate: &Candidate) -> bool {
-    draft.standing(candidate.run).claim.team == draft.standing(at).claim.team
+fn is_own(builder: &PlanBuilder<'_>, at: usize, candidate: &Candidate) -> bool {
+    builder.active(candidate.run).claim.team == builder.active(at).claim.team
 }
 
 /// Takes runs in their order until it is enough.
 fn take(
-    draft: &Draft<'_>,
+    builder: &PlanBuilder<'_>,
     at: usize,
     ranked: &[Candidate],
     chosen: &mut Chosen,
@@ -84,7 +90,7 @@
         if enough(chosen) {
             return;
         }
-        let own = is_own(draft, at, candidate);
+        let own = is_own(builder, at, candidate);
         let taken = chosen.runs.iter().any(|c| c.run == candidate.run);
         if taken || (own_only && !own) {
             continue;
@@ -96,11 +102,17 @@
 }
 
 /// Takes out what is not needed after all, dearest first.
-fn put_back(draft: &Draft<'_>, at: usize, chosen: &mut Chosen, lacking: u32, headroom: u32) {
+fn put_back(
+    builder: &PlanBuilder<'_>,
+    at: usize,
+    chosen: &mut Chosen,
+    lacking: u32,
+    headroom: u32,
+) {
     for place in (0..chosen.runs.len()).rev() {
         let candidate = chosen.runs[place];
         let mut without = Chosen { runs: Vec::new(), own: chosen.own, others: chosen.others };
-        let own = is_own(draft, at, &candidate);
+        let own = is_own(builder, at, &candidate);
         let count = if own { &mut without.own } else { &mut without.others };
         *count -= candidate.machines;
         if without.machines(headroom) >= lacking {
@@ -111,8 +123,8 @@
 }
 
 /// Work outside its guarantee that saves in time and that nothing has stopped yet.
-fn rank(draft: &Draft<'_>) -> Vec<Candidate> {
-    let accounts = draft.accounts.claims.iter().enumerate();
+fn rank(builder: &PlanBuilder<'_>) -> Vec<Candidate> {
+    let accounts = builder.accounts.claims.iter().enumerate();
     let lendable = accounts.filter(|(_, account)| {
         let runs = account.leaving.is_empty() && !account.held.is_empty();
         !account.inside && account.revocable && runs
@@ -120,7 +132,7 @@
     let candidate = |(run, account): (usize, &ClaimAccount)| Candidate {
         run,
         machines: account.held.len() as u32,
-        loss_s: loss_s(draft, run, account.held.iter()),
+        loss_s: loss_s(builder, run, account.held.iter()),
     };
     let mut ranked: Vec<Candidate> = lendable.map(candidate).collect();
     // Of equals the latest in admission order.
@@ -131,22 +143,27 @@
 /// Seconds of work that stopping a run loses, a machine. A machine that was not heard
 /// may take its lease's time to be proven empty, and counts as that.
 fn loss_s<'a>(
-    draft: &Draft<'_>,
+    builder: &PlanBuilder<'_>,
     run: usize,
     machines: impl Iterator<Item = &'a MachineName>,
 ) -> f64 {
-    let Work::Batch { save_s, .. } = draft.standing(run).claim.work else { return f64::INFINITY };
+    let Work::Batch { save_s, .. } = builder.active(run).claim.work else { return f64::INFINITY };
     let each = |machine: &MachineName| {
-        let Some(entry) = draft.entry(machine) else { return 0.0 };
-        machine_loss_s(draft, machine, entry, save_s)
+        let Some(entry) = builder.entry(machine) else { return 0.0 };
+        machine_loss_s(builder, machine, entry, save_s)
     };
     machines.map(each).fold(0.0, f64::max)
 }
 
-fn machine_loss_s(draft: &Draft<'_>, machine: &MachineName, entry: &Entry, save_s: f64) -> f64 {
-    let view = draft.input.machines.get(machine);
+fn machine_loss_s(
+    builder: &PlanBuilder<'_>,
+    machine: &MachineName,
+    entry: &Entry,
+    save_s: f64,
+) -> f64 {
+    let view = builder.input.machines.get(machine);
     let Some(view) = view.filter(|view| view.usable()) else {
-        return draft.input.settings.times.worker_lease_s;
+        return builder.input.settings.times.worker_lease_s;
     };
     match view.live_run(entry.loan) {
         None => 0.0,
--- a/crates/stonewheel-lending/src/reserve.rs
+++ b/crates/stonewheel-lending/src/reserve.rs
@@ -15,7 +15,7 @@
 }
 
 impl WindowMaximum {
-    fn note(&mut self, now: Instant, value: u32, window: Duration) {
+    fn record(&mut self, now: Instant, value: u32, window: Duration) {
         while self.values.back().is_some_and(|(_, held)| *held <= value) {
             self.values.pop_back();
         }
@@ -57,14 +57,14 @@
     }
 
     /// Notes what each team's claims inside its guarantee ask for now.
-    pub fn note(&mut self, now: Instant, entitlements: &BTreeMap<TeamName, u32>) {
+    pub fn record(&mut self, now: Instant, entitlements: &BTreeMap<TeamName, u32>) {
         for (team, asked) in entitlements {
             let demand = self.teams.entry(team.clone()).or_default();
             demand.now = *asked;
-            demand.peak.note(now, *asked, self.settle);
-            demand.least.note(now, u32::MAX - asked, self.reclaim);
+            demand.peak.record(now, *asked, self.settle);
+            demand.least.record(now, u32::MAX - asked, self.reclaim);
             let least = u32::MAX - demand.least.get();
-            demand.rise.note(now, asked.saturating_sub(least), self.memory);
+            demand.rise.record(now, asked.saturating_sub(least), self.memory);
         }
     }
 
--- a/crates/stonewheel-lending/src/reserve/tests.rs
+++ b/crates/stonewheel-lending/src/reserve/tests.rs
@@ -6,7 +6,7 @@
 }
 
 fn note(reserve: &mut Reserve, at: Instant, asked: u32) -> u32 {
-    reserve.note(at, &[(TeamName::from("blue"), asked)].into());
+    reserve.record(at, &[(TeamName::from("blue"), asked)].into());
     reserve.machines(&teams())["blue"]
 }
 
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -6,7 +6,7 @@
 use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole};
 use tokio::time::Duration;
 
-use crate::{claim::TeamName, ledger::LONGEST_NAME};
+use crate::{claim::TeamName, ledger::MAX_NAME_BYTES};
 
 /// How the sections of this part are called.
 const SECTIONS: PartSections =
@@ -117,8 +117,8 @@
         let reason = format!("{guarantee} is above the ceiling of {ceiling}");
         return Err(section.error("guarantee", &reason));
     }
-    if name.len() > LONGEST_NAME {
-        return Err(section.error("name", &format!("has more than {LONGEST_NAME} bytes")));
+    if name.len() > MAX_NAME_BYTES {
+        return Err(section.error("name", &format!("has more than {MAX_NAME_BYTES} bytes")));
     }
     section.end()?;
     Ok(Team { guarantee, ceiling })
@@ -135,17 +135,17 @@
 
 impl Times {
     /// How often machines are looked at.
-    pub fn look(&self) -> Duration {
+    pub fn probe_interval(&self) -> Duration {
         Duration::from_secs_f64(self.look_s)
     }
 
     /// How long an order may take.
-    pub fn order(&self) -> Duration {
+    pub fn order_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.order_s)
     }
 
     /// How long stopped work may save.
-    pub fn grace(&self) -> Duration {
+    pub fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 
--- a/crates/stonewheel-lending/tests/common/checker.rs
+++ b/crates/stonewheel-lending/tests/common/checker.rs
@@ -8,7 +8,7 @@
 
 use stonewheel_lending::{
     LendingSettings,
-    claim::{ClaimId, StandingClaim, Work},
+    claim::{ActiveClaim, ClaimId, Work},
 };
 
 use super::fleet::{Event, Fleet};
@@ -75,8 +75,8 @@
 
     /// Claims that fit into their team's guarantee with all before them: what can't be
     /// stopped first.
-    fn inside(&self, claims: &[StandingClaim]) -> BTreeSet<ClaimId> {
-        let mut row: Vec<&StandingClaim> = claims.iter().collect();
+    fn inside(&self, claims: &[ActiveClaim]) -> BTreeSet<ClaimId> {
+        let mut row: Vec<&ActiveClaim> = claims.iter().collect();
         row.sort_by_key(|c| (self.saves_in_time(c.claim.work), c.order, c.id.clone()));
         let mut asked: BTreeMap<&str, u32> = BTreeMap::new();
         let mut inside = BTreeSet::new();
@@ -91,7 +91,7 @@
     }
 
     /// Looks at all of it: called after every change, with what happened since.
-    pub fn check(&mut self, now: Duration, claims: &[StandingClaim], fleet: &mut Fleet) {
+    pub fn check(&mut self, now: Duration, claims: &[ActiveClaim], fleet: &mut Fleet) {
         self.samples += 1;
         let inside = self.inside(claims);
         self.note_claims(now, claims, &inside);
@@ -102,7 +102,7 @@
         self.check_waits(now, claims, &inside, fleet);
     }
 
-    fn note_claims(&mut self, now: Duration, claims: &[StandingClaim], inside: &BTreeSet<ClaimId>) {
+    fn note_claims(&mut self, now: Duration, claims: &[ActiveClaim], inside: &BTreeSet<ClaimId>) {
         for standing in claims {
             let known = self.known.entry(standing.id.clone()).or_default();
             known.team = standing.claim.team.to_string();
@@ -127,13 +127,7 @@
         at.is_some_and(|at| now <= at + self.lag)
     }
 
-    fn check_event(
-        &mut self,
-        now: Duration,
-        claims: &[StandingClaim],
-        fleet: &Fleet,
-        event: &Event,
-    ) {
+    fn check_event(&mut self, now: Duration, claims: &[ActiveClaim], fleet: &Fleet, event: &Event) {
         match event {
             Event::StartedOver(claim, other) => {
                 self.violation(now, format!("{claim} starts over {other}"));
@@ -175,7 +169,7 @@
     fn check_start(
         &mut self,
         now: Duration,
-        claims: &[StandingClaim],
+        claims: &[ActiveClaim],
         fleet: &Fleet,
         claim: &ClaimId,
     ) {
@@ -198,13 +192,13 @@
         }
     }
 
-    fn is_fixed_outside(&self, claims: &[StandingClaim], id: &ClaimId) -> bool {
+    fn is_fixed_outside(&self, claims: &[ActiveClaim], id: &ClaimId) -> bool {
         let outside = self.known.get(id).is_some_and(|known| !known.inside);
         let standing = claims.iter().find(|standing| standing.id == *id);
         outside && standing.is_some_and(|s| !self.saves_in_time(s.claim.work))
     }
 
-    fn check_use(&mut self, now: Duration, claims: &[StandingClaim], fleet: &Fleet) {
+    fn check_use(&mut self, now: Duration, claims: &[ActiveClaim], fleet: &Fleet) {
         let mut by_claim: BTreeMap<ClaimId, u32> = BTreeMap::new();
         let mut by_team: BTreeMap<String, u32> = BTreeMap::new();
         for (_, claim) in fleet.running() {
@@ -230,7 +224,7 @@
 
     /// Whether losses left too few machines for all guarantees. Outside work that can't be
     /// stopped keeps what it has.
-    pub fn is_short(&self, claims: &[StandingClaim], fleet: &Fleet) -> bool {
+    pub fn is_short(&self, claims: &[ActiveClaim], fleet: &Fleet) -> bool {
         let guaranteed: u32 = self.settings.teams.values().map(|team| team.guarantee).sum();
         let fixed = fleet.running().filter(|(_, id)| self.is_fixed_outside(claims, id)).count();
         fleet.staying() < guaranteed + fixed as u32
@@ -239,7 +233,7 @@
     fn check_waits(
         &mut self,
         now: Duration,
-        claims: &[StandingClaim],
+        claims: &[ActiveClaim],
         inside: &BTreeSet<ClaimId>,
         fleet: &Fleet,
     ) {
--- a/crates/stonewheel-lending/tests/common/fleet.rs
+++ b/crates/stonewheel-lending/tests/common/fleet.rs
@@ -236,7 +236,7 @@
             }
             reports.push(report);
         }
-        Observation { reports, gone: self.gone.clone(), residents: Vec::new() }
+        Observation { reports, gone: self.gone.clone(), unmanaged_workloads: Vec::new() }
     }
 
     /// Carries out an order.
--- a/crates/stonewheel-lending/tests/common/simulation.rs
+++ b/crates/stonewheel-lending/tests/common/simulation.rs
@@ -8,7 +8,7 @@
 
 use stonewheel_lending::{
     LendingSettings, Order, OrderKind,
-    claim::{Claim, ClaimId, MachineName, StandingClaim, TeamName},
+    claim::{ActiveClaim, Claim, ClaimId, MachineName, TeamName},
     ledger::{Entry, Ledger, LoanId, LoanState},
     orders::{OrderInput, due},
     planner::{MachineView, Plan, PlannerInput, WaitReason, plan},
@@ -22,7 +22,7 @@
     pub settings: LendingSettings,
     pub fleet: Fleet,
     pub ledger: Ledger,
-    pub claims: Vec<StandingClaim>,
+    pub claims: Vec<ActiveClaim>,
     pub checker: Checker,
     pub reserve: BTreeMap<TeamName, u32>,
     pub reasons: BTreeMap<ClaimId, WaitReason>,
@@ -37,9 +37,9 @@
 
 impl Simulation {
     pub fn new(settings: LendingSettings, machines: usize) -> Self {
-        let look = settings.times.look();
+        let look = settings.times.probe_interval();
         // Twice what one pass after the other takes, for losses that come together.
-        let bound = (settings.times.grace() + settings.times.worker_lease()) * 2 + look * 16;
+        let bound = (settings.times.grace_period() + settings.times.worker_lease()) * 2 + look * 16;
         Self {
             checker: Checker::new(settings.clone(), look * 3, bound),
             settings,
@@ -59,7 +59,7 @@
 
     pub fn submit(&mut self, id: &str, claim: Claim) {
         self.accepted += 1;
-        self.claims.push(StandingClaim { id: id.into(), claim, order: self.accepted });
+        self.claims.push(ActiveClaim { id: id.into(), claim, order: self.accepted });
     }
 
     pub fn withdraw(&mut self, id: &str) {
@@ -68,15 +68,15 @@
 
     fn views(&mut self) -> (BTreeMap<MachineName, MachineView>, BTreeSet<MachineName>) {
         let observation = self.fleet.observe(EPOCH);
-        let stale = self.settings.times.look() * 3;
+        let stale = self.settings.times.probe_interval() * 3;
         let views = observation.reports.into_iter().map(|report| {
             let view = MachineView {
                 zone: report.zone,
                 session: report.session,
-                heard: report.silent < stale,
+                reachable: report.silent < stale,
                 confirmed: report.token == EPOCH,
                 leaving: report.leaving,
-                avoided: false,
+                quarantined: false,
                 run: report.run,
             };
             (report.machine, view)
@@ -98,7 +98,7 @@
             may_lend: true,
             epoch: EPOCH,
             next_number: self.next_number,
-            most_changes: usize::MAX,
+            max_changes: usize::MAX,
         })
     }
 
@@ -169,7 +169,7 @@
     /// Lets time pass in looks.
     pub fn pass(&mut self, looks: u32) {
         for _ in 0..looks {
-            self.now += self.settings.times.look();
+            self.now += self.settings.times.probe_interval();
             self.fleet.advance(self.now);
             self.check();
             self.return_silent();
--- a/crates/stonewheel-lending/tests/common/world.rs
+++ b/crates/stonewheel-lending/tests/common/world.rs
@@ -14,7 +14,7 @@
 use stonewheel_lending::{
     Bounds, ClaimFailure, Executor, HOLDER_KEY, HolderRecord, HostError, LendingSettings,
     MachineHost, Observation, Order, Planner, StateLimits,
-    claim::{Claim, ClaimId, ClaimRecord, MachineName, StandingClaim, Work, claim_key},
+    claim::{ActiveClaim, Claim, ClaimId, ClaimRecord, MachineName, Work, claim_key},
     ledger::{Entry, LoanState, Shard},
 };
 use stonewheel_testing::{Callers, MemState, Members, timing};
@@ -38,7 +38,7 @@
 struct ClaimReader(HashMap<String, (u64, Option<Claim>)>);
 
 impl ClaimReader {
-    fn read(&mut self, state: &MemState) -> Vec<StandingClaim> {
+    fn read(&mut self, state: &MemState) -> Vec<ActiveClaim> {
         let prefix = claim_key("");
         let mut standing = Vec::new();
         for key in state.keys(&prefix) {
@@ -47,13 +47,13 @@
             if held.0 != version {
                 let text = state.value(&key).unwrap_or_default();
                 let claim = match serde_json::from_str(&text) {
-                    Ok(ClaimRecord::Stands(claim)) => Some(claim),
+                    Ok(ClaimRecord::Active(claim)) => Some(claim),
                     _ => None,
                 };
                 *held = (version, claim);
             }
             if let Some(claim) = held.1.clone() {
-                standing.push(StandingClaim {
+                standing.push(ActiveClaim {
                     id: key[prefix.len()..].into(),
                     claim,
                     order: version,
--- a/crates/stonewheel-lending/tests/guarantees.rs
+++ b/crates/stonewheel-lending/tests/guarantees.rs
@@ -128,7 +128,7 @@
     assert!(!claims.is_empty());
     for key in claims {
         let id = key.trim_start_matches("sp/l/c/");
-        let explanation = format!("{:?}", executor.explain(id));
+        let explanation = format!("{:?}", executor.status(id));
         let inside = ["Short", "Queued", "Stopping", "Reclaiming"];
         assert!(!inside.iter().any(|reason| explanation.contains(reason)), "{id} {explanation}");
     }
--- a/crates/stonewheel-lending/tests/ledger.rs
+++ b/crates/stonewheel-lending/tests/ledger.rs
@@ -14,7 +14,7 @@
     HOLDER_KEY, PREFIX,
     claim::MachineName,
     ledger::{
-        ENTRY_BYTES, Entry, LONGEST_NAME, Ledger, LoanId, LoanState, Shard, Transition, Why,
+        ENTRY_BYTES, Entry, Ledger, LoanId, LoanState, MAX_NAME_BYTES, Shard, Transition, Why,
         shard_count, shard_key, shard_of,
     },
 };
@@ -208,7 +208,7 @@
 
     fn settle(&mut self) {
         self.runtime.block_on(async { sleep(Duration::from_millis(100)).await });
-        self.ledger.follow(&self.coordinators[self.holder].records());
+        self.ledger.refresh(&self.coordinators[self.holder].records());
     }
 }
 
@@ -311,7 +311,7 @@
 
 #[test]
 fn the_longest_entry_fits_what_is_reserved_for_it() {
-    let name = |letter: &str| -> Arc<str> { letter.repeat(LONGEST_NAME).into() };
+    let name = |letter: &str| -> Arc<str> { letter.repeat(MAX_NAME_BYTES).into() };
     let loan = LoanId { epoch: u64::MAX, number: u64::MAX };
     let mut entry = Entry::lend(loan, Some(name("l")), name("b"), name("c"), Why::Incomplete);
     for _ in 0..3 {
--- a/crates/stonewheel-lending/tests/records.rs
+++ b/crates/stonewheel-lending/tests/records.rs
@@ -87,7 +87,7 @@
     let valid = validator("shard");
     assert!(valid.is_valid(&json!(shard)));
     let claim = Claim { team: "red".into(), machines: 1, gpus: 8.0, work: Work::Serving };
-    assert!(validator("claim").is_valid(&json!(ClaimRecord::Stands(claim))));
+    assert!(validator("claim").is_valid(&json!(ClaimRecord::Active(claim))));
     let mut broken = json!(shard);
     broken["entries"]["n-1"]["state"] = json!("borrowed");
     assert!(!valid.is_valid(&broken));
--- a/crates/stonewheel-lending/tests/stories.rs
+++ b/crates/stonewheel-lending/tests/stories.rs
@@ -12,7 +12,7 @@
     world::{CONTROLLERS, World},
 };
 use stonewheel_lending::{
-    ClaimFailure, Explanation, claim::ClaimError, ledger::LoanState, planner::WaitReason,
+    ClaimFailure, ClaimStatus, claim::ClaimError, ledger::LoanState, planner::WaitReason,
 };
 use tokio::time::{Instant, sleep};
 
@@ -223,7 +223,7 @@
     let asked = Instant::now();
     world.submit(0, "s-1", serving("red", 2)).await;
     world.until_runs("s-1", 2).await;
-    let (took, grace) = (asked.elapsed(), world.settings.times.grace());
+    let (took, grace) = (asked.elapsed(), world.settings.times.grace_period());
     assert!(took > grace && took < grace + Duration::from_secs(4), "{took:?}");
     let holder = world.members.part(world.holder().expect("a holder"));
     assert_eq!(holder.counters().ended_saves, 2);
@@ -372,8 +372,8 @@
     executor.submit("never", &claim).await.expect("known, and over");
     seconds(5).await;
     assert_eq!((world.runs("s-1"), world.runs("never")), (0, 0));
-    assert_eq!(executor.explain("s-1"), Explanation::Over);
-    assert_eq!(executor.explain("nobody"), Explanation::Unknown);
+    assert_eq!(executor.status("s-1"), ClaimStatus::Finished);
+    assert_eq!(executor.status("nobody"), ClaimStatus::Unknown);
     world.until("it is forgotten", |world| world.state.keys("sp/l/c/").len() == 2).await;
     world.assert_kept();
 }
@@ -385,16 +385,16 @@
     world.submit(0, "b-3", batch("blue", 1)).await;
     let holder = world.holder().expect("a holder");
     world.until("it saves", |world| world.in_state(LoanState::Checkpointing) == 2).await;
-    let explain = |id: &str| world.members.part(holder).explain(id);
+    let explain = |id: &str| world.members.part(holder).status(id);
     let reclaiming = WaitReason::Reclaiming { machines: 2 };
-    assert_eq!(explain("s-1"), Explanation::Standing(Some(reclaiming)));
+    assert_eq!(explain("s-1"), ClaimStatus::Active(Some(reclaiming)));
     world.until_runs("s-1", 2).await;
     seconds(1).await;
-    assert_eq!(explain("s-1"), Explanation::Standing(Some(WaitReason::Served)));
+    assert_eq!(explain("s-1"), ClaimStatus::Active(Some(WaitReason::Served)));
     let waits = explain("b-3");
-    assert_eq!(waits, Explanation::Standing(Some(WaitReason::NoFreeMachine)));
-    let other = world.members.part((holder + 1) % CONTROLLERS).explain("s-1");
-    assert_eq!(other, Explanation::HeldElsewhere { holder: Some(format!("m-{holder}")) });
+    assert_eq!(waits, ClaimStatus::Active(Some(WaitReason::NoFreeMachine)));
+    let other = world.members.part((holder + 1) % CONTROLLERS).status("s-1");
+    assert_eq!(other, ClaimStatus::HeldElsewhere { holder: Some(format!("m-{holder}")) });
 }
 
 #[tokio::test(start_paused = true)]
@@ -403,7 +403,7 @@
     let short = Behaviour { work_s: Some(5.0), ..Behaviour::default() };
     world.fleet().behaviours.insert("b-1".into(), short);
     world.submit(0, "b-1", batch("blue", 2)).await;
-    world.until("it is done", |w| w.members.part(1).explain("b-1") == Explanation::Over).await;
+    world.until("it is done", |w| w.members.part(1).status("b-1") == ClaimStatus::Finished).await;
     world.until("its machines are free", |world| world.entries().is_empty()).await;
     world
         .fleet()
--- a/src/lending.rs
+++ b/src/lending.rs
@@ -13,8 +13,8 @@
 use futures_util::future::BoxFuture;
 use stonewheel_coordination::Coordinator;
 use stonewheel_lending::{
-    Executor, Exit, Explanation, HOLDER_KEY, HolderRecord, HostError, LendingSettings, MachineHost,
-    MachineReport, Observation, Order, Resident, RunReport, RunState, StateLimits,
+    ClaimStatus, Executor, Exit, HOLDER_KEY, HolderRecord, HostError, LendingSettings, MachineHost,
+    MachineReport, Observation, Order, RunReport, RunState, StateLimits, UnmanagedWorkload,
     claim::{Claim, ClaimId, MachineName, Work},
     ledger::{Entry, Ledger, LoanState},
     planner::{self, WaitReason},
@@ -59,13 +59,13 @@
         if ledger.shards() != shards {
             *ledger = Ledger::new(shards, self.node.settings.state_limits().value_bytes);
         }
-        ledger.follow(&records);
+        ledger.refresh(&records);
         ledger
     }
 
     fn view(&self) -> Option<LendingView> {
         let times = &self.settings.times;
-        self.node.lending_view(times.grace_s, times.look() * WAITED_LOOKS)
+        self.node.lending_view(times.grace_s, times.probe_interval() * WAITED_LOOKS)
     }
 
     fn observation(&self, view: &LendingView, token: u64) -> Observation {
@@ -81,7 +81,7 @@
             let run = entry.map(|entry| run_report(entry, seen, view));
             observation.reports.push(report(machine, seen, token, tick, run));
             if let Some(lent) = seen.lent.as_ref().filter(|_| entry.is_none()) {
-                observation.residents.push(Resident {
+                observation.unmanaged_workloads.push(UnmanagedWorkload {
                     machine: machine.clone(),
                     team: lent.team.clone(),
                     work: Work::Batch { checkpoint_s: lent.checkpoint_s, save_s: lent.save_s },
@@ -208,12 +208,12 @@
     }
 
     async fn follow(&self) {
-        let pause = self.machines.settings.times.look() / REFRESH_PARTS;
+        let pause = self.machines.settings.times.probe_interval() / REFRESH_PARTS;
         loop {
             sleep(pause).await;
             let reserved = reservations(&self.machines.ledger());
             self.machines.node.reserve(reserved);
-            if self.executor.holds() {
+            if self.executor.holds_ledger() {
                 self.claim_for_waiting_jobs().await;
             }
         }
@@ -222,14 +222,14 @@
     /// Claims for jobs that wait, and withdraws those of jobs that don't any more.
     async fn claim_for_waiting_jobs(&self) {
         let Some(mut view) = self.machines.view().filter(|view| view.settled) else { return };
-        let standing: BTreeMap<JobId, ClaimId> = self
+        let active: BTreeMap<JobId, ClaimId> = self
             .executor
-            .standing()
+            .active_claims()
             .into_iter()
-            .map(|standing| (JobId::from(job_of(&standing.id)), standing.id))
+            .map(|claim| (JobId::from(job_of(&claim.id)), claim.id))
             .collect();
-        self.give_up_unused(&mut view, &standing);
-        let claims = |job: &&WaitingJob| job.overdue && !standing.contains_key(&job.id);
+        self.give_up_unused(&mut view, &active);
+        let claims = |job: &&WaitingJob| job.overdue && !active.contains_key(&job.id);
         for job in view.waiting.iter().filter(claims) {
             let (id, team) = (self.next_claim(&job.id), job.team.clone());
             let claim = Claim { team, machines: job.machines, gpus: job.gpus, work: Work::Serving };
@@ -238,7 +238,7 @@
             }
         }
         let waits = |job: &JobId| view.waiting.iter().any(|waiting| waiting.id == *job);
-        for (job, id) in standing.iter().filter(|(job, _)| !waits(job)) {
+        for (job, id) in active.iter().filter(|(job, _)| !waits(job)) {
             if let Err(error) = self.executor.withdraw(id).await {
                 debug!(%job, %error, "a claim stands on");
             }
@@ -247,13 +247,13 @@
 
     /// A job that isn't placed on the machines that it was granted, within the time of a
     /// reclaim, never will be: others get them, and it claims no more while it waits.
-    fn give_up_unused(&self, view: &mut LendingView, standing: &BTreeMap<JobId, ClaimId>) {
+    fn give_up_unused(&self, view: &mut LendingView, active: &BTreeMap<JobId, ClaimId>) {
         let now = Instant::now();
         let mut attempts = lock(&self.attempts);
         attempts.retain(|job, _| view.waiting.iter().any(|waiting| waiting.id == *job));
-        for (job, id) in standing {
-            let served = Explanation::Standing(Some(WaitReason::Served));
-            if self.executor.explain(id) == served {
+        for (job, id) in active {
+            let served = ClaimStatus::Active(Some(WaitReason::Served));
+            if self.executor.status(id) == served {
                 let attempt = Attempt { served_since: now, given_up: false };
                 let attempt = attempts.entry(job.clone()).or_insert(attempt);
                 attempt.given_up |= now >= attempt.served_since + self.executor.bounds().reclaim;
@@ -265,7 +265,7 @@
     /// A job may wait again after its claim was withdrawn: then it makes another one.
     fn next_claim(&self, job: &str) -> String {
         let ids = (0_u64..).map(|number| format!("{job}{NUMBER_MARK}{number}"));
-        let is_over = |id: &String| self.executor.explain(id) == Explanation::Over;
+        let is_over = |id: &String| self.executor.status(id) == ClaimStatus::Finished;
         let mut unused = ids.skip_while(is_over);
         unused.next().unwrap_or_default()
     }
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -270,7 +270,7 @@
     let claims = cluster.state.keys(&claims_prefix());
     let standing = claims.iter().filter_map(|key| cluster.state.value(key)).filter(|text| {
         let record = serde_json::from_str::<ClaimRecord>(text);
-        matches!(record, Ok(ClaimRecord::Stands(_)))
+        matches!(record, Ok(ClaimRecord::Active(_)))
     });
     assert_eq!(standing.count(), 0);
     assert_no_violation(&cluster);
