--- a/src/controller/pending_writes.rs
+++ b/src/controller/pending_writes.rs
@@ -45,7 +45,7 @@
         self.dirty.insert(page);
     }
 
-    /// A page has to be written, again or for its width; its places are the same.
+    /// A page has to be written, again or for its width; its placements are the same.
     pub(super) fn mark_due(&mut self, page: PageKey) {
         self.dirty.insert(page);
     }
@@ -65,7 +65,7 @@
         std::mem::take(&mut self.tasks_to_stop)
     }
 
-    /// A page is looked at for writing.
+    /// The write of a page is decided on now.
     pub(super) fn clear_due(&mut self, page: &PageKey) {
         self.dirty.remove(page);
     }
@@ -142,3 +142,6 @@
         self.dirty.is_empty() && self.ending.is_empty()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -1,6 +1,8 @@
 //! A scheduling pass: from a snapshot of the state to the scheduler's decisions, and from
 //! those to bindings, stops, widths and provisioning requests.
 
+use std::sync::Arc;
+
 use tokio::time::{Duration, Instant};
 use tracing::{debug, info};
 
@@ -8,34 +10,35 @@
     Leader,
     binding::{Binding, GracePeriod},
     job::Job,
+    pass_timers::PassKind,
     pending_writes::PageKey,
 };
 use crate::{
     fleet::{Machine, TaskKey},
     protocol::{JobId, MachineId, Shape},
-    scheduler::{Decisions, Stopping},
+    scheduler::{Decisions, GrantedWidth, PlacedTask, Stopping},
 };
 
 impl Leader {
-    /// Makes a pass; a `round` also sets the widths of arrays.
-    pub(super) fn schedule(&mut self, round: bool, now: Instant) {
+    /// Makes a pass.
+    pub(super) fn schedule(&mut self, kind: PassKind, now: Instant) {
         if self.types.is_empty() {
             return;
         }
-        if round {
+        if kind == PassKind::Round {
             let interval = Duration::from_secs_f64(self.settings.operator.round_s);
             self.timers.begin_round(now, interval);
         }
         let settled = self.is_settled(now);
-        let decisions = self.decide(round, now);
+        let decisions = self.decide(kind, now);
         self.counters.passes += 1;
-        self.counters.weighed += decisions.weighed;
+        self.counters.candidates_evaluated += decisions.candidates_evaluated;
         self.apply_decisions(decisions, settled, now);
     }
 
     fn apply_decisions(&mut self, decisions: Decisions, settled: bool, now: Instant) {
-        for (id, width) in decisions.widths {
-            self.set_width(id, width);
+        for GrantedWidth { job, width } in decisions.widths {
+            self.set_width(job, width);
         }
         self.bind(decisions.place);
         // What the workers have not reported yet looks like a lack of machines.
@@ -51,7 +54,7 @@
                 machine.idle_since = machine.has_reported().then_some(now);
             }
         }
-        self.scale_out(decisions.rent);
+        self.scale_out(decisions.scale_out);
     }
 
     /// Whether a new leader was in contact with all machines that hold tasks, as far as
@@ -64,7 +67,7 @@
 
     fn set_width(&mut self, id: JobId, width: u32) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.width != width) {
-            info!(job = %id, from = job.width, to = width, "width");
+            info!(job = %id, from = job.width, to = width, "array width changed");
             job.width = width;
             // The first page holds the width.
             self.writes.mark_due(PageKey { job: id, page: 0 });
@@ -73,16 +76,16 @@
 
     fn preempt(&mut self, stopping: Stopping, now: Instant) {
         let Stopping { job, task, at_once } = stopping;
-        info!(%job, task, at_once, "stopped to make room");
+        info!(%job, task, at_once, "task preempted");
         let grace = if at_once { GracePeriod::None } else { GracePeriod::OfJob };
         self.stop(&TaskKey { job, task }, grace, now);
     }
 
     /// Binds tasks to machines. All tasks of a gang's attempt share its number; elsewhere
     /// a number is never used twice.
-    fn bind(&mut self, places: Vec<(JobId, u32, MachineId)>) {
+    fn bind(&mut self, places: Vec<PlacedTask>) {
         let mut previous_job: Option<JobId> = None;
-        for (job, task, machine) in places {
+        for PlacedTask { job, task, machine } in places {
             let key = TaskKey { job, task };
             let same_job = previous_job.as_ref() == Some(&key.job);
             if self.bind_task(&key, &machine, same_job) {
@@ -110,7 +113,7 @@
             job.attempt += 1;
         }
         let incarnation = machine.latest_heartbeat.incarnation;
-        debug!(job = %key.job, task = key.task, machine = %machine_id, attempt = job.attempt, "bound");
+        debug!(job = %key.job, task = key.task, machine = %machine_id, attempt = job.attempt, "task bound");
         job.bind(key.task, Binding::new(machine_id.clone(), job.attempt, incarnation, zone));
         self.quota_use.add(&job.spec);
         machine.bound.insert(key.clone());
@@ -125,7 +128,7 @@
         let cache_gb =
             self.types.named(&machine.machine_type).map_or(f64::INFINITY, |t| t.cache_gb);
         let (jobs, bound) = (&self.jobs, &machine.bound);
-        let is_used = |image: &std::sync::Arc<str>| {
+        let is_used = |image: &Arc<str>| {
             let mut here = bound.iter().filter_map(|key| jobs.get(&key.job));
             here.any(|job| job.spec.image == *image)
         };
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{Duration, Instant};
 
-use super::{Leader, binding::Binding, job::Job, pages::LongestNames};
+use super::{Leader, binding::Binding, job::Job, pages::LongestNames, pass_timers::PassKind};
 use crate::{
     fleet::Machine,
     protocol::{JobSpec, MachineId, MachineType, Shape},
@@ -20,7 +20,7 @@
 
 impl Leader {
     /// What the scheduler decides on the state as it is now.
-    pub(super) fn decide(&mut self, round: bool, now: Instant) -> Decisions {
+    pub(super) fn decide(&mut self, kind: PassKind, now: Instant) -> Decisions {
         let exhausted = self.provisioning.exhausted(now);
         let types = self.types.all();
         let machines = self.machine_views(now);
@@ -31,12 +31,12 @@
             machines,
             jobs,
             usage: self.quota_use.by_team(),
-            refused: exhausted,
-            spare: self.headroom_machines(),
-            spare_spot: self.headroom_spot_machines(),
-            spare_room: self.headroom().total_machines(),
-            round,
-            weighed: Cell::new(0),
+            exhausted,
+            headroom_machines: self.headroom_machines(),
+            headroom_spot_machines: self.headroom_spot_machines(),
+            headroom_capacity: self.headroom().total_machines(),
+            round: kind == PassKind::Round,
+            candidates_evaluated: Cell::new(0),
         })
     }
 
@@ -47,8 +47,8 @@
     }
 
     fn machine_view(&self, id: &MachineId, machine: &Machine, now: Instant) -> Option<MachineView> {
-        let kind = self.types.number(&machine.machine_type)?;
-        let machine_type = self.types.get(kind)?;
+        let type_number = self.types.number(&machine.machine_type)?;
+        let machine_type = self.types.get(type_number)?;
         let zone = self.settings.zone_index(&machine.zone)?;
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
         if !ready && !self.is_coming(machine, machine_type, now) {
@@ -68,7 +68,7 @@
         }
         Some(MachineView {
             id: id.clone(),
-            kind,
+            machine_type: type_number,
             zone,
             spot: machine.spot,
             free,
@@ -111,7 +111,8 @@
     ) -> JobView {
         let pending = job.pending(self.starts_in_a_pass(&job.spec));
         let wanted = pending.len();
-        let pending = job.with_room(pending, self.settings.state_limits().value_bytes, names);
+        let pending =
+            job.fitting_their_pages(pending, self.settings.state_limits().value_bytes, names);
         // Half a gang is no use to anybody.
         let crowded = job.spec.shape == Shape::Gang && pending.len() < wanted;
         let bound = job.bound.iter();
@@ -127,7 +128,7 @@
             patience_s: self.patience_s(job, now),
             // Known only once all jobs of the team are seen together.
             guaranteed: false,
-            held: crowded || job.backoff_until.is_some(),
+            blocked: crowded || job.backoff_until.is_some(),
             avoid: self.machines_to_avoid(job),
         }
     }
--- a/src/controller/write_outcomes.rs
+++ b/src/controller/write_outcomes.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use super::{CommitKind, Leader, known_end::KnownEnd, pending_writes::PageKey};
+use super::{Leader, known_end::KnownEnd, pending_writes::PageKey, writes::CommitKind};
 use crate::{
     protocol::JobId,
     store::{Page, WatchCache},
@@ -53,7 +53,7 @@
             // More pages than one transaction drops.
             self.writes.check_end_of(id.clone());
         } else {
-            info!(job = %id, "ended");
+            info!(job = %id, "job ended");
             self.jobs.remove(id);
             self.writes.forget_job(id);
         }
