--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,8 @@
 //! order and sets every job's width by a dynamic program maximising summed
 //! throughput scaling factors, resizing through checkpoint and resume.
 
+#![warn(missing_docs)]
+
 pub mod activation;
 pub mod admission_limit;
 pub mod cloud;
