--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -113,7 +113,7 @@
 }
 
 /// Whether the rest of a gang's room will come by itself: machines that boot
-/// or can be rented in the zone where the gang has found some.
+/// or can be provisioned in the zone where the gang has found some.
 fn rest_can_come(snapshot: &Snapshot<'_>, at: usize, found: &[usize], count: usize) -> bool {
     let job = &snapshot.jobs[at];
     let zone = found.first().map(|&m| snapshot.machines[m].zone);
