--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -1,20 +1,15 @@
 //! Claims: machines that a piece of work asks for.
 
-use std::sync::Arc;
-
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use stonewheel_settings::check_name;
 use thiserror::Error;
 
-use crate::{PREFIX, ledger::MAX_NAME_BYTES, settings::LendingSettings};
-
-/// A team's name.
-pub type TeamName = Arc<str>;
-/// A machine's name, as the cloud gives it.
-pub type MachineName = Arc<str>;
-/// A claim's id, chosen by whoever asks.
-pub type ClaimId = Arc<str>;
+pub use crate::names::{ClaimId, MachineName, TeamName};
+use crate::{
+    names::{MAX_NAME_BYTES, PREFIX},
+    settings::LendingSettings,
+};
 
 /// Claims' keys begin with this.
 pub fn claims_prefix() -> String {
--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 use tracing::{debug, warn};
 
-use super::{Executor, Term};
+use super::state::{Executor, Term};
 use crate::{
     claim::MachineName,
     host::{HostError, Order, OrderKind},
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use tracing::{debug, info};
 
-use super::{Executor, Term};
+use super::state::{Executor, Term};
 use crate::{
     accounts,
     claim::{ClaimId, ClaimRecord, claim_key},
--- /dev/null
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -0,0 +1,130 @@
+//! The executor's state: what one controller keeps always, and what only the holder of the
+//! ledger keeps.
+
+use std::{
+    collections::{BTreeMap, HashMap},
+    sync::{Arc, Mutex},
+};
+
+use rand::{SeedableRng, rngs::StdRng};
+use stonewheel_coordination::{Coordinator, Succession};
+use stonewheel_protocol::{Condition, Write};
+use stonewheel_state::{StateError, lock};
+use tokio::{sync::Notify, time::Instant};
+
+use super::api::{Planner, StateLimits};
+use crate::{
+    bound::Bounds, claims::Claims, counters::Counters, holder::HolderRecord, host::MachineHost,
+    ledger::Ledger, names::ClaimId, observations::MachineObservations, planner::WaitReason,
+    reserve::Reserve, settings::LendingSettings,
+};
+
+/// What the holder of the ledger keeps for its term.
+pub(super) struct Term {
+    pub(super) ledger: Ledger,
+    pub(super) observations: MachineObservations,
+    pub(super) reserve: Reserve,
+    pub(super) reasons: BTreeMap<ClaimId, WaitReason>,
+    pub(super) waits_since: HashMap<ClaimId, Instant>,
+    pub(super) finished_since: HashMap<ClaimId, Instant>,
+    pub(super) next_number: u64,
+    pub(super) may_lend_from: Instant,
+}
+
+/// The executor of one controller.
+pub struct Executor {
+    pub(super) coordinator: Arc<Coordinator>,
+    pub(super) settings: LendingSettings,
+    pub(super) bounds: Bounds,
+    pub(super) host: Arc<dyn MachineHost>,
+    pub(super) planner: Planner,
+    pub(super) limits: StateLimits,
+    pub(super) claims: Mutex<Claims>,
+    pub(super) term: Mutex<Option<Term>>,
+    pub(super) succession: Mutex<Succession>,
+    pub(super) counters: Mutex<Counters>,
+    pub(super) rng: Mutex<StdRng>,
+    pub(super) calls_changed: Notify,
+}
+
+impl Executor {
+    /// Over the coordination of this controller and the machines' host.
+    pub fn new(
+        coordinator: Arc<Coordinator>,
+        settings: LendingSettings,
+        host: Arc<dyn MachineHost>,
+        planner: Planner,
+        limits: StateLimits,
+        seed: u64,
+    ) -> Arc<Self> {
+        let timing = coordinator.timing();
+        let members = coordinator.members().len() as u32;
+        let bounds = Bounds::of(&settings, timing.session, timing.state_timeout, members);
+        Arc::new(Self {
+            coordinator,
+            settings,
+            bounds,
+            host,
+            planner,
+            limits,
+            claims: Mutex::default(),
+            term: Mutex::default(),
+            succession: Mutex::default(),
+            counters: Mutex::default(),
+            rng: Mutex::new(StdRng::seed_from_u64(seed)),
+            calls_changed: Notify::new(),
+        })
+    }
+
+    /// How long claims inside their guarantees wait at the most.
+    pub fn bounds(&self) -> Bounds {
+        self.bounds
+    }
+
+    /// What this controller did so far.
+    pub fn counters(&self) -> Counters {
+        *lock(&self.counters)
+    }
+
+    /// Whether this process held the ledger at its last step.
+    pub fn holds_ledger(&self) -> bool {
+        lock(&self.term).is_some()
+    }
+
+    pub(super) fn session_valid(&self) -> bool {
+        self.coordinator.session().is_some_and(|session| Instant::now() < session.valid_until)
+    }
+
+    pub(super) async fn commit(
+        &self,
+        conditions: Vec<Condition>,
+        writes: Vec<Write>,
+    ) -> Result<u64, StateError> {
+        let Some(session) = self.coordinator.session() else {
+            return Err(StateError::LeaseExpired);
+        };
+        self.coordinator.commit_under(session, conditions, writes).await
+    }
+
+    /// What is known of an earlier term says nothing in this one.
+    pub(super) fn begin_term(&self, holder: &HolderRecord) {
+        let mut term = lock(&self.term);
+        if term.as_ref().is_some_and(|term| term.observations.epoch == holder.epoch) {
+            return;
+        }
+        let now = Instant::now();
+        let times = self.settings.times;
+        let first = holder.epoch == 1;
+        *term = Some(Term {
+            ledger: Ledger::new(holder.shards, self.limits.value_bytes),
+            observations: MachineObservations::new(times, holder.epoch, now),
+            reserve: Reserve::new(times.settle(), times.memory(), self.bounds.reclaim),
+            reasons: BTreeMap::new(),
+            waits_since: HashMap::new(),
+            finished_since: HashMap::new(),
+            next_number: 1,
+            // What serving gave back to the former holder is not known here.
+            may_lend_from: if first { now } else { now + times.settle() },
+        });
+    }
+}
--- a/crates/stonewheel-lending/src/executor/submission.rs
+++ b/crates/stonewheel-lending/src/executor/submission.rs
@@ -4,7 +4,10 @@
 use stonewheel_protocol::Condition;
 use stonewheel_state::{StateError, lock};
 
-use super::{ClaimFailure, ClaimStatus, Executor};
+use super::{
+    api::{ClaimFailure, ClaimStatus},
+    state::Executor,
+};
 use crate::{
     claim::{ActiveClaim, Claim, ClaimError, ClaimRecord, claim_key},
     holder::{HOLDER_KEY, HolderRecord},
--- a/crates/stonewheel-lending/src/ledger/entry.rs
+++ b/crates/stonewheel-lending/src/ledger/entry.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::claim::{ClaimId, TeamName};
+use crate::names::{ClaimId, TeamName};
 
 /// Changes that an entry remembers: the latest.
 pub const HISTORY: usize = 3;
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -2,6 +2,7 @@
 
 mod entry;
 mod shard;
+mod transition;
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,18 +12,11 @@
 use tracing::error;
 
 pub use entry::{Change, Entry, HISTORY, LoanId, LoanState, TransitionError, Why};
-pub use shard::{ENTRY_BYTES, MAX_NAME_BYTES, Shard, shard_count, shard_key, shard_of};
+pub use shard::{ENTRY_BYTES, Shard, shard_count, shard_key, shard_of};
+pub use transition::Transition;
 
-use crate::claim::MachineName;
-
-/// One machine's change.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Transition {
-    /// The machine.
-    pub machine: MachineName,
-    /// Its entry afterwards; none: it is available.
-    pub after: Option<Entry>,
-}
+pub use crate::names::MAX_NAME_BYTES;
+use crate::names::MachineName;
 
 /// A shard as last read.
 #[derive(Clone, Debug, Default)]
--- a/crates/stonewheel-lending/src/ledger/shard.rs
+++ b/crates/stonewheel-lending/src/ledger/shard.rs
@@ -5,11 +5,9 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use super::{Entry, Transition};
-use crate::{PREFIX, claim::MachineName};
+use super::{entry::Entry, transition::Transition};
+use crate::names::{MAX_NAME_BYTES, MachineName, PREFIX};
 
-/// The longest name of a machine, a team or a claim, in bytes.
-pub const MAX_NAME_BYTES: usize = 32;
 /// What the longest entry takes, its machine's name included.
 pub const ENTRY_BYTES: usize = 512;
 /// Shards are laid out for this part of the entries that fit, since names don't spread
--- a/crates/stonewheel-lending/src/lib.rs
+++ b/crates/stonewheel-lending/src/lib.rs
@@ -18,6 +18,7 @@
 mod holder;
 mod host;
 pub mod ledger;
+mod names;
 mod observations;
 pub mod orders;
 pub mod planner;
@@ -33,7 +34,5 @@
     Exit, HostError, MachineHost, MachineReport, Observation, Order, OrderKind, RunReport,
     RunState, UnmanagedWorkload,
 };
+pub use names::PREFIX;
 pub use settings::{LendingSettings, Team, Teams, Times, is_section, parse_sections};
-
-/// All keys of this part begin with this.
-pub const PREFIX: &str = "sp/l/";
--- a/crates/stonewheel-lending/src/planner/lend.rs
+++ b/crates/stonewheel-lending/src/planner/lend.rs
@@ -1,6 +1,6 @@
 //! Claims outside their guarantees: what is free beyond the reserve.
 
-use super::{WaitReason, plan_builder::PlanBuilder, settle::release_incomplete_gang};
+use super::{model::WaitReason, plan_builder::PlanBuilder, settle::release_incomplete_gang};
 use crate::{
     claim::{MachineName, TeamName},
     ledger::{Entry, Why},
--- a/crates/stonewheel-lending/src/planner/plan_builder.rs
+++ b/crates/stonewheel-lending/src/planner/plan_builder.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{MachineView, Plan, PlannerInput, WaitReason};
+use super::model::{MachineView, Plan, PlannerInput, WaitReason};
 use crate::{
     accounts::Accounts,
     claim::{ActiveClaim, ClaimId, MachineName},
--- a/crates/stonewheel-lending/src/planner/serve.rs
+++ b/crates/stonewheel-lending/src/planner/serve.rs
@@ -1,7 +1,7 @@
 //! Claims inside their guarantees: free machines first, then reclaims.
 
 use super::{
-    WaitReason,
+    model::WaitReason,
     plan_builder::PlanBuilder,
     settle::{grace_ms, release_incomplete_gang, withdraw_requests},
     victims::Candidates,
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -3,7 +3,10 @@
 
 use std::collections::BTreeSet;
 
-use super::{MachineView, PlannerInput, plan_builder::PlanBuilder};
+use super::{
+    model::{MachineView, PlannerInput},
+    plan_builder::PlanBuilder,
+};
 use crate::{
     claim::{ClaimId, MachineName},
     host::{Exit, RunState},
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -6,7 +6,7 @@
 use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole};
 use tokio::time::Duration;
 
-use crate::{claim::TeamName, ledger::MAX_NAME_BYTES};
+use crate::names::{MAX_NAME_BYTES, TeamName};
 
 /// How the sections of this part are called.
 const SECTIONS: PartSections =
