--- a/crates/stonewheel-lending/src/accounts.rs
+++ b/crates/stonewheel-lending/src/accounts.rs
@@ -77,7 +77,7 @@
     teams: HashMap<TeamName, TeamAccount>,
     /// Machines that outside work which can't be stopped runs on, or still leaves.
     pub outside_fixed: u32,
-    /// Machines that work is to leave, and that nobody has claimed.
+    /// Machines that work is to leave, and that have no claimant.
     pub unclaimed: BTreeSet<MachineName>,
     /// Machines that are lent, by the team in whose name.
     pub lent: HashMap<TeamName, BTreeSet<MachineName>>,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The place of a claim that stands.
+    /// The index of an active claim.
     pub fn index_of(&self, claim: &str) -> Option<usize> {
         self.index.get(claim).copied()
     }
--- a/crates/stonewheel-lending/src/backoff.rs
+++ b/crates/stonewheel-lending/src/backoff.rs
@@ -6,9 +6,9 @@
 
 use crate::settings::Times;
 
-/// The first pause is this part of the time between looks.
+/// The first pause is this part of the probe interval.
 const FIRST_PAUSE_PARTS: u32 = 4;
-/// No pause is longer than so many looks.
+/// No pause is longer than so many probe intervals.
 const MAX_PAUSE_INTERVALS: u32 = 4;
 /// A pause is drawn from this share of its length up to all of it.
 const MIN_PAUSE_SHARE: f64 = 0.5;
@@ -36,7 +36,7 @@
         now >= self.next
     }
 
-    /// Notes a failure.
+    /// Records a failure.
     pub fn failed(&mut self, now: Instant, times: &Times, rng: &mut StdRng) {
         let factor = 2_u32.saturating_pow(self.failures);
         let pause = (times.probe_interval() / FIRST_PAUSE_PARTS)
--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -1,4 +1,4 @@
-//! How long a claim inside its guarantee waits at the most.
+//! The bound on how long a claim inside its guarantee waits.
 
 use stonewheel_coordination::ADOPTION_PARTS;
 use tokio::time::Duration;
@@ -9,13 +9,13 @@
 };
 
 /// The claim, the halt's acknowledgement, the end and the release are each seen within
-/// one look.
+/// one probe interval.
 const PROBES: u32 = 4;
 /// Request, release and grant are each one write.
 const WRITES: u32 = 3;
 /// Halt, end, return of a silent machine, start.
 const ORDERS: u32 = 4;
-/// The new holder looks once before it adopts and once before it plans.
+/// The new holder probes once before it adopts and once before it plans.
 const TAKEOVER_PROBES: u32 = 2;
 
 /// Bounds that follow from the settings.
--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -151,7 +151,7 @@
     Done,
 }
 
-/// A claim that stands, and its place in admission order.
+/// An active claim, and its place in admission order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveClaim {
     /// Its id.
--- a/crates/stonewheel-lending/src/claims.rs
+++ b/crates/stonewheel-lending/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims as last read: parsed anew only when they changed.
+//! Claims as last read. A record is parsed again only when its version changed.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 struct StoredClaim {
     version: u64,
-    /// None: it can't be read. It asks for nothing then.
+    /// None: it can't be read, and counts as no claim.
     record: Option<ClaimRecord>,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl Claims {
-    /// Takes over what the records say.
+    /// Takes over the current records.
     pub fn refresh(&mut self, records: &Records) {
         let prefix = claims_prefix();
         let mut changed = false;
@@ -56,7 +56,7 @@
         self.active.sort_by(|a, b| (a.order, &a.id).cmp(&(b.order, &b.id)));
     }
 
-    /// Claims that stand, in admission order.
+    /// Active claims, in admission order.
     pub fn active(&self) -> &[ActiveClaim] {
         &self.active
     }
@@ -67,7 +67,7 @@
         stored.record.as_ref().map(|record| (record, stored.version))
     }
 
-    /// Claims that are over, with their records' versions.
+    /// Finished claims, with their records' versions.
     pub fn finished(&self) -> impl Iterator<Item = (&ClaimId, u64)> {
         let is_finished = |stored: &&StoredClaim| {
             matches!(stored.record, Some(ClaimRecord::Withdrawn | ClaimRecord::Done))
--- a/crates/stonewheel-lending/src/executor/api.rs
+++ b/crates/stonewheel-lending/src/executor/api.rs
@@ -1,4 +1,4 @@
-//! What an executor takes and answers.
+//! Types of the executor's interface.
 
 use thiserror::Error;
 
@@ -34,10 +34,10 @@
     Unknown,
 }
 
-/// Where a claim stands.
+/// The status of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStatus {
-    /// Nobody asked for it, or it was forgotten.
+    /// It was never submitted, or its record was deleted.
     Unknown,
     /// It was withdrawn, or its work is complete.
     Finished,
--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -71,7 +71,7 @@
             self.spawn_call(stop, epoch, order.machine.clone(), Call::Order(order));
         }
         for machine in silent {
-            warn!(%machine, "silent past its lease: returned");
+            warn!(%machine, "worker lease expired, returning machine");
             self.spawn_call(stop, epoch, machine, Call::Retire);
         }
     }
@@ -94,7 +94,7 @@
         let mut counters = lock(&self.counters);
         counters.ended_saves += 1;
         counters.lost_work_s += run.map_or(0.0, |run| run.unsaved_s);
-        warn!(machine = %order.machine, loan = ?order.loan, "a save outlasts its grace: ended");
+        warn!(machine = %order.machine, loan = ?order.loan, "grace period exceeded, ending checkpoint");
     }
 
     fn spawn_call(
@@ -121,7 +121,7 @@
         };
         let outcome = outcome.unwrap_or_else(|_| Err(HostError::Unavailable("no answer".into())));
         if let Err(error) = &outcome {
-            debug!(%machine, %error, "a call to a machine");
+            debug!(%machine, %error, "machine call failed");
         }
         let mut held = lock(&self.term);
         let Some(term) = held.as_mut().filter(|term| term.observations.epoch == epoch) else {
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -1,4 +1,4 @@
-//! The holder plans and writes.
+//! Planning, and writing what was planned.
 
 use std::collections::HashMap;
 
@@ -23,7 +23,7 @@
 const TRANSACTIONS_A_PLAN: usize = 4;
 /// What a transaction may take, in bytes; the rest of its limit is for conditions.
 const TRANSACTION_BYTES: usize = 48 * 1024;
-/// Records of claims that are over are kept for so many bounds.
+/// Records of finished claims are kept for so many reclaim bounds.
 const KEPT_BOUNDS: u32 = 4;
 
 /// What is to be written.
@@ -82,13 +82,13 @@
             if *reason != WaitReason::Served {
                 term.waits_since.entry(claim.clone()).or_insert(now);
                 if term.reasons.get(claim) != Some(reason) {
-                    info!(%claim, ?reason, "waits");
+                    info!(%claim, ?reason, "claim waiting");
                 }
             } else if let Some(since) = term.waits_since.remove(claim) {
                 let waited = now - since;
                 counters.served += 1;
                 counters.longest_wait = counters.longest_wait.max(waited);
-                info!(%claim, waited_s = waited.as_secs_f64(), "has all its machines");
+                info!(%claim, waited_s = waited.as_secs_f64(), "claim served");
             }
         }
         term.waits_since.retain(|claim, _| plan.reasons.contains_key(claim));
@@ -113,7 +113,7 @@
                 transitions.extend(write.transitions);
             }
             if let Err(error) = self.commit(conditions, writes).await {
-                debug!(%error, "the ledger was not written");
+                debug!(%error, "ledger write failed");
                 return false;
             }
             self.record_transitions(&transitions);
@@ -131,13 +131,13 @@
         let conditions = vec![fence.clone(), Condition { key, version }];
         let written = self.commit(conditions, vec![write]).await;
         if written.is_ok() {
-            info!(%claim, "done");
+            info!(%claim, "claim completed");
         }
         written.is_ok()
     }
 
-    /// Deletes the records of claims that have been over for long: nothing of them can
-    /// still be on its way.
+    /// Deletes the records of claims that finished long ago: no submission of them can still
+    /// be in flight.
     async fn delete_finished(&self, fence: &Condition) -> bool {
         let now = Instant::now();
         let kept = self.bounds.reclaim * KEPT_BOUNDS;
@@ -172,7 +172,7 @@
         counters.transactions += 1;
         for Transition { machine, after } in transitions {
             let Some(entry) = after else {
-                info!(%machine, "available");
+                info!(%machine, "machine available");
                 continue;
             };
             match entry.state {
@@ -183,7 +183,7 @@
             }
             let why = entry.history.last().map(|change| change.why);
             let (claim, state, loan) = (&entry.claim, entry.state, entry.loan);
-            info!(%machine, %claim, ?state, ?why, ?loan, claimant = ?entry.claimant, "loan");
+            info!(%machine, %claim, ?state, ?why, ?loan, claimant = ?entry.claimant, "loan changed");
         }
     }
 }
--- a/crates/stonewheel-lending/src/executor/state.rs
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -106,7 +106,7 @@
         self.coordinator.commit_under(session, conditions, writes).await
     }
 
-    /// What is known of an earlier term says nothing in this one.
+    /// Begins a term with empty state: that of an earlier one is not valid any more.
     pub(super) fn begin_term(&self, holder: &HolderRecord) {
         let mut term = lock(&self.term);
         if term.as_ref().is_some_and(|term| term.observations.epoch == holder.epoch) {
--- a/crates/stonewheel-lending/src/executor/submission.rs
+++ b/crates/stonewheel-lending/src/executor/submission.rs
@@ -1,4 +1,4 @@
-//! Claims, taken at any controller, and where they stand.
+//! Submission, withdrawal and status of claims, at any controller.
 
 use stonewheel_coordination::put;
 use stonewheel_protocol::Condition;
@@ -13,7 +13,7 @@
     holder::{HOLDER_KEY, HolderRecord},
 };
 
-/// How often an unsure write of a claim is looked for.
+/// How often a write of a claim with an unknown outcome is tried.
 const CLAIM_TRIES: u32 = 8;
 
 /// What a claim's record leaves to do.
@@ -27,7 +27,7 @@
 }
 
 impl Executor {
-    /// Asks for machines. When this returns the claim stands, whatever becomes of this
+    /// Submits a claim. When this returns it is durable, whatever becomes of this
     /// controller. A repeat has no further effect.
     pub async fn submit(&self, id: &str, claim: &Claim) -> Result<(), ClaimFailure> {
         claim.check(id, &self.settings)?;
@@ -40,7 +40,7 @@
         .await
     }
 
-    /// Asks for them no more. A submission that is still on its way has no effect
+    /// Withdraws a claim. A submission that is still on its way has no effect
     /// afterwards.
     pub async fn withdraw(&self, id: &str) -> Result<(), ClaimFailure> {
         self.write_claim(id, &ClaimRecord::Withdrawn, |held| match held {
@@ -82,7 +82,7 @@
         Err(ClaimFailure::Unknown)
     }
 
-    /// Where a claim stands.
+    /// The status of a claim.
     pub fn status(&self, id: &str) -> ClaimStatus {
         let records = self.coordinator.records();
         match records.get::<ClaimRecord>(&claim_key(id)).map(|held| held.value) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Claims that stand, as last read.
+    /// Active claims, as last read.
     pub fn active_claims(&self) -> Vec<ActiveClaim> {
         lock(&self.claims).active().to_vec()
     }
--- a/crates/stonewheel-lending/src/executor/term.rs
+++ b/crates/stonewheel-lending/src/executor/term.rs
@@ -1,4 +1,4 @@
-//! One step after the other: who holds the ledger, and what the holder does.
+//! The executor's loop: acquiring and releasing the ledger, and the steps of its holder.
 
 use std::sync::Arc;
 
@@ -15,17 +15,17 @@
     ledger::shard_count,
 };
 
-/// Steps are at least this part of a look apart.
+/// Steps are at least this part of a probe interval apart.
 const STEPS_PER_INTERVAL: u32 = 8;
 
 impl Executor {
-    /// Runs until told to stop.
+    /// Runs until it is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         tokio::select! {
             () = self.clone().drive(&stop) => {}
             () = stop.cancelled() => {}
         }
-        info!(counters = %self.counters(), "lending ends");
+        info!(counters = %self.counters(), "lending stopped");
     }
 
     async fn drive(self: Arc<Self>, stop: &CancellationToken) {
@@ -79,9 +79,9 @@
         };
         let condition = Condition { key: HOLDER_KEY.into(), version: held.version };
         match self.commit(vec![condition], vec![write]).await {
-            Ok(_) => info!(epoch = held.value.epoch, "gives the ledger back"),
+            Ok(_) => info!(epoch = held.value.epoch, "ledger released"),
             Err(error) => {
-                debug!(%error, "the ledger was not given back");
+                debug!(%error, "ledger release failed");
                 self.coordinator.refresh().await;
             }
         }
@@ -100,9 +100,9 @@
         let condition = Condition { key: HOLDER_KEY.into(), version };
         let Ok(write) = put(HOLDER_KEY.into(), &next, None) else { return };
         match self.commit(vec![condition], vec![write]).await {
-            Ok(_) => info!(epoch = next.epoch, shards = next.shards, "holds the ledger"),
+            Ok(_) => info!(epoch = next.epoch, shards = next.shards, "ledger acquired"),
             Err(error) => {
-                debug!(%error, "the ledger was not adopted");
+                debug!(%error, "ledger acquisition failed");
                 self.coordinator.refresh().await;
             }
         }
@@ -113,8 +113,8 @@
         let asked = timeout(self.settings.times.order_timeout(), self.host.observe(epoch)).await;
         let observation = match asked {
             Ok(Ok(observation)) => observation,
-            Ok(Err(error)) => return debug!(%error, "machines can't be observed"),
-            Err(_) => return debug!("machines were not observed in time"),
+            Ok(Err(error)) => return debug!(%error, "machine observation failed"),
+            Err(_) => return debug!("machine observation timed out"),
         };
         if !self.session_valid() {
             return;
--- a/crates/stonewheel-lending/src/host.rs
+++ b/crates/stonewheel-lending/src/host.rs
@@ -1,4 +1,4 @@
-//! What machines report, and what they are ordered to do.
+//! The interface to the machines: their reports, and orders to them.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
     Done,
     /// It was stopped, and its progress is safe.
     Saved,
-    /// It was stopped, or its gang lost a machine: it goes on from its last checkpoint.
+    /// It was stopped, or its gang lost a machine: it resumes from its last checkpoint.
     Lost,
     /// It could not be started on this machine.
     Failed,
@@ -65,7 +65,7 @@
     pub tick: u64,
     /// The highest token that it has seen: it refuses orders with a lower one.
     pub token: u64,
-    /// How long ago it was heard.
+    /// Time since its last heartbeat.
     pub silent: Duration,
     /// It will be taken back.
     pub leaving: bool,
@@ -74,7 +74,7 @@
 }
 
 /// Revocable work outside its team's guarantee that a scheduler placed on a machine
-/// without asking: a loan that has no entry yet.
+/// without a claim: a loan that has no entry yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnmanagedWorkload {
     /// The machine.
@@ -147,7 +147,7 @@
     Unavailable(String),
 }
 
-/// Speaks to the machines.
+/// Observes the machines, and sends orders to them.
 pub trait MachineHost: Send + Sync {
     /// Whether this controller can reach the machines now: if not it doesn't hold the
     /// ledger.
@@ -155,7 +155,7 @@
         true
     }
 
-    /// What the machines' heartbeats told, answered under this token.
+    /// The machines' latest heartbeats, which are answered under this token.
     fn observe(&self, token: u64) -> BoxFuture<'_, Result<Observation, HostError>>;
 
     /// Gives an order.
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -54,7 +54,7 @@
         Self { shards, value_bytes, ..Self::default() }
     }
 
-    /// Takes over what the records say.
+    /// Takes over the current records.
     pub fn refresh(&mut self, records: &Records) {
         for number in 0..self.shards.len() {
             let key = shard_key(number as u32);
@@ -78,7 +78,7 @@
                 self.entries.extend(entries);
             }
             None if version > 0 => {
-                error!(shard = number, "can't be read: its machines stay as they are")
+                error!(shard = number, "ledger shard unreadable, its machines are left unchanged")
             }
             None => {}
         }
@@ -94,7 +94,7 @@
         self.unreadable
     }
 
-    /// Whether a machine's shard can be read: of others nothing is known.
+    /// Whether a machine's shard can be read. Without it, the machine may have an entry.
     pub fn knows(&self, machine: &str) -> bool {
         let number = shard_of(machine, self.shards()) as usize;
         self.shards.get(number).is_some_and(|stored| !stored.is_unreadable())
@@ -151,7 +151,7 @@
             if shard.set(&change, self.value_bytes) {
                 transitions.push(change);
             } else {
-                error!(shard = number, machine = %change.machine, "no room for another entry");
+                error!(shard = number, machine = %change.machine, "ledger shard full");
             }
         }
         let key = shard_key(number);
@@ -162,7 +162,7 @@
         Ok(ShardWrite { condition, write, transitions })
     }
 
-    /// Makes a change here alone, as a simulation of what is pure does.
+    /// Makes a change in memory only, for plans and simulations.
     pub fn set(&mut self, transition: &Transition) {
         match &transition.after {
             Some(entry) => self.entries.insert(transition.machine.clone(), entry.clone()),
--- a/crates/stonewheel-lending/src/lib.rs
+++ b/crates/stonewheel-lending/src/lib.rs
@@ -2,8 +2,8 @@
 //! guarantee.
 //!
 //! [`claim`] is what work asks for; [`ledger`] holds who has which machine, durably;
-//! [`accounts`] and [`planner`] are pure and say what changes; [`orders`] says what the
-//! machines are told; an [`Executor`] at each controller takes claims, and that of the
+//! [`accounts`] and [`planner`] are pure and say what changes; [`orders`] derives the
+//! orders to machines; an [`Executor`] at each controller takes claims, and that of the
 //! holder carries all of it out. `docs/design/lending.md` defines a kept guarantee.
 
 #![warn(missing_docs)]
--- a/crates/stonewheel-lending/src/observations.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -1,4 +1,5 @@
-//! What the holder saw of the machines, and since when. A successor begins with nothing.
+//! What the holder of the ledger observed of the machines. A successor begins with
+//! nothing.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -14,19 +15,19 @@
     settings::Times,
 };
 
-/// A machine that was not heard for so many looks isn't given out.
+/// A machine without a heartbeat for so many probe intervals counts as unreachable.
 const STALE_INTERVALS: u32 = 3;
-/// A machine that failed a start isn't given out for so many leases.
+/// A machine that failed a start is quarantined for so many worker leases.
 const QUARANTINE_LEASES: u32 = 10;
 
-/// A machine's latest report, and when the machine was heard.
+/// A machine's latest report, and when the machine sent it.
 #[derive(Debug)]
 struct ReceivedReport {
     report: MachineReport,
     received_at: Instant,
 }
 
-/// What one holder saw.
+/// What one holder observed during its term.
 #[derive(Debug)]
 pub(crate) struct MachineObservations {
     times: Times,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Takes in what machines reported.
+    /// Records the reports of the machines.
     pub fn record(&mut self, observation: Observation, now: Instant) {
         self.gone = observation.gone;
         for report in observation.reports {
@@ -90,7 +91,7 @@
         self.gone.union(&self.retired).cloned().collect()
     }
 
-    /// Notes since when each loan is in its state.
+    /// Records since when each loan is in its state.
     pub fn track_loans(&mut self, ledger: &Ledger, now: Instant) {
         let mut since = HashMap::with_capacity(ledger.len());
         for (_, entry) in ledger.entries() {
@@ -102,7 +103,7 @@
         self.halted.retain(|loan| live.contains_key(loan));
     }
 
-    /// How long a loan has been in its state, as far as this holder saw.
+    /// How long a loan has been in its state, as far as this holder observed.
     pub fn age(&self, entry: &Entry, now: Instant) -> Duration {
         let since = self.since.get(&entry.loan).filter(|(state, _)| *state == entry.state);
         since.map_or(Duration::ZERO, |(_, since)| now.saturating_duration_since(*since))
@@ -144,19 +145,19 @@
         &self.halted
     }
 
-    /// Notes that a halt is about to leave: it may take effect whatever its answer.
+    /// Records that a halt is about to be sent: it may take effect whatever its answer.
     pub fn record_halt(&mut self, loan: LoanId) {
         self.halted.insert(loan);
     }
 
-    /// Whether a call to a machine may leave now; notes that it does.
+    /// Whether a call to a machine may begin now; if so it is recorded as in flight.
     pub fn begin_call(&mut self, machine: &MachineName, most: usize, now: Instant) -> bool {
         let due = self.backoffs.get(machine).is_none_or(|backoff| backoff.due(now));
         let free = self.in_flight.len() < most && !self.in_flight.contains(machine);
         due && free && self.in_flight.insert(machine.clone())
     }
 
-    /// Notes how a call ended.
+    /// Records how a call ended.
     pub fn end_call(&mut self, machine: &MachineName, failed: bool, rng: &mut StdRng) {
         self.in_flight.remove(machine);
         if failed {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Notes that a machine's return was answered.
+    /// Records that a machine's return was answered.
     pub fn record_retired(&mut self, machine: MachineName) {
         self.reports.remove(&machine);
         self.retired.insert(machine);
--- a/crates/stonewheel-lending/src/orders.rs
+++ b/crates/stonewheel-lending/src/orders.rs
@@ -1,4 +1,4 @@
-//! What machines are told: pure, from the ledger as committed and what machines reported.
+//! Orders to machines: pure, from the ledger as committed and what machines reported.
 //! Every order follows from an entry, is repeated until reports show its effect, and has
 //! it once.
 
@@ -19,7 +19,7 @@
 pub struct OrderInput<'a> {
     /// The operators' settings.
     pub settings: &'a LendingSettings,
-    /// Claims that stand.
+    /// Active claims.
     pub claims: &'a [ActiveClaim],
     /// The ledger as committed.
     pub ledger: &'a Ledger,
@@ -77,7 +77,7 @@
     Some(Order { machine, session, token: input.epoch, loan: entry.loan, kind })
 }
 
-/// Runs that the ledger knows nothing of.
+/// Ends of runs that have no entry in the ledger.
 fn ends_of_unmanaged_runs(input: &OrderInput<'_>) -> Vec<Order> {
     let unmanaged_end = |(machine, view): (&MachineName, &MachineView)| {
         let run = view.run.as_ref().filter(|_| view.confirmed)?;
@@ -169,8 +169,8 @@
     order(input, machine, entry, OrderKind::Halt { grace })
 }
 
-/// A save that takes longer than its grace period is ended; a machine that has forgotten
-/// its halt is told again.
+/// A checkpoint that exceeds its grace period is ended; a machine that has lost its halt
+/// is sent it again.
 fn end(input: &OrderInput<'_>, machine: &MachineName, entry: &Entry) -> Option<Order> {
     let view = input.machines.get(machine)?;
     let state = view.live_run(entry.loan).map(|run| run.state);
--- a/crates/stonewheel-lending/src/planner/lend.rs
+++ b/crates/stonewheel-lending/src/planner/lend.rs
@@ -1,4 +1,4 @@
-//! Claims outside their guarantees: what is free beyond the reserve.
+//! Claims outside their guarantees: they are lent free machines beyond the reserve.
 
 use super::{model::WaitReason, plan_builder::PlanBuilder, settle::release_incomplete_gang};
 use crate::{
@@ -22,7 +22,7 @@
     }
 }
 
-/// After losses, outside work that can't be stopped may stand on what covers a guarantee.
+/// After losses, outside work that can't be stopped may occupy machines that cover a guarantee.
 /// It keeps what it runs on; where it doesn't run it isn't started (again).
 fn reclaim_uncovered(builder: &mut PlanBuilder<'_>) {
     let guaranteed = builder.input.settings.guaranteed();
@@ -91,7 +91,7 @@
 }
 
 fn give(builder: &mut PlanBuilder<'_>, at: usize, revocable: bool) {
-    // From the far end: claims inside their guarantees take the near one.
+    // From the last machine on: claims inside their guarantees take the first ones.
     let Some(machine) = builder.free.pop_last() else { return };
     let active = builder.active(at);
     let (team, id) = (active.claim.team.clone(), active.id.clone());
--- a/crates/stonewheel-lending/src/planner/mod.rs
+++ b/crates/stonewheel-lending/src/planner/mod.rs
@@ -1,8 +1,8 @@
-//! What changes in the ledger next: pure, from claims, ledger and observations.
+//! The planner: what changes in the ledger next. It is pure, from claims, ledger and observations.
 //!
 //! One plan settles what is over, then serves claims inside their guarantees, and lends
-//! what is left. It may be made again at any time: what it can't finish now it goes on
-//! with the next time.
+//! what is left. It may be repeated at any time: what it can't finish now is
+//! continued by the next one.
 
 mod lend;
 mod model;
--- a/crates/stonewheel-lending/src/planner/model.rs
+++ b/crates/stonewheel-lending/src/planner/model.rs
@@ -1,4 +1,4 @@
-//! What a plan is made from, and what it says.
+//! The input of the planner, and the plan.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -17,20 +17,20 @@
     pub zone: u8,
     /// Its present session.
     pub session: u64,
-    /// Heard lately.
+    /// It has sent a heartbeat lately.
     pub reachable: bool,
     /// Its latest report answers the holder's own token, so it refuses earlier holders.
     pub confirmed: bool,
     /// It will be taken back.
     pub leaving: bool,
-    /// It failed a start a short while ago.
+    /// It failed a start a short while ago, and gets no loans until later.
     pub quarantined: bool,
     /// The latest run on it.
     pub run: Option<RunReport>,
 }
 
 impl MachineView {
-    /// Whether it counts: it was heard, and stays.
+    /// Whether it counts as capacity: it is reachable and is not leaving.
     pub fn usable(&self) -> bool {
         self.reachable && !self.leaving
     }
@@ -41,7 +41,7 @@
         run.loan > loan || (run.loan == loan && matches!(run.state, RunState::Ended(_)))
     }
 
-    /// The run of a loan, if it goes on.
+    /// The run of a loan, unless it has ended.
     pub fn live_run(&self, loan: LoanId) -> Option<&RunReport> {
         let ended = |run: &&RunReport| matches!(run.state, RunState::Ended(_));
         self.run.as_ref().filter(|run| run.loan == loan).filter(|run| !ended(run))
@@ -61,7 +61,7 @@
 pub struct PlannerInput<'a> {
     /// The operators' settings.
     pub settings: &'a LendingSettings,
-    /// Claims that stand, in admission order.
+    /// Active claims, in admission order.
     pub claims: &'a [ActiveClaim],
     /// The ledger as committed.
     pub ledger: &'a Ledger,
--- a/crates/stonewheel-lending/src/planner/plan_builder.rs
+++ b/crates/stonewheel-lending/src/planner/plan_builder.rs
@@ -1,4 +1,4 @@
-//! The ledger as it will be after the changes planned so far.
+//! A plan in the making: the ledger as it will be after the changes planned so far.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,6 +9,7 @@
     ledger::{Entry, LoanId, Transition, TransitionError},
 };
 
+/// Collects changes and wait reasons, and keeps the accounts consistent with them.
 pub(super) struct PlanBuilder<'a> {
     pub input: &'a PlannerInput<'a>,
     pub accounts: Accounts,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Whether enough changes at once already.
+    /// Whether the plan has as many changes as one plan may begin.
     pub fn is_full(&self) -> bool {
         self.changed.len() >= self.input.max_changes
     }
@@ -104,7 +105,7 @@
         self.reasons.insert(self.input.claims[at].id.clone(), reason);
     }
 
-    /// Machines that a claim still asks for.
+    /// Machines that a claim still lacks.
     pub fn missing_machines(&self, at: usize) -> u32 {
         let account = &self.accounts.claims[at];
         let has = account.held.len() + account.leaving.len() + account.coming.len();
--- a/crates/stonewheel-lending/src/planner/serve.rs
+++ b/crates/stonewheel-lending/src/planner/serve.rs
@@ -29,8 +29,8 @@
     short
 }
 
-/// What became free meanwhile takes the place of what is still to be reclaimed, so that
-/// requests whose halt has not left can be withdrawn.
+/// Grants machines that became free in place of those still to be reclaimed, so that
+/// requests whose halt has not been sent can be withdrawn.
 fn prefer_free_machines(builder: &mut PlanBuilder<'_>, at: usize) {
     let coming: Vec<MachineName> = builder.accounts.claims[at].coming.iter().cloned().collect();
     for machine in coming {
@@ -100,19 +100,19 @@
     }
 }
 
-/// Machines that are on their way for nobody are as good as a reclaim, and cost nothing.
+/// Takes over reclaims without a claimant: they need no further victims.
 fn take_unclaimed(builder: &mut PlanBuilder<'_>, at: usize, need: u32) -> u32 {
     if need == 0 {
         return 0;
     }
     let input = builder.input;
-    let on_their_way = builder.accounts.unclaimed.iter().filter(|machine| {
+    let unclaimed = builder.accounts.unclaimed.iter().filter(|machine| {
         let others = builder.entry(machine).is_some_and(|e| e.claim != builder.active(at).id);
         others && input.machines.get(*machine).is_some_and(|v| v.usable() && !v.quarantined)
     });
-    let on_their_way: Vec<MachineName> = on_their_way.take(need as usize).cloned().collect();
+    let unclaimed: Vec<MachineName> = unclaimed.take(need as usize).cloned().collect();
     let mut taken = 0;
-    for machine in on_their_way {
+    for machine in unclaimed {
         let Some(entry) = builder.entry(&machine).cloned() else { continue };
         let active = builder.active(at);
         if builder.headroom(at) == 0 && entry.borrower != active.claim.team {
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -1,5 +1,5 @@
-//! What is over: releases on proof, machines that are gone, work that is to stop, requests
-//! that nobody needs any more.
+//! What has ended: releases on proof of termination, machines that are gone, work that is
+//! to stop, and requests without a claimant.
 
 use std::collections::BTreeSet;
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// A gang that can't be whole now holds nothing: its machines may serve others.
+/// A gang that can't have all its machines now holds none: they may serve other claims.
 pub(super) fn release_incomplete_gang(builder: &mut PlanBuilder<'_>, at: usize) {
     let held = builder.accounts.claims[at].held.clone();
     for machine in held {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Whether any of these machines was told to start its loan: a gang whose entries are
+/// Whether any of these machines was ordered to start its loan: a gang whose entries are
 /// still being written has not.
 fn started(builder: &PlanBuilder<'_>, held: &BTreeSet<MachineName>) -> bool {
     held.iter().any(|machine| {
@@ -134,8 +134,8 @@
     builder.input.settings.times.grace_period().as_millis() as u64
 }
 
-/// Machines that come for a claim which needs them no more. Whole runs whose halt has
-/// not left go on; the others are released for whoever comes next.
+/// Removes the claimant from machines that its claim no longer needs. Whole runs whose
+/// halt has not been sent continue; the others are released for the next claimant.
 fn release_excess_claimants(builder: &mut PlanBuilder<'_>, at: usize, is_done: bool) {
     let account = &builder.accounts.claims[at];
     let asked = builder.active(at).claim.machines as usize;
@@ -153,8 +153,8 @@
     }
 }
 
-/// Runs that are to be stopped for nobody, or that came inside their guarantee, go on
-/// if no halt has left for them.
+/// Runs whose reclaim has no claimant, or that are now inside their guarantee, continue if
+/// no halt has been sent for them.
 pub(super) fn withdraw_requests(builder: &mut PlanBuilder<'_>) {
     for at in 0..builder.input.claims.len() {
         let account = &builder.accounts.claims[at];
--- a/crates/stonewheel-lending/src/planner/victims.rs
+++ b/crates/stonewheel-lending/src/planner/victims.rs
@@ -1,4 +1,5 @@
-//! Which runs are stopped for a claim: whole ones, with the least lost work.
+//! Victim selection: which runs are preempted for a claim. Whole ones, with the least lost
+//! work.
 
 use super::plan_builder::PlanBuilder;
 use crate::{
@@ -101,7 +102,7 @@
     }
 }
 
-/// Takes out what is not needed after all, dearest first.
+/// Removes victims that are not needed after all, those with the most lost work first.
 fn put_back(
     builder: &PlanBuilder<'_>,
     at: usize,
@@ -140,7 +141,7 @@
     ranked
 }
 
-/// Seconds of work that stopping a run loses, a machine. A machine that was not heard
+/// Seconds of work that stopping a run loses, a machine. An unreachable machine
 /// may take its lease's time to be proven empty, and counts as that.
 fn loss_s<'a>(
     builder: &PlanBuilder<'_>,
--- a/crates/stonewheel-lending/src/reserve.rs
+++ b/crates/stonewheel-lending/src/reserve.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is known of one team's demand inside its guarantee.
+/// The recent demand of one team inside its guarantee.
 #[derive(Clone, Debug, Default)]
 struct Demand {
     now: u32,
@@ -40,7 +40,7 @@
     rise: WindowMaximum,
 }
 
-/// Learns how many machines each team may soon ask for.
+/// Estimates how many machines each team may soon claim.
 #[derive(Clone, Debug)]
 pub(crate) struct Reserve {
     settle: Duration,
@@ -56,7 +56,7 @@
         Self { settle, memory, reclaim, teams: BTreeMap::new() }
     }
 
-    /// Notes what each team's claims inside its guarantee ask for now.
+    /// Records what each team's claims inside its guarantee ask for now.
     pub fn record(&mut self, now: Instant, entitlements: &BTreeMap<TeamName, u32>) {
         for (team, asked) in entitlements {
             let demand = self.teams.entry(team.clone()).or_default();
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Validate)]
 #[garde(allow_unvalidated)]
 pub struct Times {
-    /// How often machines are looked at.
+    /// Seconds between two probes of the machines.
     #[garde(range(min = 0.001, max = 1e4))]
     pub look_s: f64,
     /// How long an order to a machine may take.
     #[garde(range(min = 0.001, max = 1e4))]
     pub order_s: f64,
-    /// How long stopped work may save. What takes longer is never lent another's machine.
+    /// How long stopped work may save. Work that takes longer is lent no machine of another team.
     #[garde(range(max = 1e5), custom(at_least("look_s", self.look_s)))]
     pub grace_s: f64,
     /// How long a machine may be silent before it is returned.
@@ -51,10 +51,10 @@
     pub expected_machines: f64,
 }
 
-/// What a team was promised, and may use at most, in machines.
+/// A team's guarantee and limit, in machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Machines that it gets within the bound, whenever it asks.
+    /// Machines that it gets within the bound, whenever it claims them.
     pub guarantee: u32,
     /// Machines that its work uses at the most.
     pub ceiling: u32,
@@ -88,7 +88,7 @@
 }
 
 fn general(mut section: Section<'_>) -> Result<Times, FieldError> {
-    /// Machines that a ledger is laid out for if nobody says.
+    /// Machines that a ledger is laid out for by default.
     const USUAL_MACHINES: f64 = 4000.0;
     let look_s = section.number("look_s", Some(1.0))?;
     let grace_s = section.number("grace_s", None)?;
@@ -134,7 +134,7 @@
 }
 
 impl Times {
-    /// How often machines are looked at.
+    /// Seconds between two probes of the machines.
     pub fn probe_interval(&self) -> Duration {
         Duration::from_secs_f64(self.look_s)
     }
--- a/crates/stonewheel-lending/src/unmanaged.rs
+++ b/crates/stonewheel-lending/src/unmanaged.rs
@@ -1,4 +1,5 @@
-//! Work that a scheduler placed on machines without asking is as good as lent there.
+//! Unmanaged workloads: work that a scheduler placed on a machine without a claim. For a
+//! plan it counts as a loan of that machine.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +10,24 @@
     planner::MachineView,
 };
 
-/// No claim's id begins so: it has a character that names don't have.
+/// The ids of claims for unmanaged workloads begin with this, and no other: names don't
+/// have a colon. Ids are stored with the loans that are reclaimed, so it never changes.
 const PREFIX: &str = "resident:";
 
-/// Whether a claim stands for work that a scheduler placed.
+/// Whether a claim represents an unmanaged workload.
 pub(crate) fn is_unmanaged(claim: &str) -> bool {
     claim.starts_with(PREFIX)
 }
 
-/// What a plan is made from, residents included.
+/// Claims and ledger for a plan, unmanaged workloads included.
 pub(crate) struct CombinedState {
     pub claims: Vec<ActiveClaim>,
     pub ledger: Ledger,
     pub next_number: u64,
 }
 
-/// Adds a claim outside all guarantees and a loan for each resident of a machine that
-/// has no entry. `next_number`: the number of the holder's next loan.
+/// Adds a claim outside all guarantees and a loan for each unmanaged workload on a machine
+/// that has no entry. `next_number`: the number of the holder's next loan.
 pub(crate) fn combine(
     claims: &[ActiveClaim],
     ledger: &Ledger,
@@ -54,7 +56,7 @@
         });
         let entry = Entry::lend(loan, None, workload.team.clone(), claim.clone(), Why::Free);
         combined.ledger.set(&Transition { machine: machine.clone(), after: Some(entry) });
-        // Of no team that was promised anything, so outside, and after all others.
+        // Of a team without a guarantee, so outside of one, and after all others.
         let (team, work) = (TeamName::from(""), workload.work);
         let claim_of_it = Claim { team, machines: 1, gpus: 0.0, work };
         combined.claims.push(ActiveClaim { id: claim, claim: claim_of_it, order: u64::MAX });
--- a/src/lending.rs
+++ b/src/lending.rs
@@ -1,6 +1,6 @@
-//! Lending onto the scheduler: jobs inside their team's guarantee that wait for room claim
-//! machines on which others' batch runs. The leader alone holds the ledger: it knows its
-//! machines, and its records prove that work is gone.
+//! The adapter of lending onto the scheduler: jobs inside their team's guarantee that wait for room claim
+//! machines on which others' batch runs. The leader alone holds the ledger: it observes its
+//! machines, and its records prove that work has terminated.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -31,14 +31,14 @@
     scheduler::Reservation,
 };
 
-/// The ledger is looked at so many times within a look.
+/// The ledger is read so many times within a probe interval.
 const REFRESH_PARTS: u32 = 4;
-/// Jobs have waited for so many looks before machines are reclaimed for them: most find
+/// Jobs have waited for so many probe intervals before machines are reclaimed for them: most find
 /// room by themselves.
-const WAITED_LOOKS: u32 = 4;
+const MIN_WAITED_INTERVALS: u32 = 4;
 
-/// What stands between a job and the number of its claim, in the claim's id.
-const NUMBER_MARK: char = '.';
+/// Separates the job from the number of its claim, in the claim's id.
+const CLAIM_NUMBER_SEPARATOR: char = '.';
 
 /// The leader's machines.
 struct SchedulerMachines {
@@ -65,7 +65,7 @@
 
     fn view(&self) -> Option<LendingView> {
         let times = &self.settings.times;
-        self.node.lending_view(times.grace_s, times.probe_interval() * WAITED_LOOKS)
+        self.node.lending_view(times.grace_s, times.probe_interval() * MIN_WAITED_INTERVALS)
     }
 
     fn observation(&self, view: &LendingView, token: u64) -> Observation {
@@ -89,7 +89,7 @@
                 });
             }
         }
-        // Before it has heard its machines an absence says nothing.
+        // Until the leader has received its machines' heartbeats an absence proves nothing.
         if view.settled {
             let entries = ledger.entries().map(|(machine, _)| machine);
             let gone = entries.filter(|machine| !view.machines.contains_key(*machine));
@@ -125,7 +125,7 @@
     let waits = |claim: &str| view.waiting.iter().any(|job| *job.id == *job_of(claim));
     let others = match &entry.claimant {
         Some(claimant) => seen.jobs.iter().any(|job| **job != *job_of(claimant)),
-        // Nobody waits for it: whatever runs there goes on.
+        // Without a claimant whatever runs there continues.
         None => false,
     };
     let state = match entry.state {
@@ -192,12 +192,12 @@
 }
 
 impl Lending {
-    /// The executor, for questions.
+    /// The executor, for the status of claims.
     pub fn executor(&self) -> &Arc<Executor> {
         &self.executor
     }
 
-    /// Runs until told to stop.
+    /// Runs until it is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let executor = self.executor.clone().run(stop.clone());
         tokio::select! {
@@ -234,13 +234,13 @@
             let (id, team) = (self.next_claim(&job.id), job.team.clone());
             let claim = Claim { team, machines: job.machines, gpus: job.gpus, work: Work::Serving };
             if let Err(error) = self.executor.submit(&id, &claim).await {
-                debug!(job = %job.id, %error, "no claim");
+                debug!(job = %job.id, %error, "claim submission failed");
             }
         }
         let waits = |job: &JobId| view.waiting.iter().any(|waiting| waiting.id == *job);
         for (job, id) in active.iter().filter(|(job, _)| !waits(job)) {
             if let Err(error) = self.executor.withdraw(id).await {
-                debug!(%job, %error, "a claim stands on");
+                debug!(%job, %error, "claim withdrawal failed");
             }
         }
     }
@@ -264,7 +264,7 @@
 
     /// A job may wait again after its claim was withdrawn: then it makes another one.
     fn next_claim(&self, job: &str) -> String {
-        let ids = (0_u64..).map(|number| format!("{job}{NUMBER_MARK}{number}"));
+        let ids = (0_u64..).map(|number| format!("{job}{CLAIM_NUMBER_SEPARATOR}{number}"));
         let is_over = |id: &String| self.executor.status(id) == ClaimStatus::Finished;
         let mut unused = ids.skip_while(is_over);
         unused.next().unwrap_or_default()
@@ -273,7 +273,7 @@
 
 /// The job that a claim was made for.
 fn job_of(claim: &str) -> &str {
-    claim.rsplit_once(NUMBER_MARK).map_or(claim, |(job, _)| job)
+    claim.rsplit_once(CLAIM_NUMBER_SEPARATOR).map_or(claim, |(job, _)| job)
 }
 
 /// Lending on this controller, if the operators' settings switch it on.
