--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -2,6 +2,7 @@
 
 mod entry;
 mod shard;
+mod transition;
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,18 +12,11 @@
 use tracing::error;
 
 pub use entry::{Change, Entry, HISTORY, LoanId, LoanState, TransitionError, Why};
-pub use shard::{ENTRY_BYTES, MAX_NAME_BYTES, Shard, shard_count, shard_key, shard_of};
+pub use shard::{ENTRY_BYTES, Shard, shard_count, shard_key, shard_of};
+pub use transition::Transition;
 
-use crate::claim::MachineName;
-
-/// One machine's change.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Transition {
-    /// The machine.
-    pub machine: MachineName,
-    /// Its entry afterwards; none: it is available.
-    pub after: Option<Entry>,
-}
+pub use crate::names::MAX_NAME_BYTES;
+use crate::names::MachineName;
 
 /// A shard as last read.
 #[derive(Clone, Debug, Default)]
@@ -60,7 +54,7 @@
         Self { shards, value_bytes, ..Self::default() }
     }
 
-    /// Takes over what the records say.
+    /// Takes over the current records.
     pub fn refresh(&mut self, records: &Records) {
         for number in 0..self.shards.len() {
             let key = shard_key(number as u32);
@@ -84,7 +78,7 @@
                 self.entries.extend(entries);
             }
             None if version > 0 => {
-                error!(shard = number, "can't be read: its machines stay as they are")
+                error!(shard = number, "ledger shard unreadable, its machines are left unchanged")
             }
             None => {}
         }
@@ -100,7 +94,7 @@
         self.unreadable
     }
 
-    /// Whether a machine's shard can be read: of others nothing is known.
+    /// Whether a machine's shard can be read. Without it, the machine may have an entry.
     pub fn knows(&self, machine: &str) -> bool {
         let number = shard_of(machine, self.shards()) as usize;
         self.shards.get(number).is_some_and(|stored| !stored.is_unreadable())
@@ -157,7 +151,7 @@
             if shard.set(&change, self.value_bytes) {
                 transitions.push(change);
             } else {
-                error!(shard = number, machine = %change.machine, "no room for another entry");
+                error!(shard = number, machine = %change.machine, "ledger shard full");
             }
         }
         let key = shard_key(number);
@@ -168,7 +162,7 @@
         Ok(ShardWrite { condition, write, transitions })
     }
 
-    /// Makes a change here alone, as a simulation of what is pure does.
+    /// Makes a change in memory only, for plans and simulations.
     pub fn set(&mut self, transition: &Transition) {
         match &transition.after {
             Some(entry) => self.entries.insert(transition.machine.clone(), entry.clone()),
--- a/crates/stonewheel-lending/src/lib.rs
+++ b/crates/stonewheel-lending/src/lib.rs
@@ -2,8 +2,8 @@
 //! guarantee.
 //!
 //! [`claim`] is what work asks for; [`ledger`] holds who has which machine, durably;
-//! [`accounts`] and [`planner`] are pure and say what changes; [`orders`] says what the
-//! machines are told; an [`Executor`] at each controller takes claims, and that of the
+//! [`accounts`] and [`planner`] are pure and say what changes; [`orders`] derives the
+//! orders to machines; an [`Executor`] at each controller takes claims, and that of the
 //! holder carries all of it out. `docs/design/lending.md` defines a kept guarantee.
 
 #![warn(missing_docs)]
@@ -18,6 +18,7 @@
 mod holder;
 mod host;
 pub mod ledger;
+mod names;
 mod observations;
 pub mod orders;
 pub mod planner;
@@ -33,7 +34,5 @@
     Exit, HostError, MachineHost, MachineReport, Observation, Order, OrderKind, RunReport,
     RunState, UnmanagedWorkload,
 };
+pub use names::PREFIX;
 pub use settings::{LendingSettings, Team, Teams, Times, is_section, parse_sections};
-
-/// All keys of this part begin with this.
-pub const PREFIX: &str = "sp/l/";
