--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -1,4 +1,4 @@
-//! The activator of one controller: its session, its watch over the records, a duty
+//! The activator of one controller: its session, its watch over the records, a task
 //! for each model, and the way in for requests.
 
 use std::{
@@ -144,12 +144,12 @@
 
     /// Runs until told to stop.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
-        let duties = TaskTracker::new();
+        let tasks = TaskTracker::new();
         for model in self.models.values() {
-            duties.spawn(until(stop.clone(), self.clone().drive(model.clone())));
+            tasks.spawn(until(stop.clone(), self.clone().drive(model.clone())));
         }
-        duties.close();
-        duties.wait().await;
+        tasks.close();
+        tasks.wait().await;
     }
 
     // Requests.
@@ -437,9 +437,9 @@
     }
 }
 
-async fn until(stop: CancellationToken, duty: impl Future<Output = ()>) {
+async fn until(stop: CancellationToken, task: impl Future<Output = ()>) {
     tokio::select! {
-        () = duty => {}
+        () = task => {}
         () = stop.cancelled() => {}
     }
 }
--- a/crates/stonewheel-activation/tests/loopback.rs
+++ b/crates/stonewheel-activation/tests/loopback.rs
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn the_owner_stands_still_past_its_lease_and_is_refused_when_it_goes_on() {
+async fn the_owner_pauses_past_its_lease_and_is_refused_when_it_resumes() {
     let loopback = Loopback::new(3).await;
     let requests: Vec<_> = (0..REQUESTS).map(|number| loopback.request(number)).collect();
     let owner = loopback.owner().await;
--- a/crates/stonewheel-activation/tests/measure.rs
+++ b/crates/stonewheel-activation/tests/measure.rs
@@ -52,7 +52,7 @@
 
 #[tokio::test]
 #[ignore = "a measurement"]
-async fn wakes_idle_minutes_and_adoptions() {
+async fn cold_starts_idle_minutes_and_adoptions() {
     let mut direct = Vec::new();
     for _ in 0..REPEATS {
         direct.push(direct_start().await);
--- a/crates/stonewheel-activation/tests/stories.rs
+++ b/crates/stonewheel-activation/tests/scenarios.rs
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_burst_for_fifty_sleeping_models_causes_one_start_each() {
+async fn a_burst_for_fifty_models_at_zero_causes_one_start_each() {
     let names: Vec<String> = (0..50).map(|number| format!("model-{number}")).collect();
     let models: Vec<_> = names.iter().map(|name| (name.as_str(), model_settings(&[]))).collect();
     let fleet = Fleet::new(3, settings(&models)).await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_without_requests_sleeps_and_wakes_again() {
+async fn a_model_without_requests_scales_to_zero_and_starts_again() {
     let fleet = Fleet::with_router(3).await;
     assert_eq!(fleet.request(0, "router").await, Outcome::Answered);
     // A few requests at other controllers keep it awake.
@@ -377,7 +377,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_in_demand_leaves_room_for_the_wake_of_another() {
+async fn a_model_in_demand_leaves_room_for_the_cold_start_of_another() {
     let mut small = settings(&[("router", model_settings(&[])), ("rare", model_settings(&[]))]);
     small.hold_requests = 10.0;
     let fleet = Fleet::new(1, small).await;
@@ -392,7 +392,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn callers_that_leave_while_held_take_no_room_and_the_model_sleeps_again() {
+async fn callers_that_leave_while_held_take_no_room_and_the_model_scales_to_zero_again() {
     let fleet = Fleet::with_router(3).await;
     let activator = fleet.activator(1);
     let waiting: Vec<_> = (0..40)
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -102,19 +102,19 @@
 
     /// Runs until told to stop.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
-        let duties = TaskTracker::new();
+        let tasks = TaskTracker::new();
         for service in self.services.values() {
-            let duty = self.clone().drive(service.clone());
+            let task = self.clone().drive(service.clone());
             let stop = stop.clone();
-            duties.spawn(async move {
+            tasks.spawn(async move {
                 tokio::select! {
-                    () = duty => {}
+                    () = task => {}
                     () = stop.cancelled() => {}
                 }
             });
         }
-        duties.close();
-        duties.wait().await;
+        tasks.close();
+        tasks.wait().await;
     }
 
     /// A service's record, as last read.
@@ -314,7 +314,7 @@
         let probe = (*lock(&service.next_probe)).max(now);
         let due = lock(&service.observer).next_due(now);
         match reason {
-            // A change of the records wakes the duty by itself; this is for adoption.
+            // A change of the records wakes the task by itself; this is for adoption.
             Reason::NotOwner | Reason::NoSession | Reason::Nothing => {
                 now + self.coordinator.timing().session / ADOPTION_PARTS
             }
--- a/tests/common/workers.rs
+++ b/tests/common/workers.rs
@@ -112,11 +112,15 @@
         loop {
             sleep(Duration::from_millis(950)).await;
             let sent = Instant::now();
-            let Some((heartbeat, cut, deaf, mute)) = self.next_heartbeat(name) else { return };
+            let Some((heartbeat, partitioned, drops_responses, drops_heartbeats)) =
+                self.next_heartbeat(name)
+            else {
+                return;
+            };
             let Some(heartbeat) = heartbeat else { continue };
             let node = lock(&self.inner).nodes[at].as_ref().map(|(n, _)| n.clone());
-            let lost = mute || cut.contains(&at);
-            if cut.contains(&at) && lock(&self.inner).partitions_hang {
+            let lost = drops_heartbeats || partitioned.contains(&at);
+            if partitioned.contains(&at) && lock(&self.inner).partitions_hang {
                 sleep(HEARTBEAT_TIMEOUT).await;
             }
             let mut reply = None;
@@ -132,7 +136,7 @@
                     reply = Some(node.answer_heartbeat(&heartbeat).await);
                 }
             }
-            match reply.filter(|_| !deaf) {
+            match reply.filter(|_| !drops_responses) {
                 Some(HeartbeatReply::Commands { token, commands }) => {
                     self.remember_jobs(&commands);
                     let mut inner = lock(&self.inner);
@@ -179,10 +183,10 @@
         let Inner { workers, run, .. } = &mut *inner;
         let now = Instant::now();
         let worker = workers.get_mut(name)?;
-        let (cut, deaf, mute) =
+        let (partitioned, drops_responses, drops_heartbeats) =
             (worker.partitioned_from.clone(), worker.drops_responses, worker.drops_heartbeats);
         if worker.hung {
-            return Some((None, cut, deaf, mute));
+            return Some((None, partitioned, drops_responses, drops_heartbeats));
         }
         worker.end_overdue_incarnation();
         for (task, on) in &mut worker.tasks {
@@ -198,7 +202,7 @@
         }
         let heartbeat = worker.heartbeat(name);
         worker.last = Some(heartbeat.clone());
-        Some((Some(heartbeat), cut, deaf, mute))
+        Some((Some(heartbeat), partitioned, drops_responses, drops_heartbeats))
     }
 
     /// Whether a task of this job runs on a machine.
--- a/tests/deployment/failover.rs
+++ b/tests/deployment/failover.rs
@@ -200,16 +200,16 @@
     // A leader and one other lose the workers together. If the other followed,
     // it would give way only after another lease.
     let (deployment, old, machines) = saturated_deployment("j-000016").await;
-    for deaf in [(old + 1) % 3, (old + 2) % 3] {
+    for other in [(old + 1) % 3, (old + 2) % 3] {
         let now = deployment.leader().expect("a leader");
-        if deaf == now {
+        if other == now {
             continue;
         }
         for machine in &machines {
-            deployment.partition(machine, &[now, deaf]);
+            deployment.partition(machine, &[now, other]);
         }
         deployment.until("another leads", || deployment.leader().is_some_and(|l| l != now)).await;
-        assert_ne!(deployment.leader(), Some(deaf));
+        assert_ne!(deployment.leader(), Some(other));
         seconds(13).await;
         for machine in &machines {
             deployment.partition(machine, &[]);
--- a/tests/leader/heartbeats.rs
+++ b/tests/leader/heartbeats.rs
@@ -130,11 +130,11 @@
     harness.settle();
     assert_eq!(harness.bound("j-000001").len(), 1);
     // A higher token in the answer ends the leadership.
-    let deposed = WorkerHeartbeat { token: 6, sequence: 8, ..answer };
+    let superseding = WorkerHeartbeat { token: 6, sequence: 8, ..answer };
     assert!(
         harness
             .leader
-            .on_direct_outcome(&request, DirectOutcome::Answered(&deposed), harness.now)
+            .on_direct_outcome(&request, DirectOutcome::Answered(&superseding), harness.now)
             .is_err()
     );
 }
--- a/tests/production_size.rs
+++ b/tests/production_size.rs
@@ -172,10 +172,10 @@
             4 => {
                 // Their reports arrive, but nothing reaches them.
                 let machines = deployment.machines();
-                let deaf: Vec<_> = (0..15)
+                let unreachable: Vec<_> = (0..15)
                     .map(|_| machines[rng.random_range(0..machines.len())].clone())
                     .collect();
-                deployment.drop_responses_for(&deaf, rng.random_range(3.0..16.0));
+                deployment.drop_responses_for(&unreachable, rng.random_range(3.0..16.0));
             }
             5 => {
                 deployment.disconnect(leader);
