--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -26,56 +26,64 @@
     Retire,
 }
 
+/// Calls to make now.
+#[derive(Default)]
+struct DueCalls {
+    orders: Vec<Order>,
+    /// Machines to return.
+    silent: Vec<MachineName>,
+}
+
 impl Executor {
+    /// Sends the orders that are due, and returns silent machines.
     pub(super) fn give_orders(self: &Arc<Self>, epoch: u64, stop: &CancellationToken) {
-        let now = Instant::now();
-        let (orders, silent) = {
-            let mut claims = lock(&self.claims);
-            let mut held = lock(&self.term);
-            let Some(term) = held.as_mut().filter(|term| term.observations.epoch == epoch) else {
-                return;
-            };
-            {
-                let records = self.coordinator.records();
-                term.ledger.refresh(&records);
-                claims.refresh(&records);
-            }
-            term.observations.track_loans(&term.ledger, now);
-            let views = term.observations.views(now);
-            let orders = due(&OrderInput {
-                settings: &self.settings,
-                claims: claims.active(),
-                ledger: &term.ledger,
-                machines: &views,
-                age: &|entry| term.observations.age(entry, now),
-                epoch,
-            });
-            let silent = term.observations.silent(&term.ledger, now);
-            let silent: Vec<MachineName> = silent
-                .into_iter()
-                .filter(|m| term.observations.begin_call(m, CALLS_AT_ONCE, now))
-                .collect();
-            let mut allowed = Vec::new();
-            for order in orders {
-                if term.observations.begin_call(&order.machine, CALLS_AT_ONCE, now) {
-                    if matches!(order.kind, OrderKind::Halt { .. }) {
-                        term.observations.record_halt(order.loan);
-                    }
-                    self.count_ended_save(term, &order, &views);
-                    allowed.push(order);
-                }
-            }
-            (allowed, silent)
-        };
-        for order in orders {
+        let due = self.due_calls(epoch, Instant::now());
+        for order in due.orders {
             self.spawn_call(stop, epoch, order.machine.clone(), Call::Order(order));
         }
-        for machine in silent {
+        for machine in due.silent {
             warn!(%machine, "worker lease expired, returning machine");
             self.spawn_call(stop, epoch, machine, Call::Retire);
         }
     }
 
+    /// Calls to make now. Each is recorded as in flight, and halts as sent.
+    fn due_calls(&self, epoch: u64, now: Instant) -> DueCalls {
+        let mut claims = lock(&self.claims);
+        let mut held = lock(&self.term);
+        let Some(term) = held.as_mut().filter(|term| term.observations.epoch == epoch) else {
+            return DueCalls::default();
+        };
+        {
+            let records = self.coordinator.records();
+            term.ledger.refresh(&records);
+            claims.refresh(&records);
+        }
+        term.observations.track_loans(&term.ledger, now);
+        let views = term.observations.views(now);
+        let orders = due(&OrderInput {
+            settings: &self.settings,
+            claims: claims.active(),
+            ledger: &term.ledger,
+            machines: &views,
+            age: &|entry| term.observations.age(entry, now),
+            epoch,
+        });
+        let mut silent = term.observations.silent(&term.ledger, now);
+        silent.retain(|machine| term.observations.begin_call(machine, CALLS_AT_ONCE, now));
+        let mut allowed = Vec::new();
+        for order in orders {
+            if term.observations.begin_call(&order.machine, CALLS_AT_ONCE, now) {
+                if matches!(order.kind, OrderKind::Halt { .. }) {
+                    term.observations.record_halt(order.loan);
+                }
+                self.count_ended_save(term, &order, &views);
+                allowed.push(order);
+            }
+        }
+        DueCalls { orders: allowed, silent }
+    }
+
     fn count_ended_save(
         &self,
         term: &Term,
--- a/crates/stonewheel-lending/src/observations.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -27,6 +27,13 @@
     received_at: Instant,
 }
 
+/// A loan's state, and since when this holder has observed it.
+#[derive(Clone, Copy, Debug)]
+struct StateSince {
+    state: LoanState,
+    since: Instant,
+}
+
 /// What one holder observed during its term.
 #[derive(Debug)]
 pub(crate) struct MachineObservations {
@@ -37,7 +44,7 @@
     gone: BTreeSet<MachineName>,
     retired: BTreeSet<MachineName>,
     halted: HashSet<LoanId>,
-    since: HashMap<LoanId, (LoanState, Instant)>,
+    since: HashMap<LoanId, StateSince>,
     quarantined: HashMap<MachineName, Instant>,
     backoffs: HashMap<MachineName, Backoff>,
     in_flight: HashSet<MachineName>,
@@ -95,8 +102,9 @@
     pub fn track_loans(&mut self, ledger: &Ledger, now: Instant) {
         let mut since = HashMap::with_capacity(ledger.len());
         for (_, entry) in ledger.entries() {
-            let known = self.since.get(&entry.loan).filter(|(state, _)| *state == entry.state);
-            since.insert(entry.loan, known.copied().unwrap_or((entry.state, now)));
+            let known = self.state_since(entry);
+            since
+                .insert(entry.loan, known.unwrap_or(StateSince { state: entry.state, since: now }));
         }
         self.since = since;
         let live = &self.since;
@@ -105,8 +113,12 @@
 
     /// How long a loan has been in its state, as far as this holder observed.
     pub fn age(&self, entry: &Entry, now: Instant) -> Duration {
-        let since = self.since.get(&entry.loan).filter(|(state, _)| *state == entry.state);
-        since.map_or(Duration::ZERO, |(_, since)| now.saturating_duration_since(*since))
+        let known = self.state_since(entry);
+        known.map_or(Duration::ZERO, |known| now.saturating_duration_since(known.since))
+    }
+
+    fn state_since(&self, entry: &Entry) -> Option<StateSince> {
+        self.since.get(&entry.loan).copied().filter(|known| known.state == entry.state)
     }
 
     /// What is known of the machines.
--- a/crates/stonewheel-lending/src/reserve.rs
+++ b/crates/stonewheel-lending/src/reserve.rs
@@ -11,22 +11,28 @@
 #[derive(Clone, Debug, Default)]
 struct WindowMaximum {
     /// Values that fall, each with the time at which it was last true.
-    values: VecDeque<(Instant, u32)>,
+    values: VecDeque<TimedValue>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct TimedValue {
+    at: Instant,
+    value: u32,
 }
 
 impl WindowMaximum {
     fn record(&mut self, now: Instant, value: u32, window: Duration) {
-        while self.values.back().is_some_and(|(_, held)| *held <= value) {
+        while self.values.back().is_some_and(|last| last.value <= value) {
             self.values.pop_back();
         }
-        self.values.push_back((now, value));
-        while self.values.front().is_some_and(|(at, _)| *at + window < now) {
+        self.values.push_back(TimedValue { at: now, value });
+        while self.values.front().is_some_and(|first| first.at + window < now) {
             self.values.pop_front();
         }
     }
 
     fn get(&self) -> u32 {
-        self.values.front().map_or(0, |(_, value)| *value)
+        self.values.front().map_or(0, |first| first.value)
     }
 }
 
