--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -33,6 +33,8 @@
 }
 
 impl Executor {
+    /// Plans from the records and an observation. None: another term has begun, or a write
+    /// can't be encoded.
     pub(super) fn plan(&self, epoch: u64, observation: Observation) -> Option<Step> {
         let now = Instant::now();
         let mut claims = lock(&self.claims);
--- a/crates/stonewheel-lending/src/executor/state.rs
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -91,10 +91,12 @@
         lock(&self.term).is_some()
     }
 
+    /// Whether this controller's session is valid by its own clock.
     pub(super) fn session_valid(&self) -> bool {
         self.coordinator.session().is_some_and(|session| Instant::now() < session.valid_until)
     }
 
+    /// Commits a transaction under the session of this controller.
     pub(super) async fn commit(
         &self,
         conditions: Vec<Condition>,
--- a/crates/stonewheel-lending/src/planner/lend.rs
+++ b/crates/stonewheel-lending/src/planner/lend.rs
@@ -1,19 +1,22 @@
 //! Claims outside their guarantees: they are lent free machines beyond the reserve.
 
-use super::{model::WaitReason, plan_builder::PlanBuilder, settle::release_incomplete_gang};
+use super::{
+    model::WaitReason, plan_builder::PlanBuilder, serve::GuaranteedSupply,
+    settle::release_incomplete_gang,
+};
 use crate::{
     claim::{MachineName, TeamName},
     ledger::{Entry, Why},
     settings::Team,
 };
 
-/// Lends in admission order, or nothing if `short`: a claim inside its guarantee still
-/// lacks machines.
-pub(super) fn lend(builder: &mut PlanBuilder<'_>, short: bool) {
+/// Lends in admission order, or nothing while a claim inside its guarantee is short of
+/// machines.
+pub(super) fn lend(builder: &mut PlanBuilder<'_>, supply: GuaranteedSupply) {
     let guaranteed = builder.input.settings.guaranteed();
     let covered = builder.usable >= guaranteed;
     reclaim_uncovered(builder);
-    let lends = covered && !short && builder.input.may_lend;
+    let lends = covered && supply == GuaranteedSupply::Sufficient && builder.input.may_lend;
     for at in 0..builder.input.claims.len() {
         if !builder.accounts.claims[at].inside {
             let reason = lend_to(builder, at, lends);
--- a/crates/stonewheel-lending/src/planner/mod.rs
+++ b/crates/stonewheel-lending/src/planner/mod.rs
@@ -19,7 +19,7 @@
     let mut builder = PlanBuilder::new(input);
     let done = settle::finished(input);
     settle::settle(&mut builder, &done);
-    let short = serve::serve(&mut builder);
-    lend::lend(&mut builder, short);
+    let supply = serve::serve(&mut builder);
+    lend::lend(&mut builder, supply);
     builder.build(done)
 }
--- a/crates/stonewheel-lending/src/planner/plan_builder.rs
+++ b/crates/stonewheel-lending/src/planner/plan_builder.rs
@@ -23,6 +23,7 @@
 }
 
 impl<'a> PlanBuilder<'a> {
+    /// A plan without changes.
     pub fn new(input: &'a PlannerInput<'a>) -> Self {
         let mut accounts = Accounts::new(input.claims, input.settings);
         for (machine, entry) in input.ledger.entries() {
@@ -57,6 +58,7 @@
             && self.entry(machine).is_none()
     }
 
+    /// A machine's entry after the changes so far.
     pub fn entry(&self, machine: &str) -> Option<&Entry> {
         match self.changed.get(machine) {
             Some(entry) => entry.as_ref(),
@@ -64,6 +66,7 @@
         }
     }
 
+    /// The claim at an index of the input.
     pub fn active(&self, at: usize) -> &'a ActiveClaim {
         &self.input.claims[at]
     }
@@ -75,6 +78,7 @@
         }
     }
 
+    /// Sets a machine's entry; none: the machine becomes available.
     pub fn set(&mut self, machine: &MachineName, after: Option<Entry>) {
         if let Some(before) = self.entry(machine).cloned() {
             self.accounts.remove(machine, &before);
@@ -95,12 +99,14 @@
         self.changed.len() >= self.input.max_changes
     }
 
+    /// The id for a new loan.
     pub fn next_loan(&mut self) -> LoanId {
         let number = self.next_number;
         self.next_number += 1;
         LoanId { epoch: self.input.epoch, number }
     }
 
+    /// Sets why a claim doesn't have all its machines.
     pub fn set_wait_reason(&mut self, at: usize, reason: WaitReason) {
         self.reasons.insert(self.input.claims[at].id.clone(), reason);
     }
@@ -120,6 +126,7 @@
         ceiling.saturating_sub(account.used + account.coming)
     }
 
+    /// The plan. `done`: batch claims whose work is complete.
     pub fn build(self, done: Vec<ClaimId>) -> Plan {
         let differs = |(machine, after): (MachineName, Option<Entry>)| {
             let same = self.input.ledger.get(&machine) == after.as_ref();
--- a/crates/stonewheel-lending/src/planner/serve.rs
+++ b/crates/stonewheel-lending/src/planner/serve.rs
@@ -11,22 +11,32 @@
     ledger::{Entry, Why},
 };
 
-/// Serves them in admission order. True if any is short of machines.
-pub(super) fn serve(builder: &mut PlanBuilder<'_>) -> bool {
+/// Whether all claims inside their guarantees have their machines, or will have them once
+/// reclaims are complete.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum GuaranteedSupply {
+    Sufficient,
+    Short,
+}
+
+/// Serves the claims inside their guarantees, in admission order.
+pub(super) fn serve(builder: &mut PlanBuilder<'_>) -> GuaranteedSupply {
     let inside = (0..builder.input.claims.len()).filter(|at| builder.accounts.claims[*at].inside);
     let inside: Vec<usize> = inside.collect();
     for &at in &inside {
         prefer_free_machines(builder, at);
     }
     withdraw_requests(builder);
-    let mut short = false;
+    let mut supply = GuaranteedSupply::Sufficient;
     let mut candidates = Candidates::default();
     for at in inside {
         let reason = serve_claim(builder, at, &mut candidates);
-        short |= matches!(reason, WaitReason::Short | WaitReason::Queued);
+        if matches!(reason, WaitReason::Short | WaitReason::Queued) {
+            supply = GuaranteedSupply::Short;
+        }
         builder.set_wait_reason(at, reason);
     }
-    short
+    supply
 }
 
 /// Grants machines that became free in place of those still to be reclaimed, so that
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -25,6 +25,7 @@
     done.into_iter().collect()
 }
 
+/// Plans what follows from the reports alone, machine by machine and claim by claim.
 pub(super) fn settle(builder: &mut PlanBuilder<'_>, done: &[ClaimId]) {
     let entries = builder.input.ledger.entries();
     for (machine, entry) in entries {
@@ -130,6 +131,7 @@
     })
 }
 
+/// The grace period for checkpoints, in milliseconds.
 pub(super) fn grace_ms(builder: &PlanBuilder<'_>) -> u64 {
     builder.input.settings.times.grace_period().as_millis() as u64
 }
--- a/crates/stonewheel-lending/src/planner/victims.rs
+++ b/crates/stonewheel-lending/src/planner/victims.rs
@@ -31,6 +31,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Candidates(Option<Vec<Candidate>>);
 
+/// Whose runs may be taken.
+#[derive(Clone, Copy, PartialEq)]
+enum Lenders {
+    OwnTeam,
+    AllTeams,
+}
+
 /// Runs chosen so far, and their machines: those of the claim's own team count against
 /// its ceiling already.
 #[derive(Debug, Default)]
@@ -65,9 +72,9 @@
         let mut chosen = Chosen::default();
         // What the ceiling leaves to the team's own work comes from there.
         let own_only = lacking.saturating_sub(headroom);
-        take(builder, at, ranked, &mut chosen, true, |chosen| chosen.own >= own_only);
+        take(builder, at, ranked, &mut chosen, Lenders::OwnTeam, |chosen| chosen.own >= own_only);
         let enough = |chosen: &Chosen| chosen.machines(headroom) >= lacking;
-        take(builder, at, ranked, &mut chosen, false, enough);
+        take(builder, at, ranked, &mut chosen, Lenders::AllTeams, enough);
         put_back(builder, at, &mut chosen, lacking, headroom);
         let machines = chosen.machines(headroom).min(lacking);
         Victims { runs: chosen.runs.iter().map(|candidate| candidate.run).collect(), machines }
@@ -84,7 +91,7 @@
     at: usize,
     ranked: &[Candidate],
     chosen: &mut Chosen,
-    own_only: bool,
+    lenders: Lenders,
     enough: impl Fn(&Chosen) -> bool,
 ) {
     for candidate in ranked {
@@ -93,7 +100,7 @@
         }
         let own = is_own(builder, at, candidate);
         let taken = chosen.runs.iter().any(|c| c.run == candidate.run);
-        if taken || (own_only && !own) {
+        if taken || (lenders == Lenders::OwnTeam && !own) {
             continue;
         }
         let count = if own { &mut chosen.own } else { &mut chosen.others };
