--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -223,7 +223,7 @@
         let job = self.jobs.get(&key.job)?;
         let mut content = job.page(key.page);
         content.tasks = (job.page_tasks != usual).then_some(job.page_tasks);
-        let value = store::value(&content).ok()?;
+        let value = store::to_raw_value(&content).ok()?;
         let bytes = value.get().len();
         if bytes <= limit {
             return Some((content, value));
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -83,7 +83,7 @@
     fn types_commit(&mut self, leads: &Condition, watch_cache: &WatchCache) -> Option<Commit> {
         let types = self.types.take_unstored()?;
         let version = watch_cache.machine_types.as_ref().map_or(0, |types| types.version);
-        let value = store::value(&*types).ok()?;
+        let value = store::to_raw_value(&*types).ok()?;
         let key = store::MACHINE_TYPES_KEY.to_owned();
         Some(Commit {
             conditions: vec![leads.clone(), Condition { key: key.clone(), version }],
@@ -175,7 +175,7 @@
             let end = self.end_of(id, watch_cache)?;
             let key = store::end_key(id);
             conditions.push(Condition { key: key.clone(), version: 0 });
-            writes.push(Write::Put { key, value: store::value(&end).ok()?, lease: None });
+            writes.push(Write::Put { key, value: store::to_raw_value(&end).ok()?, lease: None });
         }
         let room = self.settings.state_limits().transaction_writes - writes.len();
         writes.extend(dropped_records(id, watch_cache, room));
--- a/src/election.rs
+++ b/src/election.rs
@@ -191,8 +191,8 @@
     record: &LeaderRecord,
     tokens: &TermTokens,
 ) -> Result<Vec<Write>, serde_json::Error> {
-    let leader = store::value(record)?;
-    let last_token = store::value(&tokens.last())?;
+    let leader = store::to_raw_value(record)?;
+    let last_token = store::to_raw_value(&tokens.last())?;
     Ok(vec![
         Write::Put { key: LEADER_KEY.into(), value: leader, lease: Some(record.lease) },
         Write::Put { key: TOKEN_KEY.into(), value: last_token, lease: None },
--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -43,7 +43,9 @@
         if let Some(reason) = self.infeasibility(spec)? {
             return Ok(InternalJobReply::Impossible(reason));
         }
-        let (Ok(job), Ok(mark)) = (store::value(spec), store::value(&self.settings.member)) else {
+        let (Ok(job), Ok(mark)) =
+            (store::to_raw_value(spec), store::to_raw_value(&self.settings.member))
+        else {
             return Ok(InternalJobReply::Impossible("can't be stored".into()));
         };
         let mut conditions = self.acceptance_conditions(spec).conditions;
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -6,15 +6,15 @@
 use super::instance::Node;
 use crate::{
     lease_renewal::{LeaderHeartbeat, OutgoingHeartbeat},
-    peers::{LinkTiming, Message, MessageHandler, max_cancellations_per_frame},
+    peers::{LinkSettings, Message, MessageHandler, max_cancellations_per_frame},
     protocol::{CancellationNotice, ControllerHeartbeat, JobState, WorkerContact, Write},
     state::lock,
     store::{self, JobEnd, WatchCache},
 };
 
 impl MessageHandler for Node {
-    fn link_timing(&self) -> LinkTiming {
-        LinkTiming {
+    fn link_settings(&self) -> LinkSettings {
+        LinkSettings {
             members: self.settings.members.len(),
             frame_limit: self.settings.frame_limit(),
             receive_timeout: self.settings.worker_lease(),
@@ -136,7 +136,7 @@
         if reaches_leader || !self.rejects_heartbeats() || !self.state_ok() {
             return;
         }
-        if let Ok(value) = store::value(&self.settings.member) {
+        if let Ok(value) = store::to_raw_value(&self.settings.member) {
             let put = Write::Put { key: store::REJECTED_HEARTBEATS_KEY.into(), value, lease: None };
             let _ = self.writer.commit(Vec::new(), vec![put]).await;
         }
@@ -183,7 +183,7 @@
         let mut changes = Vec::new();
         for job in notice.into_iter().flat_map(|notice| &notice.jobs) {
             let end = JobEnd { state: JobState::Cancelled, done: job.done };
-            if let Ok(value) = store::value(&end) {
+            if let Ok(value) = store::to_raw_value(&end) {
                 let key = store::end_key(&job.id);
                 changes.extend(lock(&self.watch_cache).put(&key, value, job.version));
             }
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -44,7 +44,7 @@
         if let Some(refusal) = self.refusal(&spec).await? {
             return self.refuse(&spec.id, refusal).await;
         }
-        let Ok(value) = store::value(&spec) else {
+        let Ok(value) = store::to_raw_value(&spec) else {
             return Ok(UserReply::Malformed("can't be stored".into()));
         };
         if value.get().len() > self.settings.state_limits().value_bytes {
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -76,7 +76,7 @@
 /// The write that cancels a job of which so many tasks are done.
 pub(super) fn cancellation(id: &str, done: u32) -> Result<Write, serde_json::Error> {
     let end = JobEnd { state: JobState::Cancelled, done };
-    Ok(Write::Put { key: store::end_key(id), value: store::value(&end)?, lease: None })
+    Ok(Write::Put { key: store::end_key(id), value: store::to_raw_value(&end)?, lease: None })
 }
 
 /// Whether a job in this state stays in it.
--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -47,7 +47,7 @@
 pub(super) const WORKER_CONTACT_SECTION: u8 = 5;
 
 /// The features of this version.
-pub const OWN_FEATURES: Features = Features { small_pages: true };
+pub const SUPPORTED_FEATURES: Features = Features { small_pages: true };
 
 /// The content of one frame.
 #[derive(Clone, Debug, PartialEq)]
@@ -67,7 +67,7 @@
     /// frame that the sender receives, in bytes.
     pub fn new(heartbeat: ControllerHeartbeat, frame_limit: usize) -> Self {
         let worker_contact = WorkerContact::default();
-        Self { heartbeat, features: OWN_FEATURES, frame_limit, worker_contact }
+        Self { heartbeat, features: SUPPORTED_FEATURES, frame_limit, worker_contact }
     }
 }
 
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -41,7 +41,7 @@
 
 /// The times and bounds of a controller's links.
 #[derive(Clone, Copy, Debug)]
-pub struct LinkTiming {
+pub struct LinkSettings {
     /// The number of other controllers.
     pub members: usize,
     /// The longest frame that this controller receives, in bytes.
@@ -55,7 +55,7 @@
 /// What links need of the controller that they belong to.
 pub trait MessageHandler: Send + Sync + 'static {
     /// The times and bounds of the links.
-    fn link_timing(&self) -> LinkTiming;
+    fn link_settings(&self) -> LinkSettings;
 
     /// The message for one other controller now.
     fn message(&self, receiver: &str) -> Message;
@@ -77,7 +77,7 @@
     listener: TcpListener,
     stop: CancellationToken,
 ) {
-    let slots = Arc::new(Semaphore::new(max_links(handler.link_timing().members)));
+    let slots = Arc::new(Semaphore::new(max_links(handler.link_settings().members)));
     let unreadable_logged = Arc::new(AtomicBool::new(false));
     let link = |stream: TcpStream, stop: CancellationToken| {
         let (handler, unreadable_logged) = (handler.clone(), unreadable_logged.clone());
@@ -98,7 +98,7 @@
     stream: TcpStream,
     unreadable_logged: &AtomicBool,
 ) {
-    let timing = handler.link_timing();
+    let timing = handler.link_settings();
     let mut frames = FramedRead::new(stream, codec(timing.frame_limit));
     while let Ok(Some(Ok(frame))) = timeout(timing.receive_timeout, frames.next()).await {
         match decode(&frame) {
@@ -120,7 +120,7 @@
     endpoint: SocketAddr,
     stop: CancellationToken,
 ) {
-    let interval = handler.link_timing().heartbeat_interval;
+    let interval = handler.link_settings().heartbeat_interval;
     let mut immediate = handler.immediate_heartbeats();
     let send = async {
         loop {
@@ -143,7 +143,7 @@
     stream: TcpStream,
     immediate: &mut watch::Receiver<()>,
 ) {
-    let interval = handler.link_timing().heartbeat_interval;
+    let interval = handler.link_settings().heartbeat_interval;
     let mut frames = FramedWrite::new(stream, codec(MAX_SENT_FRAME));
     loop {
         let frame = Bytes::from(encode(handler.message(receiver)));
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -15,10 +15,10 @@
 mod peer_status;
 
 pub use frames::{
-    MIN_FRAME_LIMIT, Message, OWN_FEATURES, decode, encode, frame_limit_for,
+    MIN_FRAME_LIMIT, Message, SUPPORTED_FEATURES, decode, encode, frame_limit_for,
     max_cancellations_per_frame,
 };
-pub use links::{LinkTiming, MessageHandler, listen, max_links, send_heartbeats};
+pub use links::{LinkSettings, MessageHandler, listen, max_links, send_heartbeats};
 pub use peer_status::Peers;
 
 #[cfg(test)]
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -116,10 +116,10 @@
 fn only_a_word_from_every_member_ends_the_time_of_older_versions() {
     let members = ["m-1", "m-2"];
     let peers = Peers::new(Vec::new(), Duration::from_secs(3), 1);
-    peers.record_features("m-1", OWN_FEATURES);
+    peers.record_features("m-1", SUPPORTED_FEATURES);
     peers.record_features("m-2", Features::default());
     assert!(!peers.all_support_small_pages(members));
-    peers.record_features("m-2", OWN_FEATURES);
+    peers.record_features("m-2", SUPPORTED_FEATURES);
     assert!(peers.all_support_small_pages(members));
 }
 
--- a/src/store.rs
+++ b/src/store.rs
@@ -30,7 +30,7 @@
     job_key, page_key,
 };
 pub use recent_cancellations::{Cancellation, CancellationsSince, RecentCancellations};
-pub use records::{BoundTask, JobEnd, LeaderRecord, Page, TaskRange, value};
+pub use records::{BoundTask, JobEnd, LeaderRecord, Page, TaskRange, to_raw_value};
 pub use watch_cache::WatchCache;
 
 #[cfg(test)]
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// If the value cannot be represented in JSON.
-pub fn value<T: Serialize>(value: &T) -> Result<Box<RawValue>, serde_json::Error> {
+pub fn to_raw_value<T: Serialize>(value: &T) -> Result<Box<RawValue>, serde_json::Error> {
     serde_json::value::to_raw_value(value)
 }
 
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -81,7 +81,7 @@
     pub fn submit(&mut self, id: &str, changes: serde_json::Value) {
         let spec = JobSpec::parse(&job(id, changes)).expect("valid");
         self.revision += 1;
-        let value = store::value(&spec).expect("json");
+        let value = store::to_raw_value(&spec).expect("json");
         let changes = self.watch_cache.put(&store::job_key(id), value, self.revision);
         assert_eq!(changes.first(), Some(&Change::Arrived(id.into())));
         self.leader.on_changes(&changes, &self.watch_cache, self.now);
@@ -90,7 +90,7 @@
     pub fn cancel(&mut self, id: &str) {
         self.revision += 1;
         let end = json!({"s": "aborted", "d": 0});
-        let value = store::value(&end).expect("json");
+        let value = store::to_raw_value(&end).expect("json");
         let changes = self.watch_cache.put(&store::end_key(id), value, self.revision);
         assert_eq!(changes.first(), Some(&Change::Ended(id.into())));
         self.leader.on_changes(&changes, &self.watch_cache, self.now);
--- a/tests/deployment/listeners.rs
+++ b/tests/deployment/listeners.rs
@@ -45,7 +45,7 @@
 async fn a_conflict_takes_out_one_change_and_commits_the_others() {
     let deployment = TestDeployment::new(1).await;
     let node = deployment.node(0);
-    let raw = |text: &str| store::value(&text).expect("json");
+    let raw = |text: &str| store::to_raw_value(&text).expect("json");
     deployment
         .state
         .commit(
--- a/tests/late_commands/record_deletion.rs
+++ b/tests/late_commands/record_deletion.rs
@@ -26,7 +26,7 @@
         for page in 0..pages {
             harness.revision += 1;
             let done = json!({"a": 1, "d": [[page * size, size]]});
-            let value = store::value(&done).expect("json");
+            let value = store::to_raw_value(&done).expect("json");
             harness.watch_cache.put(&store::page_key("j-000001", page), value, harness.revision);
         }
         // Another leader goes on after the first transaction.
@@ -47,7 +47,7 @@
 
 /// What a job's records are, as a reading of all records has them.
 fn item(key: String, value: serde_json::Value, version: u64) -> Item {
-    Item { key, value: store::value(&value).expect("json"), version }
+    Item { key, value: store::to_raw_value(&value).expect("json"), version }
 }
 
 #[tokio::test(start_paused = true)]
@@ -111,7 +111,7 @@
     let deployment = TestDeployment::new(1).await;
     // A few dozen parts, each of which may fail.
     for number in 0..1500 {
-        let end = store::value(&json!({"s": "done", "d": 1})).expect("json");
+        let end = store::to_raw_value(&json!({"s": "done", "d": 1})).expect("json");
         let key = store::end_key(&format!("j-{number:06}"));
         deployment
             .state
--- a/tests/leader/page_records.rs
+++ b/tests/leader/page_records.rs
@@ -112,7 +112,7 @@
 fn page_of_the_version_before(harness: &mut LeaderHarness, id: &str, tasks: u32) {
     let bound: Vec<_> =
         (0..tasks).map(|task| (task, 1, format!("n-00000{}", task % 4), 1, 0)).collect();
-    let value = store::value(&json!({"a": 1, "w": tasks, "b": bound})).expect("json");
+    let value = store::to_raw_value(&json!({"a": 1, "w": tasks, "b": bound})).expect("json");
     assert!(value.get().len() > VALUE_BYTES);
     harness.revision += 1;
     harness.watch_cache.put(&store::page_key(id, 0), value, harness.revision);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -178,7 +178,7 @@
     submit(&deployment, 0, "j-000001", &[]).await;
     deployment.until("it runs", || deployment.starts() > 0).await;
     // The controller's watch cache lags: another one's write is not yet watched.
-    let end = store::value(&json!({"s": "aborted", "d": 0})).expect("json");
+    let end = store::to_raw_value(&json!({"s": "aborted", "d": 0})).expect("json");
     let write = Write::Put { key: store::end_key("j-000001"), value: end, lease: None };
     deployment.state.commit(Vec::new(), vec![write]).expect("written");
     let told = submit(&deployment, 1, "j-000002", &["j-000001"]).await;
@@ -251,7 +251,7 @@
 async fn dependants_of_a_record_that_cannot_be_read_wait() {
     let deployment = TestDeployment::new(1).await;
     let unreadable_logged =
-        store::value(&json!({"Ref": "j-000001", "Shape": "spiral"})).expect("json");
+        store::to_raw_value(&json!({"Ref": "j-000001", "Shape": "spiral"})).expect("json");
     let write =
         Write::Put { key: store::job_key("j-000001"), value: unreadable_logged, lease: None };
     deployment.state.commit(Vec::new(), vec![write]).expect("written");
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -41,7 +41,7 @@
 
 /// The value is stored as this text, and the text is read as the value.
 fn is_stored<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T, text: &str) {
-    assert_eq!(store::value(value).expect("json").get(), text);
+    assert_eq!(store::to_raw_value(value).expect("json").get(), text);
     assert_eq!(serde_json::from_str::<T>(text).expect(text), *value, "{text}");
 }
 
@@ -254,7 +254,7 @@
     record.add_replica("v2", 1_000);
     record.add_replica("v2", 1_000);
     let text = r#"[{"number":0,"job":"j-1000","version":"v2","stage":"starting"},{"number":1,"job":"j-1001","version":"v2","stage":"starting"}]"#;
-    assert_eq!(store::value(&record.replicas).expect("json").get(), text);
+    assert_eq!(store::to_raw_value(&record.replicas).expect("json").get(), text);
     assert_eq!(record.next_replica, 2);
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -28,7 +28,7 @@
 /// What is read of a sample is written as the same text again.
 fn stays<T: serde::Serialize + serde::de::DeserializeOwned>(sample: &str) -> T {
     let read: T = serde_json::from_str(sample).expect("readable");
-    assert_eq!(store::value(&read).expect("json").get(), sample);
+    assert_eq!(store::to_raw_value(&read).expect("json").get(), sample);
     read
 }
 
@@ -122,7 +122,7 @@
     state.lower_limits(100, 8);
     let put = |key: &str, length: usize| Write::Put {
         key: key.into(),
-        value: store::value(&"x".repeat(length)).expect("json"),
+        value: store::to_raw_value(&"x".repeat(length)).expect("json"),
         lease: None,
     };
     // All three wait together and so leave in one transaction.
