--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,4 @@
-//! The client of the state service and the writer, as the deployment's settings have
-//! them.
+//! The state service's client and writer, configured from the deployment's settings.
 
 use std::sync::Arc;
 
@@ -10,20 +9,21 @@
 
 use crate::settings::Settings;
 
-/// The client of the state service that the settings name.
+/// Returns a client for the state service endpoint in the settings.
 pub fn http_state(settings: &Settings) -> HttpState {
     HttpState::new(settings.services.state, settings.state_timeout(), settings.worker_lease())
 }
 
-/// A writer within this controller's share of the state service's limits.
+/// Returns a writer that stays within this controller's share of the state service's
+/// limits.
 pub fn writer(api: Arc<dyn StateApi>, settings: &Settings, requests: Arc<Budget>) -> Writer {
     let limits = settings.state_limits();
-    let own = WriterLimits {
+    let writer_limits = WriterLimits {
         own_writes_per_s: settings.follower_share(limits.writes_per_s),
         all_writes_per_s: limits.writes_per_s,
         transaction_writes: limits.transaction_writes,
         transaction_conditions: limits.transaction_conditions(),
         timeout: settings.state_timeout(),
     };
-    Writer::new(api, own, requests)
+    Writer::new(api, writer_limits, requests)
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,16 +1,18 @@
-//! The durable records, and the watch cache in which every node keeps them current.
+//! The durable records in the state service, and the watch cache: the copy of them
+//! that every controller keeps in memory.
 //!
-//! All records share one prefix, so one watch gives one total order:
+//! All records share one key prefix, so that a single watch delivers all changes in
+//! one total order:
 //!
 //! | key | value | written by |
 //! | --- | --- | --- |
-//! | `sw/lead` | the leader, attached to its lease | a candidate |
-//! | `sw/token` | the last fencing token, never leased | a candidate |
-//! | `sw/types` | the machine types last seen | the leader |
-//! | `sw/stray` | which controller rejected worker heartbeats while it could not reach the leader | any node |
-//! | `sw/j/{job}` | the job as submitted, never changed | any node |
-//! | `sw/p/{job}/{page}` | placements and progress of a page of tasks | the leader |
-//! | `sw/e/{job}` | how the job ended, created once, kept for ever | leader (done), any node (cancelled) |
+//! | `sw/lead` | the current leader, attached to the leader's lease | a candidate |
+//! | `sw/token` | the last fencing token that a term may use, never attached to a lease | a candidate |
+//! | `sw/types` | the machine types that the cloud offered last | the leader |
+//! | `sw/stray` | the controller that last rejected worker heartbeats while it could not reach the leader | any controller |
+//! | `sw/j/{job}` | the job as submitted, never changed | any controller |
+//! | `sw/p/{job}/{page}` | placements and progress of one page of the job's tasks | the leader |
+//! | `sw/e/{job}` | how the job ended, created once, never changed or deleted | the leader (done), any controller (cancelled) |
 
 mod changes;
 mod ended_jobs;
--- a/src/store/entries.rs
+++ b/src/store/entries.rs
@@ -1,4 +1,4 @@
-//! Records as the watch cache holds them.
+//! The in-memory form of job and page records in the watch cache.
 
 use std::sync::Arc;
 
@@ -7,27 +7,29 @@
 use super::records::Page;
 use crate::protocol::JobSpec;
 
-/// A page as it is stored, with the counts that a job's status needs. The page
-/// itself is decoded by those who need it: a leader when its term begins.
+/// A page record in its stored form, with the task counts that a job's status needs.
+/// The page itself is decoded only where its tasks are needed: by a leader when its term
+/// begins, and by `WatchCache::machines_of`.
 #[derive(Clone, Debug)]
 pub struct PageEntry {
-    /// The revision of the write.
+    /// The revision at which the page was written.
     pub version: u64,
     /// The stored text of a [`Page`].
     pub raw: Box<RawValue>,
-    /// Completed tasks.
+    /// The number of completed tasks.
     pub(super) done: u32,
-    /// Bound tasks.
+    /// The number of tasks that are bound to a machine.
     pub(super) running: u32,
 }
 
 impl PageEntry {
-    /// Counts the tasks of a page. One that cannot be decoded counts none.
+    /// Decodes a page to count its tasks. A page that cannot be decoded counts as
+    /// having none.
     pub fn new(version: u64, raw: Box<RawValue>) -> Self {
         let (done, running) = match serde_json::from_str::<Page>(raw.get()) {
             Ok(page) => (page.done_count(), page.bound.len() as u32),
             Err(error) => {
-                tracing::error!(%error, "page record unreadable");
+                tracing::error!(%error, "page record could not be decoded; its tasks are not counted");
                 (0, 0)
             }
         };
@@ -38,7 +40,8 @@
 /// An accepted job.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// The revision of the record's creation: the order of arrival.
+    /// The revision at which the record was created. Jobs are ordered by arrival
+    /// with it.
     pub version: u64,
     /// The job as submitted.
     pub spec: Arc<JobSpec>,
--- a/src/store/full_reading.rs
+++ b/src/store/full_reading.rs
@@ -1,5 +1,6 @@
-//! Takes a full reading of the records into the watch cache, when a node starts
-//! and when its watch fell too far behind.
+//! Replaces the content of the watch cache by a full read of the records. A controller
+//! does so when it starts, and when its watch is too far behind for the state service to
+//! deliver the missed changes.
 
 use super::{
     changes::Change,
@@ -9,40 +10,47 @@
 use crate::protocol::{Events, Item};
 
 impl WatchCache {
-    /// Takes in the ends among the records of a part of a reading, and returns
-    /// what changed and the other records. An end is final, so it need not wait
-    /// for the rest of the reading, and what a reading holds until it is whole
-    /// doesn't grow with the jobs of the past.
+    /// Applies the end records among the items of one part of a full read. Returns the
+    /// changes and the remaining items. An end is final, so it can be applied before
+    /// the read is complete. Thus the items that are buffered until then do not grow
+    /// with the number of ended jobs.
     pub fn record_ends(&mut self, mut items: Vec<Item>) -> (Vec<Change>, Vec<Item>) {
         let is_end = |item: &mut Item| keys::is_end_key(&item.key);
         let ends: Vec<Item> = items.extract_if(.., is_end).collect();
-        let record = |item: Item| self.put(&item.key, item.value, item.version);
-        (ends.into_iter().flat_map(record).collect(), items)
+        let put = |item: Item| self.put(&item.key, item.value, item.version);
+        (ends.into_iter().flat_map(put).collect(), items)
     }
 
-    /// Takes a full reading in place of what is held. Returns what changed.
+    /// Replaces the content of the watch cache by a full read. Returns the changes.
     ///
-    /// A reading takes several requests, and records change meanwhile, so what
-    /// `items` hold is of no single revision: a job's record and its end may both
-    /// be missing. `since` is what changed after the reading began, in order; with
-    /// it the watch cache is that of one revision.
-    pub fn replace(&mut self, items: Vec<Item>, began: u64, since: Events) -> Vec<Change> {
+    /// A full read takes several requests, and records change between them, so
+    /// `items` do not show the records at a single revision: a job's record and its end
+    /// record may both be missing. `events` are all changes after `first_revision`, the
+    /// revision at which the read began, in order. Once they are applied, the watch
+    /// cache is consistent with a single revision.
+    pub fn replace(
+        &mut self,
+        items: Vec<Item>,
+        first_revision: u64,
+        events: Events,
+    ) -> Vec<Change> {
         let mut old = std::mem::take(self);
-        // An end is final: none is ever read again as something else.
+        // Ends are final and their records are never deleted, so they stay valid.
         self.ended_jobs = std::mem::take(&mut old.ended_jobs);
         self.recent_cancellations = std::mem::take(&mut old.recent_cancellations);
         let mut changes = vec![Change::Leader];
         for item in items {
             changes.extend(self.put(&item.key, item.value, item.version));
         }
-        self.revision = began;
-        changes.extend(self.apply(since.events, since.revision));
+        self.revision = first_revision;
+        changes.extend(self.apply(events.events, events.revision));
         let revision = self.revision;
-        self.keep_later(&old, revision);
+        self.keep_newer_records(&old, revision);
         for id in old.jobs.keys().filter(|id| !self.jobs.contains_key(*id)) {
             changes.push(Change::Ended(id.clone()));
         }
-        // Their ends may have been recorded before the jobs were known.
+        // The ends of these jobs may have been reported before the jobs were known, when
+        // nobody could act on them.
         for id in self.jobs.keys().filter(|id| self.ended_jobs.contains(id)) {
             changes.push(Change::Ended(id.clone()));
         }
@@ -50,26 +58,27 @@
         changes
     }
 
-    /// Keeps what this node recorded at once while the reading was under way, and
-    /// may have confirmed to users: the reading may be older. An accepted job must
-    /// not look ended because of that, nor a cancelled one unknown.
-    fn keep_later(&mut self, old: &Self, revision: u64) {
-        // Those who follow the watch cache got these changes when they were recorded.
+    /// Keeps the records that are newer than the full read: the controller's own writes
+    /// that it recorded on commit while the read was in progress. They may have been
+    /// confirmed to users already, so an accepted job must not appear as ended, nor a
+    /// cancelled job as unknown, because the read lacks them.
+    fn keep_newer_records(&mut self, old: &Self, revision: u64) {
+        // These changes were already reported when the records were first put.
         for job in old.jobs.values().filter(|job| job.version > revision) {
             let _ = self.insert_job(job.clone());
         }
         for (id, pages) in &old.pages {
             for (number, page) in pages.iter().filter(|(_, page)| page.version > revision) {
-                let held = self.pages.entry(id.clone()).or_default();
-                if held.get(number).is_none_or(|p| p.version < page.version) {
-                    held.insert(*number, page.clone());
+                let current = self.pages.entry(id.clone()).or_default();
+                if current.get(number).is_none_or(|p| p.version < page.version) {
+                    current.insert(*number, page.clone());
                 }
             }
         }
-        if let Some(lead) = old.leader.as_ref().filter(|lead| lead.version > revision)
-            && is_newer(lead.version, self.leader.as_ref())
+        if let Some(leader) = old.leader.as_ref().filter(|leader| leader.version > revision)
+            && is_newer(leader.version, self.leader.as_ref())
         {
-            self.leader = Some(lead.clone());
+            self.leader = Some(leader.clone());
         }
         self.token = self.token.max(old.token);
     }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,42 +1,45 @@
-//! Keys of the durable records. `stored_samples.rs` pins them: a key never changes.
+//! Keys of the durable records. `tests/stored_samples.rs` pins the keys: they never
+//! change.
 
-/// The prefix of all records of the scheduler.
+/// The prefix of the keys of all scheduler records.
 pub const KEY_PREFIX: &str = "sw/";
-/// The leader record, attached to the leader's lease.
+/// Key of the leader record, which is attached to the leader's lease.
 pub const LEADER_KEY: &str = "sw/lead";
-/// The last fencing token that any term may use; never attached to a lease.
+/// Key of the last fencing token that any term may use. This record is never attached
+/// to a lease, so that it outlives every leader.
 pub const TOKEN_KEY: &str = "sw/token";
-/// The machine types that the cloud offered last.
+/// Key of the machine types that the cloud offered last.
 pub const MACHINE_TYPES_KEY: &str = "sw/types";
-/// Written by a controller that rejected worker heartbeats and cannot reach the leader.
+/// Key of the record that a controller writes when it rejected worker heartbeats and
+/// cannot reach the leader.
 pub const REJECTED_HEARTBEATS_KEY: &str = "sw/stray";
 
 const JOB_KEYS: &str = "sw/j/";
 const JOB_END_KEYS: &str = "sw/e/";
 const PAGE_KEYS: &str = "sw/p/";
 
-/// The key of a job's submission.
+/// Returns the key of a job's submission record.
 pub fn job_key(id: &str) -> String {
     format!("{JOB_KEYS}{id}")
 }
 
-/// The key of the record of how a job ended.
+/// Returns the key of a job's end record.
 pub fn end_key(id: &str) -> String {
     format!("{JOB_END_KEYS}{id}")
 }
 
-/// The key of one page of a job's tasks, counted from 0.
+/// Returns the key of one page of a job's tasks. Pages are numbered from 0.
 pub fn page_key(id: &str, page: u32) -> String {
     format!("{PAGE_KEYS}{id}/{page}")
 }
 
-/// Whether a key is that of a record of how a job ended.
+/// Whether a key belongs to a job's end record.
 pub(super) fn is_end_key(key: &str) -> bool {
     key.starts_with(JOB_END_KEYS)
 }
 
-/// What a key names. The names of jobs are as they stand in the key: whether
-/// they have the form of a job id is for the reader to check.
+/// The record that a key identifies. Job names are taken from the key unchecked: the
+/// caller checks that they have the form of a job id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordKey<'a> {
     Leader,
@@ -49,7 +52,8 @@
 }
 
 impl<'a> RecordKey<'a> {
-    /// None for keys of another version, which are passed over.
+    /// Parses a key. Returns none for a key that this version does not know; the watch
+    /// cache ignores such records.
     pub(super) fn parse(key: &'a str) -> Option<Self> {
         match key {
             LEADER_KEY => return Some(Self::Leader),
--- a/src/store/queries.rs
+++ b/src/store/queries.rs
@@ -1,4 +1,4 @@
-//! Questions that a watch cache answers.
+//! Queries on the watch cache.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 use crate::protocol::{CancellationNotice, CancelledJob, JobId, JobState, JobStatus, MachineId};
 
 impl WatchCache {
-    /// Jobs that were cancelled after `revision`, the first `limit` of them, as
-    /// another controller is notified of them.
+    /// Returns the notice for another controller with the jobs that were cancelled
+    /// after `revision`, the oldest `limit` of them.
     pub fn cancelled_since(&self, revision: u64, limit: usize) -> CancellationNotice {
         let recent = self.recent_cancellations.since(revision, limit);
         let cancelled_job = |cancellation: &Cancellation| CancelledJob {
@@ -21,7 +21,8 @@
         CancellationNotice { since: revision, complete: recent.complete, jobs }
     }
 
-    /// The machines that hold tasks of a job.
+    /// Returns the machines that the job's tasks are bound to, one entry per task. Pages
+    /// that cannot be decoded are skipped.
     pub fn machines_of(&self, id: &str) -> Vec<MachineId> {
         let pages = self
             .pages_of(id)
@@ -29,7 +30,8 @@
         pages.flat_map(|page| page.bound).map(|bound| bound.machine).collect()
     }
 
-    /// The first of these jobs that this watch cache doesn't know as accepted.
+    /// Returns the first of these jobs that this watch cache does not know to have been
+    /// accepted.
     pub fn first_unknown<'a>(&self, jobs: &'a [JobId]) -> Option<&'a JobId> {
         let known = |id: &JobId| {
             self.jobs.contains_key(id)
@@ -39,16 +41,18 @@
         jobs.iter().find(|id| !known(id))
     }
 
-    /// A job's state as this watch cache has it, or none for one never accepted.
+    /// Returns a job's status according to this watch cache, or none for a job that is
+    /// not known to have been accepted.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
-        let ended = |state, done| JobStatus { id: id.into(), state, done, running: 0 };
+        let ended_status = |state, done| JobStatus { id: id.into(), state, done, running: 0 };
         if let Some(end) = self.ended_jobs.get(id) {
-            return Some(ended(end.state, end.done));
+            return Some(ended_status(end.state, end.done));
         }
         let (id, _) = self.jobs.get_key_value(id)?;
-        // It has never had a task, and its own end record may come later.
+        // The job was cancelled because a job that it depends on was cancelled. No task
+        // of the job was ever bound, and its own end record may not be written yet.
         if self.dependencies.is_cancelled(id) {
-            return Some(ended(JobState::Cancelled, 0));
+            return Some(ended_status(JobState::Cancelled, 0));
         }
         let (mut done, mut running) = (0, 0);
         for page in self.pages_of(id) {
--- a/src/store/recent_cancellations.rs
+++ b/src/store/recent_cancellations.rs
@@ -1,42 +1,45 @@
-//! The latest cancellations by revision, for the notices that heartbeats carry.
+//! The latest cancellations by revision, for the notices in controller heartbeats.
 //!
-//! A heartbeat notifies a leader of what was cancelled after the revision that it
-//! has reached, and only of so many jobs at once. Older ones are of no use to
-//! anybody and would pile up for ever.
+//! A heartbeat notifies a leader of the jobs that were cancelled after the revision
+//! that the leader's watch cache has reached, up to a fixed number of jobs. Older
+//! cancellations are never sent, so keeping them would only let memory grow without
+//! bound.
 
 use std::collections::BTreeSet;
 
 use crate::{protocol::JobId, settings::MIN_NOTICED_CANCELLATIONS};
 
-/// Cancellations that are held for each one that a heartbeat carries.
-const HELD_PARTS: usize = 4;
+/// How many cancellations are retained, as a multiple of the number that one heartbeat
+/// carries.
+const RETENTION_FACTOR: usize = 4;
 
-/// A cancelled job. Ordered by the revision, and within one by the job.
+/// The cancellation of a job. Ordered by revision, then by job id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cancellation {
     /// The revision of the job's end record.
     pub revision: u64,
-    /// The job.
+    /// The cancelled job.
     pub job: JobId,
 }
 
 /// The cancellations after a revision.
 #[derive(Debug)]
 pub struct CancellationsSince<'a> {
-    /// The oldest first.
+    /// The cancellations in ascending order of revision.
     pub cancellations: Vec<&'a Cancellation>,
-    /// Whether these are all that there were.
+    /// Whether `cancellations` lists every cancellation after the revision. False if
+    /// the requested limit cut the list or older ones were dropped.
     pub complete: bool,
 }
 
 /// The latest cancellations, up to a fixed number.
 #[derive(Debug)]
 pub struct RecentCancellations {
-    held: BTreeSet<Cancellation>,
-    /// How many are held at most.
+    retained: BTreeSet<Cancellation>,
+    /// The maximum number of retained cancellations.
     limit: usize,
-    /// The latest revision of those that are not held any more.
-    dropped: u64,
+    /// The highest revision of any cancellation that was dropped.
+    last_dropped_revision: u64,
 }
 
 impl Default for RecentCancellations {
@@ -46,28 +49,33 @@
 }
 
 impl RecentCancellations {
-    /// Holds what heartbeats need that carry up to `noticed` cancellations.
-    pub fn with_notice_limit(noticed: usize) -> Self {
-        Self { held: BTreeSet::new(), limit: noticed * HELD_PARTS, dropped: 0 }
+    /// Returns an empty set that retains enough for heartbeats with up to
+    /// `notice_limit` cancellations each.
+    pub fn with_notice_limit(notice_limit: usize) -> Self {
+        Self {
+            retained: BTreeSet::new(),
+            limit: notice_limit * RETENTION_FACTOR,
+            last_dropped_revision: 0,
+        }
     }
 
-    /// Records that a job was cancelled at a revision. Revisions may come in any
-    /// order.
+    /// Records that a job was cancelled at a revision. Calls may come in any order
+    /// of revisions.
     pub fn insert(&mut self, revision: u64, job: JobId) {
-        self.held.insert(Cancellation { revision, job });
-        while self.held.len() > self.limit {
-            if let Some(oldest) = self.held.pop_first() {
-                self.dropped = self.dropped.max(oldest.revision);
+        self.retained.insert(Cancellation { revision, job });
+        while self.retained.len() > self.limit {
+            if let Some(oldest) = self.retained.pop_first() {
+                self.last_dropped_revision = self.last_dropped_revision.max(oldest.revision);
             }
         }
     }
 
-    /// The first `limit` that are held of those after `revision`.
+    /// Returns the retained cancellations after `revision`, the oldest `limit` of them.
     pub fn since(&self, revision: u64, limit: usize) -> CancellationsSince<'_> {
         let first = Cancellation { revision: revision.saturating_add(1), job: JobId::from("") };
-        let mut later = self.held.range(first..);
+        let mut later = self.retained.range(first..);
         let cancellations = later.by_ref().take(limit).collect();
-        let complete = later.next().is_none() && revision >= self.dropped;
+        let complete = later.next().is_none() && revision >= self.last_dropped_revision;
         CancellationsSince { cancellations, complete }
     }
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,5 +1,6 @@
-//! Layout of the durable records. `stored_samples.rs` and `upgrade.rs` pin it: a
-//! record is read by controllers of the version before and after.
+//! Layout of the durable records. `tests/stored_samples.rs` and `tests/upgrade.rs` pin
+//! the layout, because controllers of the previous and of the next version read the same
+//! records.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -9,7 +10,7 @@
     protocol::{JobState, MachineId},
 };
 
-/// A record's value in the form that the state service stores.
+/// Serializes a record's value to the JSON text that the state service stores.
 ///
 /// # Errors
 ///
@@ -18,13 +19,13 @@
     serde_json::value::to_raw_value(value)
 }
 
-/// Which controller process leads, with its lease.
+/// The controller process that leads, and its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The controller's name in the settings.
     pub member: String,
-    /// Drawn at random when the process starts, so that a restarted controller
-    /// tells its earlier process from itself.
+    /// A random number drawn when the process starts, so that a restarted controller
+    /// can tell a record of its previous process from its own.
     pub incarnation: u64,
     /// The first fencing token of the term.
     pub token: u64,
@@ -32,20 +33,20 @@
     pub lease: u64,
 }
 
-/// A task that is bound to a machine. It is stored as an array of its fields,
-/// for pages are limited by their size.
+/// A task that is bound to a machine. Stored as an array of its fields without field
+/// names, because the size of a page is limited.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "BoundTaskFields", into = "BoundTaskFields")]
 pub struct BoundTask {
     /// The task's number within its job.
     pub task: u32,
-    /// The number of this try to run the task; a later one is always higher.
+    /// The number of this attempt to run the task; a later attempt has a higher number.
     pub attempt: u64,
     /// The machine that the task is bound to.
     pub machine: MachineId,
-    /// The machine's incarnation in which it was bound.
+    /// The machine's incarnation at the time of the binding.
     pub incarnation: u64,
-    /// The zone's place in the settings.
+    /// The index of the machine's zone in the settings.
     pub zone: u8,
 }
 
@@ -63,14 +64,14 @@
     }
 }
 
-/// Tasks with consecutive numbers. It is stored as an array of its fields, as
-/// [`BoundTask`] is.
+/// A range of tasks with consecutive numbers. Stored as an array of its fields, like
+/// [`BoundTask`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "TaskRangeFields", into = "TaskRangeFields")]
 pub struct TaskRange {
-    /// The lowest number.
+    /// The lowest task number.
     pub first: u32,
-    /// How many tasks.
+    /// The number of tasks.
     pub count: u32,
 }
 
@@ -88,14 +89,15 @@
     }
 }
 
-/// Placements and progress of the tasks of one page. Its field names are short,
-/// because the size of a value limits how many tasks fit a page.
+/// Placements and progress of the tasks of one page. The stored field names are short,
+/// because the size limit of a value limits how many tasks fit a page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Page {
     /// The highest attempt number ever used for a task of this page.
     #[serde(rename = "a", default)]
     pub attempt: u64,
-    /// Width in tasks granted by the last round (first page only).
+    /// The job's width in tasks that the last scheduling round granted. Set on the
+    /// first page only.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub width: Option<u32>,
     /// Tasks that are bound to a machine.
@@ -104,32 +106,33 @@
     /// Completed tasks, in ascending order.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<TaskRange>,
-    /// Tasks that each page of this job covers, if not the usual number.
+    /// The number of tasks that each page of this job covers. None if it is the default
+    /// number.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub tasks: Option<u32>,
 }
 
 impl Page {
-    /// How many tasks of the page are completed.
+    /// Returns the number of completed tasks of the page.
     pub fn done_count(&self) -> u32 {
         self.done.iter().map(|range| range.count).sum()
     }
 }
 
-/// How a job ended. The first record wins and is kept for ever.
+/// How a job ended. The record that is created first wins and is never deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobEnd {
     /// The final state.
     #[serde(rename = "s")]
     pub state: JobState,
-    /// How many tasks were completed.
+    /// The number of completed tasks.
     #[serde(rename = "d")]
     pub done: u32,
 }
 
 impl JobEnd {
-    /// What the end means to jobs that depend on the one that ended.
-    /// None for a state that is not final: its dependants keep waiting.
+    /// Returns the outcome for the jobs that depend on the ended job, or none for a
+    /// state that is not final: the dependent jobs keep waiting.
     pub fn outcome(&self) -> Option<Outcome> {
         match self.state {
             JobState::Done => Some(Outcome::Done),
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,4 +1,5 @@
-//! The records in memory, kept current by a watch.
+//! The in-memory copy of the durable records, kept current by a watch of the state
+//! service.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -9,7 +10,7 @@
 use serde_json::value::RawValue;
 
 use super::{
-    changes::{Change, changes_of},
+    changes::{Change, changes_from_effects},
     ended_jobs::EndedJobs,
     entries::{JobEntry, PageEntry},
     keys::RecordKey,
@@ -22,50 +23,54 @@
     state::Versioned,
 };
 
-/// The records as of one revision, and what this node committed since.
+/// The records as of one revision, plus the writes that this controller has committed
+/// since.
 ///
-/// A record is replaced only by a later version of itself: the node's own writes
-/// are recorded as soon as they are committed, and the watch brings them again.
+/// A record is only replaced by a later version of the same record. Own writes are put
+/// into the cache as soon as they are committed, and the watch delivers them a second
+/// time, possibly after newer versions.
 #[derive(Default)]
 pub struct WatchCache {
     /// The revision up to which the watch has been applied.
     pub revision: u64,
-    /// Whether all records have been read, and the watch goes on from there.
+    /// Whether all records have been read, so that a watch from `revision` keeps the
+    /// cache current.
     pub loaded: bool,
-    /// The leader record, while a controller leads.
+    /// The leader record, or none if no controller leads.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The last fencing token that any term may use.
     pub token: Versioned<u64>,
     /// The machine types that the cloud offered last.
     pub machine_types: Option<Versioned<Arc<Vec<MachineType>>>>,
-    /// Jobs whose submission is still recorded. It outlives the job's end until
-    /// the leader has dropped its records.
+    /// Jobs whose submission record still exists. An ended job stays here until the
+    /// leader has deleted the job's records.
     pub jobs: HashMap<JobId, JobEntry>,
-    /// Pages of each job by their number.
+    /// The pages of each job, by page number.
     pub pages: HashMap<JobId, BTreeMap<u32, PageEntry>>,
     /// How each ended job ended.
     pub ended_jobs: EndedJobs,
-    /// What the jobs that have not ended depend on.
+    /// The dependencies of the jobs that have not ended.
     pub dependencies: DependencyGraph,
-    /// Accepted jobs whose records can't be read: they are neither run nor
-    /// called unknown.
+    /// Accepted jobs whose submission record cannot be decoded. They are not run, but
+    /// are not reported as unknown either.
     pub unreadable_jobs: HashSet<JobId>,
-    /// The latest cancellations, by the revision of their end.
+    /// The latest cancellations, by the revision of the end record.
     pub recent_cancellations: RecentCancellations,
 }
 
 impl WatchCache {
-    /// An empty watch cache, for heartbeats that carry up to `cancellations`
-    /// cancelled jobs.
-    pub fn with_notice_limit(cancellations: usize) -> Self {
+    /// Returns an empty watch cache for heartbeats that carry up to `notice_limit`
+    /// cancelled jobs each.
+    pub fn with_notice_limit(notice_limit: usize) -> Self {
         Self {
-            recent_cancellations: RecentCancellations::with_notice_limit(cancellations),
+            recent_cancellations: RecentCancellations::with_notice_limit(notice_limit),
             ..Self::default()
         }
     }
 
-    /// Applies what a watch brought. Changes up to the revision that is reached
-    /// are passed over, so several watches may bring the same ones.
+    /// Applies the events of a watch, and returns the changes. `revision`: the revision
+    /// up to which the events are complete. Events up to the cache's revision are
+    /// skipped, so several watches may deliver the same events.
     pub fn apply(&mut self, events: Vec<Event>, revision: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         for event in events {
@@ -82,9 +87,11 @@
         changes
     }
 
-    /// Records a written value, unless a newer version is held already (a
-    /// committed write is recorded at once, before the watch brings it). A value
-    /// that cannot be decoded changes nothing.
+    /// Puts a written value into the cache, and returns the changes. Does nothing if the
+    /// cache already has the same or a newer version, because own writes are put on
+    /// commit, before the watch delivers them. A value that cannot be decoded is
+    /// skipped, with two exceptions: an undecodable leader record counts as no leader,
+    /// and a job with an undecodable submission is added to `unreadable_jobs`.
     pub fn put(&mut self, key: &str, raw: Box<RawValue>, version: u64) -> Vec<Change> {
         match RecordKey::parse(key) {
             Some(RecordKey::Leader) => self.put_leader(key, &raw, version),
@@ -158,7 +165,7 @@
 
     fn put_page(&mut self, job: &str, page: u32, raw: Box<RawValue>, version: u64) {
         let pages = self.pages.entry(job.into()).or_default();
-        if pages.get(&page).is_none_or(|held| held.version < version) {
+        if pages.get(&page).is_none_or(|current| current.version < version) {
             pages.insert(page, PageEntry::new(version, raw));
         }
     }
@@ -171,10 +178,10 @@
         let mut changes = vec![Change::Arrived(id.clone())];
         if !self.ended_jobs.contains(&id) {
             let outcome =
-                |needed: &JobId| self.ended_jobs.get(needed).and_then(|end| end.outcome());
+                |dependency: &JobId| self.ended_jobs.get(dependency).and_then(|end| end.outcome());
             let spec = &job.spec;
             let effects = self.dependencies.insert(&id, spec.priority, &spec.dependencies, outcome);
-            changes.extend(changes_of(effects));
+            changes.extend(changes_from_effects(effects));
         }
         self.jobs.insert(id, job);
         changes
@@ -187,18 +194,18 @@
         self.ended_jobs.insert(&id, end);
         let effects = end.outcome().map(|outcome| self.dependencies.end(&id, outcome));
         let mut changes = vec![Change::Ended(id)];
-        changes.extend(changes_of(effects.unwrap_or_default()));
+        changes.extend(changes_from_effects(effects.unwrap_or_default()));
         changes
     }
 
-    /// Records that a key was deleted, unless a newer version of it is held.
-    /// Ends, the token and the machine types are never deleted.
+    /// Removes a deleted record, unless the cache has a newer version of the record.
+    /// End records, the token and the machine types are never deleted.
     pub fn delete(&mut self, key: &str, version: u64) -> Option<Change> {
         match RecordKey::parse(key)? {
             RecordKey::Leader => {
-                // Our own taking of the key may have been recorded before the watch
-                // brings the end of the former one.
-                if self.leader.as_ref().is_some_and(|held| held.version < version) {
+                // This controller may have created its own leader record, which is put on
+                // commit, before the watch delivers the deletion of the previous one.
+                if self.leader.as_ref().is_some_and(|current| current.version < version) {
                     self.leader = None;
                 }
                 return Some(Change::Leader);
@@ -223,7 +230,7 @@
 
     fn delete_page(&mut self, job: &str, page: u32, version: u64) {
         let Some(pages) = self.pages.get_mut(job) else { return };
-        if pages.get(&page).is_some_and(|held| held.version < version) {
+        if pages.get(&page).is_some_and(|current| current.version < version) {
             pages.remove(&page);
         }
         if pages.is_empty() {
@@ -232,13 +239,14 @@
     }
 }
 
-/// Whether a version is later than that of the record that is held, if any.
-pub(super) fn is_newer<T>(version: u64, held: Option<&Versioned<T>>) -> bool {
-    held.is_none_or(|held| held.version < version)
+/// Whether a version is later than that of the current record, or there is no current
+/// record.
+pub(super) fn is_newer<T>(version: u64, current: Option<&Versioned<T>>) -> bool {
+    current.is_none_or(|current| current.version < version)
 }
 
 fn decode<'a, T: Deserialize<'a>>(key: &str, raw: &'a RawValue) -> Option<T> {
     serde_json::from_str(raw.get())
-        .inspect_err(|error| tracing::error!(key, %error, "record unreadable"))
+        .inspect_err(|error| tracing::error!(key, %error, "stored record could not be decoded"))
         .ok()
 }
