--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -1,33 +1,36 @@
-//! The frames between controllers: a list of sections, each with its kind.
+//! The format of the frames between controllers: a list of sections, each with a number
+//! for its kind.
 //!
-//! Bitcode doesn't describe itself, so a field is never added to a struct on the
-//! wire: it gets a section of its own, which controllers of another version skip.
+//! Bitcode is not self-describing: a struct with an added field cannot be decoded by
+//! other versions. So a new field never extends a struct on the wire. It gets a section
+//! of its own, which controllers that do not know the section skip.
 
 use crate::protocol::{ControllerHeartbeat, Features, WorkerContact};
 
-/// The frame length in bytes that every version receives. A heartbeat is a few
-/// dozen bytes, and some dozens more for each cancellation in it; a longer frame
-/// is not one of ours. A controller that receives longer frames announces it
-/// in its messages.
+/// The frame length in bytes that every version accepts. A heartbeat takes a few dozen
+/// bytes, plus a few dozen for each cancellation in it, so a longer frame does not come
+/// from a controller, unless this one announced a higher limit in its messages.
 pub const MIN_FRAME_LIMIT: usize = 64 * 1024;
 
-/// An upper bound on the bytes of one cancellation in a frame.
+/// An upper bound on the size in bytes of one cancellation in a frame.
 const MAX_CANCELLATION_BYTES: usize = 56;
 
-/// An upper bound on the bytes of a frame besides its cancellations.
+/// An upper bound on the size in bytes of a frame without its cancellations.
 const MAX_OVERHEAD_BYTES: usize = 4 * 1024;
 
-/// The number of cancellations that certainly fit a frame of this length in bytes.
+/// Returns the number of cancellations that always fit a frame of up to `frame_limit`
+/// bytes.
 pub fn max_cancellations_per_frame(frame_limit: usize) -> usize {
     frame_limit.saturating_sub(MAX_OVERHEAD_BYTES) / MAX_CANCELLATION_BYTES
 }
 
-/// The length in bytes of a frame that certainly holds so many cancellations.
+/// Returns the frame limit in bytes that allows for this number of cancellations.
 pub fn frame_limit_for(cancellations: usize) -> usize {
     (cancellations * MAX_CANCELLATION_BYTES + MAX_OVERHEAD_BYTES).max(MIN_FRAME_LIMIT)
 }
 
-/// A section of a frame: a body in bitcode, whose struct depends on the kind.
+/// A section of a frame. The body is the bitcode encoding of a struct that depends on the
+/// kind.
 #[derive(bitcode::Encode, bitcode::Decode)]
 struct Section {
     kind: u8,
@@ -40,13 +43,14 @@
     }
 }
 
+// Section kinds. Numbers are never changed or reused, because other versions rely on them.
 const HEARTBEAT_SECTION: u8 = 1;
 const CANCELLATIONS_SECTION: u8 = 2;
 pub(super) const FEATURES_SECTION: u8 = 3;
 const FRAME_LIMIT_SECTION: u8 = 4;
 pub(super) const WORKER_CONTACT_SECTION: u8 = 5;
 
-/// The features of this version.
+/// The features that this version supports.
 pub const SUPPORTED_FEATURES: Features = Features { small_pages: true };
 
 /// The content of one frame.
@@ -54,24 +58,27 @@
 pub struct Message {
     /// The sender's heartbeat, with the cancellations that it may have confirmed.
     pub heartbeat: ControllerHeartbeat,
-    /// The features of the sender's version; an older one sends none.
+    /// The features that the sender's version supports. Versions without this section
+    /// count as supporting none.
     pub features: Features,
-    /// The longest frame that the sender receives, in bytes.
+    /// The longest frame that the sender accepts, in bytes.
     pub frame_limit: usize,
-    /// Whether the sender, as a leader, receives its workers' heartbeats.
+    /// Whether the sender, if it leads, receives worker heartbeats.
     pub worker_contact: WorkerContact,
 }
 
 impl Message {
-    /// The message of this version with a heartbeat. `frame_limit`: the longest
-    /// frame that the sender receives, in bytes.
+    /// Returns a message of this version with a heartbeat. `frame_limit`: the longest
+    /// frame that the sender accepts, in bytes. The worker contact is set to the
+    /// default: not lost.
     pub fn new(heartbeat: ControllerHeartbeat, frame_limit: usize) -> Self {
         let worker_contact = WorkerContact::default();
         Self { heartbeat, features: SUPPORTED_FEATURES, frame_limit, worker_contact }
     }
 }
 
-/// The frame of a message. This outer form, a list of sections, never changes.
+/// Encodes a message as a frame. The frame's outer format, a list of sections, never
+/// changes.
 pub fn encode(message: Message) -> Vec<u8> {
     let Message { mut heartbeat, features, frame_limit, worker_contact } = message;
     let cancellations = heartbeat.cancellations.take();
@@ -87,24 +94,25 @@
     bitcode::encode(&sections)
 }
 
-/// Reads the sections that this version knows. A section that can't be read
-/// counts as absent. None if there is no readable heartbeat.
+/// Decodes the sections that this version knows. A section that cannot be decoded counts
+/// as absent. Returns none if the heartbeat section is absent.
 pub fn decode(frame: &[u8]) -> Option<Message> {
     let sections: Vec<Section> = bitcode::decode(frame).ok()?;
-    let mut heartbeat: ControllerHeartbeat = content(&sections, HEARTBEAT_SECTION)?;
-    heartbeat.cancellations = content(&sections, CANCELLATIONS_SECTION);
-    let frame_limit: Option<u64> = content(&sections, FRAME_LIMIT_SECTION);
+    let mut heartbeat: ControllerHeartbeat = decode_section(&sections, HEARTBEAT_SECTION)?;
+    heartbeat.cancellations = decode_section(&sections, CANCELLATIONS_SECTION);
+    let frame_limit: Option<u64> = decode_section(&sections, FRAME_LIMIT_SECTION);
     let frame_limit = frame_limit.and_then(|bytes| usize::try_from(bytes).ok()).unwrap_or(0);
     Some(Message {
         heartbeat,
-        features: content(&sections, FEATURES_SECTION).unwrap_or_default(),
+        features: decode_section(&sections, FEATURES_SECTION).unwrap_or_default(),
         frame_limit: frame_limit.max(MIN_FRAME_LIMIT),
-        worker_contact: content(&sections, WORKER_CONTACT_SECTION).unwrap_or_default(),
+        worker_contact: decode_section(&sections, WORKER_CONTACT_SECTION).unwrap_or_default(),
     })
 }
 
-/// The content of the first section of a kind, if it can be read.
-fn content<T: bitcode::DecodeOwned>(sections: &[Section], kind: u8) -> Option<T> {
+/// Returns the content of the first section of a kind, or none if the section is absent
+/// or cannot be decoded.
+fn decode_section<T: bitcode::DecodeOwned>(sections: &[Section], kind: u8) -> Option<T> {
     let section = sections.iter().find(|section| section.kind == kind)?;
     bitcode::decode(&section.body).ok()
 }
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! Sending and receiving frames over TCP.
+//! Sends and receives frames between controllers over TCP.
 
 use std::{
     net::SocketAddr,
@@ -24,46 +24,50 @@
 
 use super::frames::{Message, decode, encode};
 
-/// Incoming links at once for each other controller. One is in use; after cuts
-/// and restarts some more are left half open until they have been silent for a
-/// lease.
-const LINKS_PER_MEMBER: usize = 16;
+/// Maximum number of concurrent incoming links per other controller. Only one is in use.
+/// Network partitions and restarts leave further links half open, and these are closed
+/// only after they have received no frame for `receive_timeout`.
+const MAX_LINKS_PER_MEMBER: usize = 16;
 
-/// Frames that are sent have no limit of this side's own: what the receiver
-/// accepts bounds them.
-const MAX_SENT_FRAME: usize = u32::MAX as usize;
+/// Maximum length in bytes of a sent frame in the codec. It does not limit frames in
+/// practice: the messages are built to fit the frame limit that the receiver announced.
+const MAX_SENT_FRAME_BYTES: usize = u32::MAX as usize;
 
-/// Incoming links at once. Each may hold an unfinished frame, so without a bound
-/// whoever opens many could fill the memory of a small machine.
+/// Returns the maximum number of concurrent incoming links for `members` other
+/// controllers. Each link may buffer an incomplete frame, so a client that opens many
+/// links could otherwise exhaust the memory of a small machine.
 pub fn max_links(members: usize) -> usize {
-    members.max(1) * LINKS_PER_MEMBER
+    members.max(1) * MAX_LINKS_PER_MEMBER
 }
 
-/// The times and bounds of a controller's links.
+/// Timeouts and limits of a controller's links.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkSettings {
     /// The number of other controllers.
     pub members: usize,
-    /// The longest frame that this controller receives, in bytes.
+    /// The longest frame that this controller accepts, in bytes.
     pub frame_limit: usize,
-    /// An incoming link without a frame for so long is closed.
+    /// How long an incoming link may go without a frame before it is closed.
     pub receive_timeout: Duration,
-    /// The time between two heartbeats, and how long one may take to send.
+    /// The interval between two heartbeats, also the time-out for connecting and for
+    /// sending a heartbeat.
     pub heartbeat_interval: Duration,
 }
 
-/// What links need of the controller that they belong to.
+/// The controller's side of its links: provides the messages to send and processes the
+/// received ones.
 pub trait MessageHandler: Send + Sync + 'static {
-    /// The times and bounds of the links.
+    /// Returns the timeouts and limits of the links.
     fn link_settings(&self) -> LinkSettings;
 
-    /// The message for one other controller now.
+    /// Returns the message to send now to one other controller.
     fn message(&self, receiver: &str) -> Message;
 
     /// Processes another controller's message.
     fn on_message(&self, message: Message);
 
-    /// Changes whenever heartbeats are to be sent at once.
+    /// Returns a channel that changes whenever heartbeats are to be sent immediately,
+    /// before the current interval ends.
     fn immediate_heartbeats(&self) -> watch::Receiver<()>;
 }
 
@@ -78,12 +82,12 @@
     stop: CancellationToken,
 ) {
     let slots = Arc::new(Semaphore::new(max_links(handler.link_settings().members)));
-    let unreadable_logged = Arc::new(AtomicBool::new(false));
+    let undecodable_logged = Arc::new(AtomicBool::new(false));
     let link = |stream: TcpStream, stop: CancellationToken| {
-        let (handler, unreadable_logged) = (handler.clone(), unreadable_logged.clone());
+        let (handler, undecodable_logged) = (handler.clone(), undecodable_logged.clone());
         async move {
             tokio::select! {
-                () = receive(handler, stream, &unreadable_logged) => {}
+                () = receive(handler, stream, &undecodable_logged) => {}
                 () = stop.cancelled() => {}
             }
         }
@@ -91,29 +95,33 @@
     accept_each(listener, slots, stop, link).await;
 }
 
-/// Receives the frames of one link. `unreadable_logged`: an unreadable one was
-/// logged by this process; whoever sends one sends many.
+/// Receives the frames of one link. `undecodable_logged`: whether this process has logged
+/// an undecodable frame. Only the first one is logged, because a controller that sends
+/// one sends such a frame with every heartbeat.
 async fn receive<H: MessageHandler>(
     handler: Arc<H>,
     stream: TcpStream,
-    unreadable_logged: &AtomicBool,
+    undecodable_logged: &AtomicBool,
 ) {
-    let timing = handler.link_settings();
-    let mut frames = FramedRead::new(stream, codec(timing.frame_limit));
-    while let Ok(Some(Ok(frame))) = timeout(timing.receive_timeout, frames.next()).await {
+    let settings = handler.link_settings();
+    let mut frames = FramedRead::new(stream, codec(settings.frame_limit));
+    while let Ok(Some(Ok(frame))) = timeout(settings.receive_timeout, frames.next()).await {
         match decode(&frame) {
             Some(message) => handler.on_message(message),
-            // A newer version may send what this one can't read, and later
-            // frames may be readable: the link stays.
-            None if !unreadable_logged.swap(true, Ordering::Relaxed) => {
-                warn!("controller heartbeat unreadable; further ones are not logged");
+            // A newer version may send frames that this one cannot decode. The link stays
+            // open, because later frames may be decodable.
+            None if !undecodable_logged.swap(true, Ordering::Relaxed) => {
+                warn!(
+                    "controller heartbeat could not be decoded and was ignored; further ones are not logged"
+                );
             }
             None => {}
         }
     }
 }
 
-/// Sends heartbeats to one other controller until `stop` is cancelled.
+/// Sends heartbeats to one other controller, and reconnects after failures, until `stop`
+/// is cancelled.
 pub async fn send_heartbeats<H: MessageHandler>(
     handler: Arc<H>,
     receiver: String,
@@ -136,7 +144,8 @@
     }
 }
 
-/// Sends heartbeats over one connection until one can't be sent in time.
+/// Sends heartbeats over one connection until one fails or takes longer than the heartbeat
+/// interval to send.
 async fn send_until_failure<H: MessageHandler>(
     handler: &H,
     receiver: &str,
@@ -144,7 +153,7 @@
     immediate: &mut watch::Receiver<()>,
 ) {
     let interval = handler.link_settings().heartbeat_interval;
-    let mut frames = FramedWrite::new(stream, codec(MAX_SENT_FRAME));
+    let mut frames = FramedWrite::new(stream, codec(MAX_SENT_FRAME_BYTES));
     loop {
         let frame = Bytes::from(encode(handler.message(receiver)));
         match timeout(interval, frames.send(frame)).await {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,14 +1,16 @@
-//! Links between the controllers: each sends the others heartbeats several times per
-//! leader lease, in bitcode frames over TCP.
+//! Links between the controllers: each controller sends every other one heartbeats several
+//! times per leader lease, in bitcode frames over TCP.
 //!
-//! A heartbeat carries no authority. It lets a superseded leader learn of its
-//! successor, a node that alone lost the state service learn that it is the only
-//! one, a leader know that nobody else renews workers' leases
-//! (`lease_renewal`), and a leader that receives no worker heartbeats learn
-//! that the workers live.
+//! A heartbeat grants no authority. From heartbeats
+//!
+//! - a superseded leader learns of its successor,
+//! - a controller that cannot reach the state service learns whether the others can,
+//! - a leader learns that no other controller renews workers' leases
+//!   (`lease_renewal`), and
+//! - a leader that receives no worker heartbeats learns that the workers are alive.
 //!
 //! `frames` encodes and decodes messages, `links` sends and receives them, and
-//! `peer_status` holds what this controller knows of the others.
+//! `peer_status` records what the other controllers reported.
 
 mod frames;
 mod links;
--- a/src/peers/peer_status.rs
+++ b/src/peers/peer_status.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of the others from their messages.
+//! The state of the other controllers, as they reported it in their messages.
 
 use std::{collections::HashMap, sync::Mutex};
 
@@ -14,16 +14,17 @@
     protocol::{ControllerHeartbeat, Features, WorkerContact},
 };
 
-/// What one other controller has reported. A section that its version doesn't
-/// send leaves the default.
+/// The state that one other controller reported. If its version does not send a section,
+/// the default remains.
 struct PeerStatus {
     latest_heartbeat: Option<ReceivedHeartbeat>,
-    /// It has reported once that it supports small pages; it does so for good.
+    /// Whether the controller has ever reported that it supports small pages. Never reset.
     supports_small_pages: bool,
-    /// The longest frame that it receives, in bytes, by its latest message.
+    /// The longest frame that the controller accepts, in bytes, according to its latest
+    /// message.
     frame_limit: usize,
-    /// When it last reported that it leads and receives hardly any worker heartbeats;
-    /// none once it reports otherwise.
+    /// When the controller last reported that it leads and receives hardly any worker
+    /// heartbeats. None if its latest message does not report so.
     lost_workers_at: Option<Instant>,
 }
 
@@ -43,22 +44,24 @@
     }
 }
 
-/// What is known of each other controller, and the proofs about workers' leases
-/// and cancellations that follow from it.
+/// The reported state of all other controllers, and the knowledge about workers' leases
+/// and cancellations that is derived from their heartbeats.
 pub struct Peers {
     statuses: Mutex<HashMap<String, PeerStatus>>,
-    /// Who abstains from renewing workers' leases, this controller and the others.
+    /// The abstentions from renewing workers' leases, of this controller and the others.
     abstentions: Mutex<RenewalAbstentions>,
-    /// Up to when the cancellations that each controller may have confirmed are known.
+    /// For each other controller, the time up to which all cancellations that it may have
+    /// confirmed to users are known.
     cancellation_watermarks: Mutex<CancellationWatermarks>,
-    /// Changed when heartbeats are to be sent at once.
+    /// Changed when heartbeats are to be sent immediately.
     immediate_heartbeats: watch::Sender<()>,
 }
 
 impl Peers {
-    /// `members`: the other controllers. `abstention`: for how long each leader's
-    /// heartbeat keeps this one from renewing workers' leases. `incarnation`:
-    /// of this process.
+    /// Returns a table without any reports. `members`: the names of the other
+    /// controllers. `abstention`: for how long a received leader heartbeat keeps this
+    /// controller from renewing workers' leases. `incarnation`: the incarnation of this
+    /// process.
     pub fn new(members: Vec<String>, abstention: Duration, incarnation: u64) -> Self {
         let abstentions = RenewalAbstentions::new(members, incarnation, abstention, Instant::now());
         Self {
@@ -69,40 +72,42 @@
         }
     }
 
-    /// A term as leader begins: only abstentions from now on count.
+    /// Begins a term as leader: only abstentions from now on count.
     pub fn begin_term(&self) {
         lock(&self.abstentions).begin_term();
     }
 
-    /// The identity of the next heartbeat to a member, and what it acknowledges.
+    /// Returns the identity of the next heartbeat to a member, and the leader heartbeat
+    /// that it acknowledges.
     pub fn next_heartbeat(&self, receiver: &str) -> OutgoingHeartbeat {
         lock(&self.abstentions).next_heartbeat(receiver, Instant::now())
     }
 
-    /// Whether this controller may renew workers' leases as a follower: no abstention
-    /// binds it.
+    /// Whether this controller may renew workers' leases as a follower, that is, whether
+    /// no abstention is in effect.
     pub fn may_renew(&self, now: Instant) -> bool {
         lock(&self.abstentions).may_renew(now)
     }
 
-    /// Since when certainly no other controller has answered worker heartbeats, or none
-    /// if one might be answering now.
+    /// Returns the time since which no other controller can have answered worker
+    /// heartbeats, or none if one might be answering now.
     pub fn sole_renewer_since(&self, now: Instant) -> Option<Instant> {
         lock(&self.abstentions).sole_renewer_since(now)
     }
 
-    /// Records a read of the state service that was requested at this moment.
+    /// Records a successful read of the state service that was requested at
+    /// `requested_at`.
     pub fn record_read(&self, requested_at: Instant) {
         lock(&self.cancellation_watermarks).record_read(requested_at);
     }
 
-    /// When the latest read of the state service was requested.
+    /// Returns when the latest successful read of the state service was requested.
     pub fn last_read_at(&self) -> Option<Instant> {
         lock(&self.cancellation_watermarks).last_read_at()
     }
 
-    /// The moment up to which every cancellation that any of `members` may have
-    /// confirmed is known.
+    /// Returns the time up to which every cancellation that any of `members` may have
+    /// confirmed to users is known.
     pub fn cancellations_known_until<'a>(
         &self,
         members: impl Iterator<Item = &'a str>,
@@ -110,22 +115,22 @@
         lock(&self.cancellation_watermarks).known_until(members)
     }
 
-    /// Records a heartbeat. `revision`: what this node's watch cache has reached,
-    /// with the cancellations of the heartbeat in it.
+    /// Records a heartbeat. `revision`: the revision of this controller's watch cache,
+    /// after the heartbeat's cancellations were applied.
     pub fn record_heartbeat(&self, heartbeat: ControllerHeartbeat, revision: u64) {
         let received_at = Instant::now();
-        let leads = heartbeat.leads.then_some(heartbeat.revision);
-        let sent = lock(&self.abstentions).receive(
+        let leader_revision = heartbeat.leads.then_some(heartbeat.revision);
+        let acknowledged_sent_at = lock(&self.abstentions).receive(
             &heartbeat.member,
             heartbeat.id,
-            leads,
+            leader_revision,
             heartbeat.acknowledged,
             received_at,
         );
         let notice = heartbeat.cancellations.as_ref();
         let is_complete = notice.is_some_and(|notice| notice.complete && notice.since <= revision);
-        if let Some(sent) = sent.filter(|_| is_complete) {
-            lock(&self.cancellation_watermarks).record_complete_notice(&heartbeat.member, sent);
+        if let Some(sent_at) = acknowledged_sent_at.filter(|_| is_complete) {
+            lock(&self.cancellation_watermarks).record_complete_notice(&heartbeat.member, sent_at);
         }
         let member = heartbeat.member.clone();
         self.update(&member, |status| {
@@ -133,17 +138,18 @@
         });
     }
 
-    /// Records the features of a member's version, for good.
+    /// Records the features of a member's version. A feature once reported is kept
+    /// permanently.
     pub fn record_features(&self, member: &str, features: Features) {
         self.update(member, |status| status.supports_small_pages |= features.small_pages);
     }
 
-    /// Records the longest frame that a member receives, in bytes.
+    /// Records the longest frame that a member accepts, in bytes.
     pub fn record_frame_limit(&self, member: &str, frame_limit: usize) {
         self.update(member, |status| status.frame_limit = frame_limit);
     }
 
-    /// Records whether a member, as a leader, receives its workers' heartbeats.
+    /// Records whether a member, if it leads, receives worker heartbeats.
     pub fn record_worker_contact(&self, member: &str, contact: WorkerContact) {
         let lost_workers_at = contact.lost.then(Instant::now);
         self.update(member, |status| status.lost_workers_at = lost_workers_at);
@@ -157,29 +163,30 @@
         }
     }
 
-    /// Whether a member reported within this time that it leads and receives hardly
-    /// any worker heartbeats.
+    /// Whether a member reported within the last `within` that it leads and receives
+    /// hardly any worker heartbeats, and has not reported otherwise since.
     pub fn reported_lost_workers(&self, member: &str, within: Duration) -> bool {
         let lost_workers_at = lock(&self.statuses).get(member).and_then(|s| s.lost_workers_at);
         lost_workers_at.is_some_and(|at| at.elapsed() < within)
     }
 
-    /// Has the next heartbeat to every member sent at once.
+    /// Requests that a heartbeat is sent to every member immediately.
     pub fn request_immediate_heartbeats(&self) {
         self.immediate_heartbeats.send_replace(());
     }
 
-    /// Changes whenever heartbeats are to be sent at once.
+    /// Returns a channel that changes whenever heartbeats are to be sent immediately.
     pub fn immediate_heartbeats(&self) -> watch::Receiver<()> {
         self.immediate_heartbeats.subscribe()
     }
 
-    /// The longest frame that a member certainly receives, in bytes.
+    /// Returns the longest frame that a member is known to accept, in bytes:
+    /// `MIN_FRAME_LIMIT` before the member's first message.
     pub fn frame_limit(&self, member: &str) -> usize {
         lock(&self.statuses).get(member).map_or(MIN_FRAME_LIMIT, |status| status.frame_limit)
     }
 
-    /// Whether every one of these members supports small pages.
+    /// Whether every one of these members has reported that it supports small pages.
     pub fn all_support_small_pages<'a>(&self, members: impl IntoIterator<Item = &'a str>) -> bool {
         let statuses = lock(&self.statuses);
         members
@@ -187,16 +194,16 @@
             .all(|member| statuses.get(member).is_some_and(|status| status.supports_small_pages))
     }
 
-    /// Whether this process has received a heartbeat of this member, but none for
-    /// so long.
+    /// Whether this process has received heartbeats of a member, but none within the last
+    /// `silence`.
     pub fn fell_silent(&self, member: &str, silence: Duration) -> bool {
         let statuses = lock(&self.statuses);
         let latest = statuses.get(member).and_then(|status| status.latest_heartbeat.as_ref());
         latest.is_some_and(|latest| latest.received_at.elapsed() >= silence)
     }
 
-    /// Whether a heartbeat of another controller that was received within this
-    /// time, the latest of its sender, fulfils the condition.
+    /// Whether, for any other controller, the latest heartbeat was received within the
+    /// last `within` and fulfils the condition.
     pub fn any_recent(
         &self,
         within: Duration,
--- a/src/store/full_reading.rs
+++ b/src/store/full_reading.rs
@@ -17,22 +17,22 @@
     pub fn record_ends(&mut self, mut items: Vec<Item>) -> (Vec<Change>, Vec<Item>) {
         let is_end = |item: &mut Item| keys::is_end_key(&item.key);
         let ends: Vec<Item> = items.extract_if(.., is_end).collect();
-        let put = |item: Item| self.put(&item.key, item.value, item.version);
-        (ends.into_iter().flat_map(put).collect(), items)
+        let put_item = |item: Item| self.put(&item.key, item.value, item.version);
+        (ends.into_iter().flat_map(put_item).collect(), items)
     }
 
     /// Replaces the content of the watch cache by a full read. Returns the changes.
     ///
     /// A full read takes several requests, and records change between them, so
     /// `items` do not show the records at a single revision: a job's record and its end
-    /// record may both be missing. `events` are all changes after `first_revision`, the
+    /// record may both be missing. `later_events` are all changes after `first_revision`, the
     /// revision at which the read began, in order. Once they are applied, the watch
     /// cache is consistent with a single revision.
     pub fn replace(
         &mut self,
         items: Vec<Item>,
         first_revision: u64,
-        events: Events,
+        later_events: Events,
     ) -> Vec<Change> {
         let mut old = std::mem::take(self);
         // Ends are final and their records are never deleted, so they stay valid.
@@ -43,7 +43,7 @@
             changes.extend(self.put(&item.key, item.value, item.version));
         }
         self.revision = first_revision;
-        changes.extend(self.apply(events.events, events.revision));
+        changes.extend(self.apply(later_events.events, later_events.revision));
         let revision = self.revision;
         self.keep_newer_records(&old, revision);
         for id in old.jobs.keys().filter(|id| !self.jobs.contains_key(*id)) {
