--- a/src/peers/frames.rs
+++ b/src/peers/frames.rs
@@ -24,7 +24,8 @@
     frame_limit.saturating_sub(MAX_OVERHEAD_BYTES) / MAX_CANCELLATION_BYTES
 }
 
-/// Returns the frame limit in bytes that allows for this number of cancellations.
+/// Returns the frame limit in bytes at which this number of cancellations always fits a
+/// frame.
 pub fn frame_limit_for(cancellations: usize) -> usize {
     (cancellations * MAX_CANCELLATION_BYTES + MAX_OVERHEAD_BYTES).max(MIN_FRAME_LIMIT)
 }
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -40,7 +40,7 @@
     members.max(1) * MAX_LINKS_PER_MEMBER
 }
 
-/// Timeouts and limits of a controller's links.
+/// Time-outs and limits of a controller's links.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkSettings {
     /// The number of other controllers.
@@ -49,15 +49,15 @@
     pub frame_limit: usize,
     /// How long an incoming link may go without a frame before it is closed.
     pub receive_timeout: Duration,
-    /// The interval between two heartbeats, also the time-out for connecting and for
-    /// sending a heartbeat.
+    /// The interval between two heartbeats. It is also the time-out for connecting and
+    /// for sending one heartbeat.
     pub heartbeat_interval: Duration,
 }
 
 /// The controller's side of its links: provides the messages to send and processes the
 /// received ones.
 pub trait MessageHandler: Send + Sync + 'static {
-    /// Returns the timeouts and limits of the links.
+    /// Returns the time-outs and limits of the links.
     fn link_settings(&self) -> LinkSettings;
 
     /// Returns the message to send now to one other controller.
@@ -111,9 +111,7 @@
             // A newer version may send frames that this one cannot decode. The link stays
             // open, because later frames may be decodable.
             None if !undecodable_logged.swap(true, Ordering::Relaxed) => {
-                warn!(
-                    "controller heartbeat could not be decoded and was ignored; further ones are not logged"
-                );
+                warn!("controller heartbeat could not be decoded; further ones are not logged");
             }
             None => {}
         }
@@ -129,11 +127,11 @@
     stop: CancellationToken,
 ) {
     let interval = handler.link_settings().heartbeat_interval;
-    let mut immediate = handler.immediate_heartbeats();
+    let mut immediate_heartbeats = handler.immediate_heartbeats();
     let send = async {
         loop {
             if let Ok(Ok(stream)) = timeout(interval, TcpStream::connect(endpoint)).await {
-                send_until_failure(&*handler, &receiver, stream, &mut immediate).await;
+                send_until_failure(&*handler, &receiver, stream, &mut immediate_heartbeats).await;
             }
             tokio::time::sleep(interval).await;
         }
@@ -150,14 +148,14 @@
     handler: &H,
     receiver: &str,
     stream: TcpStream,
-    immediate: &mut watch::Receiver<()>,
+    immediate_heartbeats: &mut watch::Receiver<()>,
 ) {
     let interval = handler.link_settings().heartbeat_interval;
     let mut frames = FramedWrite::new(stream, codec(MAX_SENT_FRAME_BYTES));
     loop {
         let frame = Bytes::from(encode(handler.message(receiver)));
         match timeout(interval, frames.send(frame)).await {
-            Ok(Ok(())) => drop(timeout(interval, immediate.changed()).await),
+            Ok(Ok(())) => drop(timeout(interval, immediate_heartbeats.changed()).await),
             _ => return,
         }
     }
--- a/src/peers/peer_status.rs
+++ b/src/peers/peer_status.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Begins a term as leader: only abstentions from now on count.
+    /// Begins a term as leader. Abstentions from before the term no longer count.
     pub fn begin_term(&self) {
         lock(&self.abstentions).begin_term();
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -7,7 +7,7 @@
 //! | key | value | written by |
 //! | --- | --- | --- |
 //! | `sw/lead` | the current leader, attached to the leader's lease | a candidate |
-//! | `sw/token` | the last fencing token that a term may use, never attached to a lease | a candidate |
+//! | `sw/token` | the highest fencing token assigned to a term so far, never attached to a lease | a candidate |
 //! | `sw/types` | the machine types that the cloud offered last | the leader |
 //! | `sw/stray` | the controller that last rejected worker heartbeats while it could not reach the leader | any controller |
 //! | `sw/j/{job}` | the job as submitted, never changed | any controller |
--- a/src/store/entries.rs
+++ b/src/store/entries.rs
@@ -29,7 +29,10 @@
         let (done, running) = match serde_json::from_str::<Page>(raw.get()) {
             Ok(page) => (page.done_count(), page.bound.len() as u32),
             Err(error) => {
-                tracing::error!(%error, "page record could not be decoded; its tasks are not counted");
+                tracing::error!(
+                    %error,
+                    "page record could not be decoded; its tasks are not counted"
+                );
                 (0, 0)
             }
         };
@@ -40,8 +43,7 @@
 /// An accepted job.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// The revision at which the record was created. Jobs are ordered by arrival
-    /// with it.
+    /// The revision at which the submission record was created. Orders jobs by arrival.
     pub version: u64,
     /// The job as submitted.
     pub spec: Arc<JobSpec>,
--- a/src/store/full_reading.rs
+++ b/src/store/full_reading.rs
@@ -24,10 +24,10 @@
     /// Replaces the content of the watch cache by a full read. Returns the changes.
     ///
     /// A full read takes several requests, and records change between them, so
-    /// `items` do not show the records at a single revision: a job's record and its end
-    /// record may both be missing. `later_events` are all changes after `first_revision`, the
-    /// revision at which the read began, in order. Once they are applied, the watch
-    /// cache is consistent with a single revision.
+    /// `items` do not show the records as of a single revision: a job's submission and
+    /// its end record may both be missing. `later_events` are all changes after
+    /// `first_revision`, the revision at which the read began, in order. Once they are
+    /// applied, the watch cache shows the records as of a single revision.
     pub fn replace(
         &mut self,
         items: Vec<Item>,
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -5,8 +5,9 @@
 pub const KEY_PREFIX: &str = "sw/";
 /// Key of the leader record, which is attached to the leader's lease.
 pub const LEADER_KEY: &str = "sw/lead";
-/// Key of the last fencing token that any term may use. This record is never attached
-/// to a lease, so that it outlives every leader.
+/// Key of the highest fencing token that has been assigned to a term; the next term's
+/// tokens start after it. Never attached to a lease, so that the record outlives every
+/// leader.
 pub const TOKEN_KEY: &str = "sw/token";
 /// Key of the machine types that the cloud offered last.
 pub const MACHINE_TYPES_KEY: &str = "sw/types";
@@ -38,8 +39,8 @@
     key.starts_with(JOB_END_KEYS)
 }
 
-/// The record that a key identifies. Job names are taken from the key unchecked: the
-/// caller checks that they have the form of a job id.
+/// The record that a key identifies. Job names are taken from the key unchecked:
+/// whether they have the form of a job id is up to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordKey<'a> {
     Leader,
--- a/src/store/recent_cancellations.rs
+++ b/src/store/recent_cancellations.rs
@@ -1,9 +1,9 @@
 //! The latest cancellations by revision, for the notices in controller heartbeats.
 //!
 //! A heartbeat notifies a leader of the jobs that were cancelled after the revision
-//! that the leader's watch cache has reached, up to a fixed number of jobs. Older
-//! cancellations are never sent, so keeping them would only let memory grow without
-//! bound.
+//! that the leader's watch cache has reached, up to a fixed number of jobs. Much
+//! older cancellations are of no use to any receiver, and keeping them would let memory
+//! grow without bound.
 
 use std::collections::BTreeSet;
 
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -26,9 +26,9 @@
 /// The records as of one revision, plus the writes that this controller has committed
 /// since.
 ///
-/// A record is only replaced by a later version of the same record. Own writes are put
-/// into the cache as soon as they are committed, and the watch delivers them a second
-/// time, possibly after newer versions.
+/// A record is only replaced by a later version of the same record: the controller's
+/// own writes are put into the cache as soon as they are committed, and the watch
+/// delivers them again later.
 #[derive(Default)]
 pub struct WatchCache {
     /// The revision up to which the watch has been applied.
@@ -38,7 +38,7 @@
     pub loaded: bool,
     /// The leader record, or none if no controller leads.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The last fencing token that any term may use.
+    /// The highest fencing token that has been assigned to a term.
     pub token: Versioned<u64>,
     /// The machine types that the cloud offered last.
     pub machine_types: Option<Versioned<Arc<Vec<MachineType>>>>,
@@ -88,8 +88,8 @@
     }
 
     /// Puts a written value into the cache, and returns the changes. Does nothing if the
-    /// cache already has the same or a newer version, because own writes are put on
-    /// commit, before the watch delivers them. A value that cannot be decoded is
+    /// cache already has the same or a newer version, because the controller's
+    /// own writes are put on commit, before the watch delivers them. A value that cannot be decoded is
     /// skipped, with two exceptions: an undecodable leader record counts as no leader,
     /// and a job with an undecodable submission is added to `unreadable_jobs`.
     pub fn put(&mut self, key: &str, raw: Box<RawValue>, version: u64) -> Vec<Change> {
