--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -16,7 +16,7 @@
 use crate::{
     fleet::{Machine, TaskKey},
     protocol::{JobId, MachineId, Shape},
-    scheduler::{Decisions, GrantedWidth, PlacedTask, Stopping},
+    scheduler::{Decisions, GrantedWidth, PlacedTask, TaskStop},
 };
 
 impl Leader {
@@ -49,7 +49,7 @@
         for stopping in decisions.stop {
             self.preempt(stopping, now);
         }
-        for id in decisions.awaited {
+        for id in decisions.machines_to_keep {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
                 machine.idle_since = machine.has_reported().then_some(now);
             }
@@ -74,10 +74,10 @@
         }
     }
 
-    fn preempt(&mut self, stopping: Stopping, now: Instant) {
-        let Stopping { job, task, at_once } = stopping;
-        info!(%job, task, at_once, "task preempted");
-        let grace = if at_once { GracePeriod::None } else { GracePeriod::OfJob };
+    fn preempt(&mut self, stopping: TaskStop, now: Instant) {
+        let TaskStop { job, task, without_grace } = stopping;
+        info!(%job, task, without_grace, "task preempted");
+        let grace = if without_grace { GracePeriod::None } else { GracePeriod::OfJob };
         self.stop(&TaskKey { job, task }, grace, now);
     }
 
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -75,7 +75,7 @@
             stopping,
             ready,
             empty: machine.bound.is_empty(),
-            awaited: false,
+            allocated_in_pass: false,
             reservation: self.reservations.get(id).cloned(),
             images: machine.images.names().cloned().collect(),
         })
@@ -125,11 +125,11 @@
             remaining: job.remaining(),
             bound: bound.map(|(&task, b)| bound_view(job, task, b, positions, now)).collect(),
             width: job.width,
-            patience_s: self.patience_s(job, now),
+            remaining_wait_s: self.patience_s(job, now),
             // Known only once all jobs of the team are seen together.
             guaranteed: false,
             blocked: crowded || job.backoff_until.is_some(),
-            avoid: self.machines_to_avoid(job),
+            avoided_machines: self.machines_to_avoid(job),
         }
     }
 
@@ -180,7 +180,7 @@
         machine: positions.get(&binding.machine).copied(),
         zone: binding.zone,
         stopping: binding.stop.is_some(),
-        settled: ran_s > SETTLED_S,
-        loss_s: if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran_s },
+        movable: ran_s > SETTLED_S,
+        lost_work_s: if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran_s },
     }
 }
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -11,7 +11,7 @@
 use crate::{
     protocol::{Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Shape, Write},
     replies::{Unavailable, UserReply},
-    scheduler::{TeamUse, is_eligible, team_room},
+    scheduler::{TeamUse, is_eligible, tasks_within_team_limit},
     state::{StateError, lock},
     store,
 };
@@ -214,7 +214,7 @@
             return Ok(Some("a task fits no allowed machine type".into()));
         }
         let needed = if spec.shape == Shape::Array { 1 } else { spec.tasks };
-        if team_room(Some(team), &TeamUse::default(), spec) < needed {
+        if tasks_within_team_limit(Some(team), &TeamUse::default(), spec) < needed {
             return Ok(Some("needs more than its team's limit".into()));
         }
         Ok(None)
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -9,7 +9,7 @@
 use super::{
     decisions::{Decisions, GrantedWidth},
     optimizer::{Curve, Program},
-    quota::team_room,
+    quota::tasks_within_team_limit,
     resources::Resources,
     snapshot::Snapshot,
     team_use::TeamUse,
@@ -174,7 +174,8 @@
     for at in arrays {
         let job = &snapshot.jobs[at];
         let usage = used.entry(job.spec.team.clone()).or_default();
-        let limit = team_room(snapshot.settings.team(&job.spec.team), usage, &job.spec);
+        let limit =
+            tasks_within_team_limit(snapshot.settings.team(&job.spec.team), usage, &job.spec);
         let max_tasks = job.remaining.min(limit);
         usage.cpus += job.spec.cpus * f64::from(max_tasks);
         usage.gpus += job.spec.gpus * f64::from(max_tasks);
--- a/src/scheduler/admission/tests.rs
+++ b/src/scheduler/admission/tests.rs
@@ -55,10 +55,10 @@
         remaining: tasks,
         bound: Vec::new(),
         width,
-        patience_s: None,
+        remaining_wait_s: None,
         guaranteed: false,
         blocked: false,
-        avoid: Vec::new(),
+        avoided_machines: Vec::new(),
     }
 }
 
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -58,7 +58,7 @@
             machine.ready == (readiness == MachineReadiness::Ready)
                 && eligibility.accepts(machine)
                 && machine.takes_tasks_of(&job.id)
-                && !job.avoid.contains(&machine.id)
+                && !job.avoided_machines.contains(&machine.id)
                 && !(spot_is_obtainable && machine.empty && !machine.spot)
         })
         .collect();
@@ -119,7 +119,7 @@
     let mut places: BinaryHeap<Place> = open
         .iter()
         .map(|&m| (m, &snapshot.machines[m].free))
-        .filter(|(_, free)| free.holds(&need))
+        .filter(|(_, free)| free.has_capacity_for(&need))
         .map(|(machine, free)| Place {
             cost: placement_cost(snapshot, job, machine, free, EarlierPlace::None),
             machine,
@@ -137,7 +137,7 @@
         found.push(machine);
         let free = free.entry(machine).or_insert(snapshot.machines[machine].free);
         free.sub(&need);
-        if free.holds(&need) {
+        if free.has_capacity_for(&need) {
             snapshot.count_evaluated(1);
             places.push(Place {
                 cost: placement_cost(snapshot, job, machine, free, EarlierPlace::Taken),
@@ -197,7 +197,7 @@
     let kind = snapshot.type_of(machine);
     let fetch = if taken { 0.0 } else { fetch_time_s(snapshot, job, machine) };
     // A fetch that may make the job miss its objective for waiting costs more.
-    let late = job.patience_s.is_some_and(|p| p > 0.0 && fetch * SLOW_FETCH > p);
+    let late = job.remaining_wait_s.is_some_and(|p| p > 0.0 && fetch * SLOW_FETCH > p);
     let fetch = if late { fetch + kind.boot_s } else { fetch };
     let total = Resources::of_type(kind);
     let fills = Resources::of_task(&job.spec).share_of(&total) > 0.5;
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -8,7 +8,7 @@
 
 use super::{
     bin_packing::{MachineReadiness, fetch_s, find_machines},
-    decisions::{Decisions, Stopping},
+    decisions::{Decisions, TaskStop},
     resources::Resources,
     snapshot::{Snapshot, TaskSlot, bind_tentatively},
     vacancy::{keep_vacated_place, machines_for, room_after_stops, stop},
@@ -91,11 +91,11 @@
     for &slot in bound {
         let other = &snapshot.jobs[slot.job];
         let binding = &other.bound[slot.binding];
-        if binding.stopping || room.holds(&need) {
+        if binding.stopping || room.has_capacity_for(&need) {
             continue;
         }
         let stops = other.spec.shape == Shape::Array && other.priority < job.priority;
-        let moves = other.spec.shape == Shape::Service && binding.settled;
+        let moves = other.spec.shape == Shape::Service && binding.movable;
         if stops || moves {
             room.add(&Resources::of_task(&other.spec));
             tasks.push(slot);
@@ -105,7 +105,7 @@
         }
     }
     let moved = moved.share_of(&Resources::of_type(snapshot.type_of(machine)));
-    let is_worth_it = room.holds(&need) && moved <= MAX_MOVED_SHARE;
+    let is_worth_it = room.has_capacity_for(&need) && moved <= MAX_MOVED_SHARE;
     is_worth_it.then_some(Candidate { machine, tasks, moved })
 }
 
@@ -170,7 +170,7 @@
             break;
         }
         // A machine that a move just decided on counts on stays.
-        if !snapshot.machines[machine].awaited
+        if !snapshot.machines[machine].allocated_in_pass
             && vacate(snapshot, &bound_by_machine[machine], machine, decisions)
         {
             room -= 1.0;
@@ -197,7 +197,7 @@
     let movable = |slot: &TaskSlot| {
         let job = &snapshot.jobs[slot.job];
         let binding = &job.bound[slot.binding];
-        job.spec.shape == Shape::Service && binding.settled && !binding.stopping
+        job.spec.shape == Shape::Service && binding.movable && !binding.stopping
     };
     let view = &snapshot.machines[machine];
     !bound.is_empty()
@@ -238,7 +238,7 @@
     for Move { slot, .. } in moves {
         let job = &snapshot.jobs[slot.job];
         let task = job.bound[slot.binding].task;
-        decisions.stop.push(Stopping { job: job.id.clone(), task, at_once: false });
+        decisions.stop.push(TaskStop { job: job.id.clone(), task, without_grace: false });
     }
     true
 }
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -16,13 +16,13 @@
 
 /// A task to stop for work of higher priority, or to move.
 #[derive(Debug, PartialEq)]
-pub struct Stopping {
+pub struct TaskStop {
     /// The task's job.
     pub job: JobId,
     /// The task's number.
     pub task: u32,
     /// Without the time to save a checkpoint.
-    pub at_once: bool,
+    pub without_grace: bool,
 }
 
 /// The width of an array from now on.
@@ -49,13 +49,13 @@
     /// Tasks to bind to machines.
     pub place: Vec<PlacedTask>,
     /// Tasks to stop.
-    pub stop: Vec<Stopping>,
+    pub stop: Vec<TaskStop>,
     /// Widths of arrays, in a round.
     pub widths: Vec<GrantedWidth>,
     /// Machines to provision, in the order of their kinds.
     pub scale_out: Vec<ScaleOut>,
     /// Machines, booting or kept for a job, that waiting work counts on.
-    pub awaited: Vec<MachineId>,
+    pub machines_to_keep: Vec<MachineId>,
     /// How many places were evaluated: what the pass cost.
     pub candidates_evaluated: u64,
 }
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -13,7 +13,7 @@
 pub fn is_eligible(spec: &JobSpec, machine_type: &MachineType, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.types.as_ref().is_none_or(|types| types.contains(&machine_type.name))
-        && Resources::of_type(machine_type).holds(&Resources::of_task(spec))
+        && Resources::of_type(machine_type).has_capacity_for(&Resources::of_task(spec))
 }
 
 /// Which machine types a job may use, zone aside, worked out once for all machines.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -20,9 +20,9 @@
 mod vacancy;
 mod view;
 
-pub use decisions::{Decisions, GrantedWidth, PlacedTask, ScaleOut, Stopping};
+pub use decisions::{Decisions, GrantedWidth, PlacedTask, ScaleOut, TaskStop};
 pub use eligibility::is_eligible;
-pub use quota::team_room;
+pub use quota::tasks_within_team_limit;
 pub use resources::Resources;
 pub use snapshot::{Snapshot, TaskSlot};
 pub use team_use::TeamUse;
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -6,7 +6,7 @@
     decisions::{Decisions, PlacedTask},
     eligibility::is_eligible,
     preemption,
-    quota::team_room,
+    quota::tasks_within_team_limit,
     resources::Resources,
     scale_out::UnplacedTasks,
     snapshot::{Snapshot, TaskSlot, bind_tentatively},
@@ -40,7 +40,8 @@
         return None;
     }
     let usage = snapshot.usage.entry(job.spec.team.clone()).or_default();
-    let room = team_room(snapshot.settings.team(&job.spec.team), usage, &job.spec) as usize;
+    let room =
+        tasks_within_team_limit(snapshot.settings.team(&job.spec.team), usage, &job.spec) as usize;
     if room == 0 || (job.spec.shape == Shape::Gang && room < wanted) {
         return None;
     }
@@ -124,7 +125,7 @@
         !m.ready
             && zone.is_none_or(|z| z == m.zone)
             && is_eligible(&job.spec, &snapshot.types[m.machine_type], m.spot)
-            && m.free.holds(&need)
+            && m.free.has_capacity_for(&need)
     });
     zones.filter(|z| zone.is_none_or(|zone| zone == *z)).any(|z| is_obtainable(snapshot, job, z))
         || booting.count() >= count - found.len()
@@ -139,7 +140,7 @@
     decisions: &mut Decisions,
 ) {
     for machine in found {
-        decisions.awaited.push(snapshot.machines[machine].id.clone());
+        decisions.machines_to_keep.push(snapshot.machines[machine].id.clone());
         bind_tentatively(snapshot, at, machine);
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: which running tasks are stopped for work of higher priority.
 
 use super::{
-    decisions::{Decisions, Stopping},
+    decisions::{Decisions, TaskStop},
     resources::Resources,
     snapshot::{Snapshot, TaskSlot},
     vacancy::{keep_vacated_place, machines_for, room_after_stops, stop},
@@ -54,9 +54,9 @@
     for zone in zones {
         let mut tried = Decisions::default();
         let plans = preempt_each(snapshot, bound_by_machine, at, count, zone, &mut tried);
-        let loss_s: f64 = plans.iter().map(|plan| plan.loss_s).sum();
-        if plans.len() == count && best.as_ref().is_none_or(|best| loss_s < best.loss_s) {
-            best = Some(ZoneLoss { zone, loss_s });
+        let lost_work_s: f64 = plans.iter().map(|plan| plan.lost_work_s).sum();
+        if plans.len() == count && best.as_ref().is_none_or(|best| lost_work_s < best.lost_work_s) {
+            best = Some(ZoneLoss { zone, lost_work_s });
         }
         undo(snapshot, at, plans);
     }
@@ -67,7 +67,7 @@
 /// What a gang's room costs in one zone, or in any.
 struct ZoneLoss {
     zone: Option<u8>,
-    loss_s: f64,
+    lost_work_s: f64,
 }
 
 /// How room is made for one task.
@@ -76,7 +76,7 @@
     /// The tasks to stop; none if tasks that are being stopped already suffice.
     victims: Vec<TaskSlot>,
     /// Seconds of work that this loses.
-    loss_s: f64,
+    lost_work_s: f64,
 }
 
 /// Whether only machines count that hold the job's image.
@@ -128,7 +128,7 @@
     decisions: &mut Decisions,
 ) -> bool {
     match least_loss(snapshot, bound_by_machine, at, ImageCache::Required, None) {
-        Some(plan) if plan.loss_s < fetch_s => {
+        Some(plan) if plan.lost_work_s < fetch_s => {
             carry_out(snapshot, at, &plan, decisions);
             true
         }
@@ -143,11 +143,11 @@
     decisions: &mut Decisions,
 ) {
     // Saving takes time that a tight objective for waiting may not have.
-    let patience_s = snapshot.jobs[at].patience_s;
+    let remaining_wait_s = snapshot.jobs[at].remaining_wait_s;
     for &victim in &plan.victims {
         let save_s = snapshot.jobs[victim.job].spec.save_s * SLOW_SAVE;
-        let at_once = patience_s.is_some_and(|p| p > 0.0 && p < save_s);
-        decisions.stop.push(Stopping { at_once, ..stop(snapshot, victim, plan.machine) });
+        let without_grace = remaining_wait_s.is_some_and(|p| p > 0.0 && p < save_s);
+        decisions.stop.push(TaskStop { without_grace, ..stop(snapshot, victim, plan.machine) });
     }
     keep_vacated_place(snapshot, at, plan.machine);
 }
@@ -168,7 +168,7 @@
         }
         let bound = bound_by_machine.get(machine).map_or(&[][..], Vec::as_slice);
         let Some(plan) = plan_on(snapshot, job, machine, view, bound) else { continue };
-        if best.as_ref().is_none_or(|best| plan.loss_s < best.loss_s) {
+        if best.as_ref().is_none_or(|best| plan.lost_work_s < best.lost_work_s) {
             best = Some(plan);
         }
     }
@@ -186,23 +186,23 @@
     let need = Resources::of_task(&job.spec);
     let mut room = room_after_stops(view);
     let mut victims = Vec::new();
-    let mut loss_s = 0.0;
+    let mut lost_work_s = 0.0;
     for candidate in candidates(snapshot, job, bound) {
-        if room.holds(&need) {
+        if room.has_capacity_for(&need) {
             break;
         }
         room.add(&Resources::of_task(&snapshot.jobs[candidate.slot.job].spec));
-        loss_s += candidate.loss_s;
+        lost_work_s += candidate.lost_work_s;
         victims.push(candidate.slot);
     }
-    room.holds(&need).then_some(PreemptionPlan { machine, victims, loss_s })
+    room.has_capacity_for(&need).then_some(PreemptionPlan { machine, victims, lost_work_s })
 }
 
 /// A task that may be stopped.
 struct Candidate {
     slot: TaskSlot,
     /// Seconds of work that stopping it now would lose.
-    loss_s: f64,
+    lost_work_s: f64,
 }
 
 /// The tasks on a machine that a job may preempt, the least loss first.
@@ -215,9 +215,9 @@
         // and work that is dearer to stop waits for a provisioned machine.
         let preemptible = other.priority < job.priority && other.spec.shape == Shape::Array;
         if preemptible && !binding.stopping {
-            candidates.push(Candidate { slot, loss_s: binding.loss_s });
+            candidates.push(Candidate { slot, lost_work_s: binding.lost_work_s });
         }
     }
-    candidates.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
+    candidates.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s));
     candidates
 }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -6,7 +6,7 @@
 use crate::{protocol::JobSpec, settings::Team};
 
 /// How many more tasks of this need the team's limit allows.
-pub fn team_room(team: Option<&Team>, usage: &TeamUse, spec: &JobSpec) -> u32 {
+pub fn tasks_within_team_limit(team: Option<&Team>, usage: &TeamUse, spec: &JobSpec) -> u32 {
     let Some(team) = team else { return 0 };
     let room = |need: f64, used: f64, limit: f64| {
         if limit <= 0.0 || need <= 0.0 {
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -24,7 +24,7 @@
         let claimant = reservation.and_then(|held| places.get(&held.job)).copied();
         let Some(claimant) = claimant else { continue };
         // It is kept for the job, though it may be idle until that is placed.
-        decisions.awaited.push(snapshot.machines[machine].id.clone());
+        decisions.machines_to_keep.push(snapshot.machines[machine].id.clone());
         for &slot in slots.iter().filter(|slot| slot.job != claimant) {
             if may_stop(snapshot, slot) {
                 let stopping = stop(snapshot, slot, machine);
--- a/src/scheduler/resources.rs
+++ b/src/scheduler/resources.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether `need` fits.
-    pub fn holds(&self, need: &Self) -> bool {
+    pub fn has_capacity_for(&self, need: &Self) -> bool {
         need.cpus <= self.cpus + SLACK
             && need.gpus <= self.gpus + SLACK
             && need.memory_gb <= self.memory_gb + SLACK
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -53,7 +53,7 @@
     let left = tasks.count - found.len();
     for machine in found {
         if machine < existing {
-            decisions.awaited.push(snapshot.machines[machine].id.clone());
+            decisions.machines_to_keep.push(snapshot.machines[machine].id.clone());
         }
         bind_tentatively(snapshot, tasks.job, machine);
     }
@@ -67,7 +67,7 @@
         let Some(kind) = cheapest_kind(snapshot, job) else { break };
         let machine = add_machine(snapshot, kind);
         let need = Resources::of_task(&snapshot.jobs[job].spec);
-        while tasks > 0 && snapshot.machines[machine].free.holds(&need) {
+        while tasks > 0 && snapshot.machines[machine].free.has_capacity_for(&need) {
             if !ZoneConstraint::of(snapshot, &snapshot.jobs[job]).allows(kind.zone) {
                 break;
             }
@@ -88,7 +88,7 @@
         stopping: Resources::default(),
         ready: false,
         empty: true,
-        awaited: false,
+        allocated_in_pass: false,
         reservation: None,
         images: Vec::new(),
     });
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -90,7 +90,7 @@
     let view = &mut snapshot.machines[machine];
     view.free.sub(&Resources::of_task(spec));
     view.empty = false;
-    view.awaited = true;
+    view.allocated_in_pass = true;
     if !view.images.contains(&spec.image) {
         view.images.push(spec.image.clone());
     }
--- a/src/scheduler/vacancy.rs
+++ b/src/scheduler/vacancy.rs
@@ -2,7 +2,7 @@
 //! and reservations share.
 
 use super::{
-    decisions::Stopping,
+    decisions::TaskStop,
     eligibility::{MachineEligibility, ZoneConstraint},
     resources::Resources,
     snapshot::{Snapshot, TaskSlot},
@@ -25,7 +25,7 @@
             && zone.is_none_or(|zone| zone == machine.zone)
             && eligibility.accepts(machine)
             && machine.open_to(&job.id)
-            && !job.avoid.contains(&machine.id)
+            && !job.avoided_machines.contains(&machine.id)
     })
 }
 
@@ -37,12 +37,12 @@
 }
 
 /// Marks a task on a machine as being stopped, with time to save.
-pub(super) fn stop(snapshot: &mut Snapshot<'_>, slot: TaskSlot, machine: usize) -> Stopping {
+pub(super) fn stop(snapshot: &mut Snapshot<'_>, slot: TaskSlot, machine: usize) -> TaskStop {
     let job = &mut snapshot.jobs[slot.job];
     let bound = &mut job.bound[slot.binding];
     bound.stopping = true;
     snapshot.machines[machine].stopping.add(&Resources::of_task(&job.spec));
-    Stopping { job: job.id.clone(), task: bound.task, at_once: false }
+    TaskStop { job: job.id.clone(), task: bound.task, without_grace: false }
 }
 
 /// Keeps room on a machine for one more task of a job, until what is being stopped there
@@ -50,7 +50,7 @@
 pub(super) fn keep_vacated_place(snapshot: &mut Snapshot<'_>, job: usize, machine: usize) {
     let view = &mut snapshot.machines[machine];
     view.free.sub(&Resources::of_task(&snapshot.jobs[job].spec));
-    view.awaited = true;
+    view.allocated_in_pass = true;
     let place = BoundView::tentative(machine, view.zone, true);
     snapshot.jobs[job].bound.push(place);
 }
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -36,7 +36,7 @@
     /// Holds no task.
     pub empty: bool,
     /// A place on it was given or kept in this pass.
-    pub awaited: bool,
+    pub allocated_in_pass: bool,
     /// It is reclaimed for one job.
     pub reservation: Option<Reservation>,
     /// The images that it holds.
@@ -81,9 +81,9 @@
     /// Whether it is being stopped.
     pub stopping: bool,
     /// Has run for long enough to be moved without harm to any objective.
-    pub settled: bool,
+    pub movable: bool,
     /// Seconds of work that stopping it now would lose.
-    pub loss_s: f64,
+    pub lost_work_s: f64,
 }
 
 impl BoundView {
@@ -94,7 +94,7 @@
     /// there is being stopped first.
     pub fn tentative(machine: usize, zone: u8, stopping: bool) -> Self {
         let machine = Some(machine);
-        Self { task: Self::TENTATIVE, machine, zone, stopping, settled: false, loss_s: 0.0 }
+        Self { task: Self::TENTATIVE, machine, zone, stopping, movable: false, lost_work_s: 0.0 }
     }
 }
 
@@ -118,13 +118,13 @@
     /// Width granted, or 0 for a job not admitted yet.
     pub width: u32,
     /// Seconds left to meet its class's objective for waiting, if it has one.
-    pub patience_s: Option<f64>,
+    pub remaining_wait_s: Option<f64>,
     /// Fits its team's guarantee together with the team's earlier jobs.
     pub guaranteed: bool,
     /// Starts nothing now: it backs off after a failure, or its records lack room.
     pub blocked: bool,
     /// Machines that failed its tasks.
-    pub avoid: Vec<MachineId>,
+    pub avoided_machines: Vec<MachineId>,
 }
 
 impl JobView {
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -125,8 +125,8 @@
         machine: Some(0),
         zone: 0,
         stopping: false,
-        settled: true,
-        loss_s: 0.0,
+        movable: true,
+        lost_work_s: 0.0,
     };
     JobView {
         id: spec.id.clone(),
@@ -136,10 +136,10 @@
         remaining: spec.tasks,
         bound: if bound { (0..spec.tasks).map(place).collect() } else { Vec::new() },
         width: spec.tasks,
-        patience_s: None,
+        remaining_wait_s: None,
         guaranteed: false,
         blocked: false,
-        avoid: Vec::new(),
+        avoided_machines: Vec::new(),
         spec,
     }
 }
@@ -156,7 +156,7 @@
         stopping: Resources::default(),
         ready: true,
         empty: false,
-        awaited: false,
+        allocated_in_pass: false,
         reservation: Some(Reservation { job: RED.into(), granted }),
         images: Vec::new(),
     };
@@ -191,7 +191,7 @@
     let decisions = pass(jobs, 1.0, false);
     let stopped: Vec<&str> = decisions.stop.iter().map(|stop| &*stop.job).collect();
     assert_eq!(stopped, ["j-000001", "j-000001"]);
-    assert!(decisions.stop.iter().all(|stop| !stop.at_once), "with time to save");
+    assert!(decisions.stop.iter().all(|stop| !stop.without_grace), "with time to save");
     assert_eq!(decisions.place, []);
 }
 
