--- a/src/scheduler/admission/tests.rs
+++ b/src/scheduler/admission/tests.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_step_is_a_unit_of_small_tasks_and_one_task_of_large_ones() {
+fn step_groups_small_tasks_into_one_unit_and_holds_one_large_task() {
     let step = |tasks, units| Step { tasks, units };
     assert_eq!(Step::of(1.0), step(1, 1));
     assert_eq!(Step::of(0.6), step(1, 1));
@@ -87,14 +87,15 @@
     assert_eq!(Step::of(0.25), step(4, 1));
     assert_eq!(Step::of(0.0), step(1, 1));
     assert_eq!(Step::of(f64::INFINITY), step(1, 1));
-    assert_eq!(Step::of(1e-9), step(MAX_TASKS_OF_STEP, 1));
+    assert_eq!(Step::of(1e-9), step(MAX_TASKS_PER_STEP, 1));
     let small = Step::of(0.25);
     assert_eq!((small.steps(9), small.width(3, 9), small.width(1, 9)), (3, 9, 4));
 }
 
-/// The answer without a table is the program's own where there is room for all.
+/// The shortcut that skips the dynamic program must choose the same widths as the program if the
+/// capacity suffices for all candidates.
 #[test]
-fn widths_where_all_fits_are_those_of_the_program() {
+fn uncontended_widths_equal_program_widths() {
     let settings = Settings::parse("test.toml", SETTINGS).expect("valid settings");
     let mut rng = StdRng::seed_from_u64(5);
     for _ in 0..200 {
@@ -107,16 +108,17 @@
             .collect();
         let snapshot = snapshot(&settings, jobs);
         let candidates: Vec<Candidate> = (0..snapshot.jobs.len())
-            .map(|at| {
-                let max_tasks = snapshot.jobs[at].remaining;
+            .map(|job_index| {
+                let max_tasks = snapshot.jobs[job_index].remaining;
                 let step = Step { tasks: rng.random_range(1..4), units: 1 };
-                let curve = Curve { min: 1, max: step.steps(max_tasks), cost: 1, slope: 0.0 };
-                Candidate { at, step, max_tasks, curve }
+                let curve =
+                    Curve { min_width: 1, max_width: step.steps(max_tasks), cost: 1, slope: 0.0 };
+                Candidate { job_index, step, max_tasks, curve }
             })
             .collect();
         let eligible: Vec<&Candidate> = candidates.iter().collect();
-        let room = eligible.iter().map(|c| c.curve.max as usize).sum();
-        let quick = widths_where_all_fits(&snapshot, &eligible);
-        assert_eq!(quick, widths_by_program(&snapshot, &eligible, room));
+        let capacity = eligible.iter().map(|c| c.curve.max_width as usize).sum();
+        let uncontended = widths_without_contention(&snapshot, &eligible);
+        assert_eq!(uncontended, widths_by_program(&snapshot, &eligible, capacity));
     }
 }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,269 +1,283 @@
-//! Consolidation: holes scattered over many machines are no room for a task
-//! that needs a whole one, so replicas are moved from one machine into holes
-//! of others.
+//! Consolidation: free capacity that is fragmented over many machines can't take a task that
+//! needs a whole machine, so replicas are moved from one machine to the free capacity of others.
 //!
-//! A moved replica is stopped first and starts again when it is gone, so it
-//! is away for as long as its image takes at the new place, and for a moment
-//! if the image is there.
+//! A moved replica is stopped first and starts elsewhere once it is gone. It is unavailable for
+//! as long as the other machine needs to fetch its image, or only briefly if the image is cached
+//! there.
 
 use super::{
-    bin_packing::{MachineReadiness, fetch_s, find_machines},
+    bin_packing::{MachineReadiness, find_machines, image_fetch_s},
     decisions::{Decisions, TaskStop},
     resources::Resources,
-    snapshot::{Snapshot, TaskSlot, bind_tentatively},
-    vacancy::{keep_vacated_place, machines_for, room_after_stops, stop},
+    snapshot::{BoundTaskIndex, Snapshot, bind_tentatively},
+    vacancy::{
+        capacity_after_stops, machines_eligible_for, mark_stopping, reserve_vacated_capacity,
+    },
     view::{BoundView, JobView, MachineView},
 };
 use crate::protocol::Shape;
 
-/// Moving more than this share of a machine gains less than it disturbs.
+/// The maximum share of a machine that is moved to clear it: moving more disrupts more than it
+/// gains.
 const MAX_MOVED_SHARE: f64 = 0.5;
 
-/// Makes room for all tasks of a gang by moving replicas that have room
-/// elsewhere. True if it did, and the room is then kept for the gang.
-pub fn make_room_for_gang(
+/// Clears machines for all `count` tasks of a gang by moving replicas to other machines and
+/// stopping arrays' tasks of lower priority. Returns whether it did; the capacity is then reserved
+/// for the gang in this snapshot.
+pub fn consolidate_for_gang(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<TaskSlot>],
-    at: usize,
+    bound_by_machine: &[Vec<BoundTaskIndex>],
+    job_index: usize,
     count: usize,
     decisions: &mut Decisions,
 ) -> bool {
-    // Once a round is enough: what a move frees shows only after it.
+    // Not between rounds: a move takes until after this pass to free capacity, so trying in
+    // each pass gains nothing.
     if !snapshot.round {
         return false;
     }
-    let job = &snapshot.jobs[at];
-    let pools: Vec<Option<u8>> = if job.spec.one_zone {
+    let job = &snapshot.jobs[job_index];
+    let zones: Vec<Option<u8>> = if job.spec.one_zone {
         (0..snapshot.settings.cluster.zones.len() as u8).map(Some).collect()
     } else {
         vec![None]
     };
-    let mut options: Vec<Vec<Candidate>> = pools
+    let mut options: Vec<Vec<Candidate>> = zones
         .into_iter()
         .filter_map(|zone| {
-            let mut candidates = candidates(snapshot, bound_by_machine, at, zone);
-            candidates.sort_by(|a, b| a.moved.total_cmp(&b.moved));
+            let mut candidates = clearing_candidates(snapshot, bound_by_machine, job_index, zone);
+            candidates.sort_by(|a, b| a.moved_share.total_cmp(&b.moved_share));
             candidates.truncate(count);
             (candidates.len() == count).then_some(candidates)
         })
         .collect();
-    let moved = |option: &[Candidate]| option.iter().map(|c| c.moved).sum::<f64>();
-    options.sort_by(|a, b| moved(a).total_cmp(&moved(b)));
-    options.iter().any(|candidates| carry_out(snapshot, at, candidates, decisions))
+    let total_moved = |option: &[Candidate]| option.iter().map(|c| c.moved_share).sum::<f64>();
+    options.sort_by(|a, b| total_moved(a).total_cmp(&total_moved(b)));
+    options.iter().any(|candidates| apply_candidates(snapshot, job_index, candidates, decisions))
 }
 
 /// A machine that could be cleared for one task.
 struct Candidate {
-    machine: usize,
-    /// Replicas to move and arrays' tasks to stop.
-    tasks: Vec<TaskSlot>,
-    /// The share of the machine that is moved.
-    moved: f64,
+    machine_index: usize,
+    /// The replicas to move and the arrays' tasks to stop.
+    tasks: Vec<BoundTaskIndex>,
+    /// The share of the machine that the moved replicas use.
+    moved_share: f64,
 }
 
-fn candidates(
+/// The machines, of one zone if one is given, that could be cleared for a task of the gang.
+fn clearing_candidates(
     snapshot: &Snapshot<'_>,
-    bound_by_machine: &[Vec<TaskSlot>],
-    at: usize,
+    bound_by_machine: &[Vec<BoundTaskIndex>],
+    job_index: usize,
     zone: Option<u8>,
 ) -> Vec<Candidate> {
-    let job = &snapshot.jobs[at];
-    machines_for(snapshot, job, zone)
-        .filter_map(|(machine, view)| {
-            let bound = bound_by_machine.get(machine).map_or(&[][..], Vec::as_slice);
-            candidate(snapshot, job, machine, view, bound)
+    let job = &snapshot.jobs[job_index];
+    machines_eligible_for(snapshot, job, zone)
+        .filter_map(|(machine_index, view)| {
+            let bound = bound_by_machine.get(machine_index).map_or(&[][..], Vec::as_slice);
+            clearing_candidate(snapshot, job, machine_index, view, bound)
         })
         .collect()
 }
 
-/// What must leave a machine for one task of a job, if that is worth it.
-fn candidate(
+/// The tasks to move off or stop on a machine for one task of a job. None if that doesn't
+/// suffice, or if more than `MAX_MOVED_SHARE` would be moved.
+fn clearing_candidate(
     snapshot: &Snapshot<'_>,
     job: &JobView,
-    machine: usize,
+    machine_index: usize,
     view: &MachineView,
-    bound: &[TaskSlot],
+    bound: &[BoundTaskIndex],
 ) -> Option<Candidate> {
     let need = Resources::of_task(&job.spec);
-    let mut room = room_after_stops(view);
+    let mut capacity = capacity_after_stops(view);
     let mut moved = Resources::default();
     let mut tasks = Vec::new();
-    for &slot in bound {
-        let other = &snapshot.jobs[slot.job];
-        let binding = &other.bound[slot.binding];
-        if binding.stopping || room.has_capacity_for(&need) {
+    for &bound_task in bound {
+        let other = &snapshot.jobs[bound_task.job_index];
+        let binding = &other.bound[bound_task.binding_index];
+        if binding.stopping || capacity.has_capacity_for(&need) {
             continue;
         }
-        let stops = other.spec.shape == Shape::Array && other.priority < job.priority;
-        let moves = other.spec.shape == Shape::Service && binding.movable;
-        if stops || moves {
-            room.add(&Resources::of_task(&other.spec));
-            tasks.push(slot);
+        let may_stop = other.spec.shape == Shape::Array && other.priority < job.priority;
+        let may_move = other.spec.shape == Shape::Service && binding.movable;
+        if may_stop || may_move {
+            capacity.add(&Resources::of_task(&other.spec));
+            tasks.push(bound_task);
         }
-        if moves {
+        if may_move {
             moved.add(&Resources::of_task(&other.spec));
         }
     }
-    let moved = moved.share_of(&Resources::of_type(snapshot.type_of(machine)));
-    let is_worth_it = room.has_capacity_for(&need) && moved <= MAX_MOVED_SHARE;
-    is_worth_it.then_some(Candidate { machine, tasks, moved })
+    let moved_share = moved.share_of(&Resources::of_type(snapshot.type_of(machine_index)));
+    let is_worthwhile = capacity.has_capacity_for(&need) && moved_share <= MAX_MOVED_SHARE;
+    is_worthwhile.then_some(Candidate { machine_index, tasks, moved_share })
 }
 
-/// Moves what stands in the way, if all of it finds a place elsewhere.
-fn carry_out(
+/// Clears the candidates and reserves them for the gang. Returns false, with the snapshot
+/// unchanged, if a replica finds no other machine.
+fn apply_candidates(
     snapshot: &mut Snapshot<'_>,
-    at: usize,
+    gang_index: usize,
     candidates: &[Candidate],
     decisions: &mut Decisions,
 ) -> bool {
     let before = snapshot.clone();
     let mut stops = Vec::new();
     for candidate in candidates {
-        for &slot in &candidate.tasks {
-            stops.push(stop(snapshot, slot, candidate.machine));
+        for &bound_task in &candidate.tasks {
+            stops.push(mark_stopping(snapshot, bound_task, candidate.machine_index));
         }
-        // Kept before the moved replicas look for places.
-        keep_vacated_place(snapshot, at, candidate.machine);
+        // Reserved before destinations are chosen, so that no replica is moved there.
+        reserve_vacated_capacity(snapshot, gang_index, candidate.machine_index);
     }
-    for &TaskSlot { job, .. } in candidates.iter().flat_map(|c| &c.tasks) {
-        if snapshot.jobs[job].spec.shape != Shape::Service {
+    for &BoundTaskIndex { job_index, .. } in candidates.iter().flat_map(|c| &c.tasks) {
+        if snapshot.jobs[job_index].spec.shape != Shape::Service {
             continue;
         }
-        let Some(place) = place_with_image(snapshot, job) else {
+        let Some(destination) = ready_machine_with_image(snapshot, job_index) else {
             *snapshot = before;
             return false;
         };
-        bind_tentatively(snapshot, job, place);
+        bind_tentatively(snapshot, job_index, destination);
     }
     decisions.stop.extend(stops);
     true
 }
 
-/// The machine that a moved replica goes to. A move that fetches an image takes its
-/// replica away for too long.
-fn place_with_image(snapshot: &Snapshot<'_>, job: usize) -> Option<usize> {
-    let place = find_machines(snapshot, job, 1, MachineReadiness::Ready).first().copied();
-    place.filter(|&machine| fetch_s(snapshot, job, machine) <= 0.0)
+/// The machine to move a replica to: it must hold the image, since a fetch would make the
+/// replica unavailable for too long.
+fn ready_machine_with_image(snapshot: &Snapshot<'_>, job_index: usize) -> Option<usize> {
+    let found = find_machines(snapshot, job_index, 1, MachineReadiness::Ready).first().copied();
+    found.filter(|&machine_index| image_fetch_s(snapshot, job_index, machine_index) <= 0.0)
 }
 
-/// Vacates machines that hold little, so that they can be returned: as load
-/// runs out, what is left would keep many half-empty machines for long.
+/// Vacates lightly loaded machines, so that they can be returned to the cloud: when load falls,
+/// the remaining replicas would otherwise occupy many half-empty machines for a long time.
 pub fn vacate_machines(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<TaskSlot>],
+    bound_by_machine: &[Vec<BoundTaskIndex>],
     decisions: &mut Decisions,
 ) {
     let ordinary: Vec<usize> = (0..bound_by_machine.len())
         .filter(|&m| snapshot.machines[m].ready && !snapshot.machines[m].spot)
         .collect();
-    // One machine less must still leave the room that is kept ready.
-    let mut room: f64 = ordinary.iter().map(|&m| 1.0 - load(snapshot, m)).sum();
+    // Free capacity, in machines. Without the vacated machine it must still cover the headroom.
+    let mut capacity: f64 = ordinary.iter().map(|&m| 1.0 - load(snapshot, m)).sum();
     let mut sources: Vec<LoadedMachine> = ordinary
         .into_iter()
-        .filter(|&machine| may_be_vacated(snapshot, machine, &bound_by_machine[machine]))
-        .map(|machine| LoadedMachine { load: load(snapshot, machine), machine })
+        .filter(|&machine_index| {
+            may_be_vacated(snapshot, machine_index, &bound_by_machine[machine_index])
+        })
+        .map(|machine_index| LoadedMachine { load: load(snapshot, machine_index), machine_index })
         .filter(|source| source.load <= MAX_MOVED_SHARE)
         .collect();
     sources.sort_by(|a, b| a.load.total_cmp(&b.load));
-    for LoadedMachine { machine, .. } in sources {
-        if room - 1.0 < snapshot.headroom_capacity {
+    for LoadedMachine { machine_index, .. } in sources {
+        if capacity - 1.0 < snapshot.headroom_capacity {
             break;
         }
-        // A machine that a move just decided on counts on stays.
-        if !snapshot.machines[machine].allocated_in_pass
-            && vacate(snapshot, &bound_by_machine[machine], machine, decisions)
+        // A machine that this pass has chosen as a destination is not vacated.
+        if !snapshot.machines[machine_index].allocated_in_pass
+            && vacate(snapshot, &bound_by_machine[machine_index], machine_index, decisions)
         {
-            room -= 1.0;
+            capacity -= 1.0;
         }
     }
 }
 
-/// A machine with the share of it that is in use.
+/// A machine and its load.
 struct LoadedMachine {
+    /// The share of the machine that is in use.
     load: f64,
-    machine: usize,
+    machine_index: usize,
 }
 
-/// The share of a machine that is in use.
-fn load(snapshot: &Snapshot<'_>, machine: usize) -> f64 {
-    let total = Resources::of_type(snapshot.type_of(machine));
+/// The share of a machine that is in use, by its scarcest resource.
+fn load(snapshot: &Snapshot<'_>, machine_index: usize) -> f64 {
+    let total = Resources::of_type(snapshot.type_of(machine_index));
     let mut used = total;
-    used.sub(&snapshot.machines[machine].free);
+    used.sub(&snapshot.machines[machine_index].free);
     used.share_of(&total)
 }
 
-/// Whether a machine holds replicas that may be moved, and nothing else.
-fn may_be_vacated(snapshot: &Snapshot<'_>, machine: usize, bound: &[TaskSlot]) -> bool {
-    let movable = |slot: &TaskSlot| {
-        let job = &snapshot.jobs[slot.job];
-        let binding = &job.bound[slot.binding];
+/// Whether a machine runs only replicas that may be moved, and is not reserved.
+fn may_be_vacated(snapshot: &Snapshot<'_>, machine_index: usize, bound: &[BoundTaskIndex]) -> bool {
+    let movable = |bound_task: &BoundTaskIndex| {
+        let job = &snapshot.jobs[bound_task.job_index];
+        let binding = &job.bound[bound_task.binding_index];
         job.spec.shape == Shape::Service && binding.movable && !binding.stopping
     };
-    let view = &snapshot.machines[machine];
+    let view = &snapshot.machines[machine_index];
     !bound.is_empty()
         && view.reservation.is_none()
         && bound.iter().all(movable)
         && view.stopping == Resources::default()
 }
 
-/// A replica that is moved.
+/// A replica that is moved to another machine.
 struct Move {
-    slot: TaskSlot,
-    /// The machine that it goes to.
-    to: usize,
+    bound_task: BoundTaskIndex,
+    /// Index of the machine that the replica is moved to.
+    destination: usize,
 }
 
-/// Moves all of a machine's replicas to machines in use that hold their
-/// images; all of them or none.
+/// Moves all replicas of a machine to machines that are in use and hold their images. Returns
+/// false, and moves none, if one of them has no such machine.
 fn vacate(
     snapshot: &mut Snapshot<'_>,
-    bound: &[TaskSlot],
-    machine: usize,
+    bound: &[BoundTaskIndex],
+    machine_index: usize,
     decisions: &mut Decisions,
 ) -> bool {
-    let ready = std::mem::replace(&mut snapshot.machines[machine].ready, false);
+    let ready = std::mem::replace(&mut snapshot.machines[machine_index].ready, false);
     let mut moves: Vec<Move> = Vec::new();
-    for &slot in bound {
-        snapshot.jobs[slot.job].bound[slot.binding].stopping = true;
-        let place = place_with_image(snapshot, slot.job);
-        let Some(to) = place.filter(|&to| !snapshot.machines[to].empty) else {
-            snapshot.jobs[slot.job].bound[slot.binding].stopping = false;
-            undo(snapshot, &moves);
-            snapshot.machines[machine].ready = ready;
+    for &bound_task in bound {
+        snapshot.jobs[bound_task.job_index].bound[bound_task.binding_index].stopping = true;
+        let found = ready_machine_with_image(snapshot, bound_task.job_index);
+        let Some(destination) = found.filter(|&destination| !snapshot.machines[destination].empty)
+        else {
+            snapshot.jobs[bound_task.job_index].bound[bound_task.binding_index].stopping = false;
+            undo_moves(snapshot, &moves);
+            snapshot.machines[machine_index].ready = ready;
             return false;
         };
-        bind_tentatively(snapshot, slot.job, to);
-        moves.push(Move { slot, to });
+        bind_tentatively(snapshot, bound_task.job_index, destination);
+        moves.push(Move { bound_task, destination });
     }
-    for Move { slot, .. } in moves {
-        let job = &snapshot.jobs[slot.job];
-        let task = job.bound[slot.binding].task;
+    for Move { bound_task, .. } in moves {
+        let job = &snapshot.jobs[bound_task.job_index];
+        let task = job.bound[bound_task.binding_index].task;
         decisions.stop.push(TaskStop { job: job.id.clone(), task, without_grace: false });
     }
     true
 }
 
-/// Undoes in the snapshot what `vacate` did there.
-fn undo(snapshot: &mut Snapshot<'_>, moves: &[Move]) {
-    for &Move { slot, to } in moves {
-        let job = &mut snapshot.jobs[slot.job];
-        job.bound[slot.binding].stopping = false;
+/// Reverts the moves that `vacate` made in the snapshot.
+fn undo_moves(snapshot: &mut Snapshot<'_>, moves: &[Move]) {
+    for &Move { bound_task, destination } in moves {
+        let job = &mut snapshot.jobs[bound_task.job_index];
+        job.bound[bound_task.binding_index].stopping = false;
         job.bound.pop();
-        snapshot.machines[to].free.add(&Resources::of_task(&job.spec));
+        snapshot.machines[destination].free.add(&Resources::of_task(&job.spec));
     }
 }
 
-/// Replicas being stopped start again as soon as they are gone: their next
-/// places are held till then, or others would take them in between.
-pub fn reserve_next_places(snapshot: &mut Snapshot<'_>, at: usize) {
-    let job = &snapshot.jobs[at];
+/// Reserves a machine for each replica of a job that is being stopped. The replica starts again
+/// as soon as it is gone, and other tasks would take its next machine before that.
+pub fn reserve_next_machines(snapshot: &mut Snapshot<'_>, job_index: usize) {
+    let job = &snapshot.jobs[job_index];
     if job.spec.shape != Shape::Service {
         return;
     }
-    let away = job.bound.iter().filter(|b| b.stopping && b.task != BoundView::TENTATIVE).count();
-    if away > 0 {
-        for place in find_machines(snapshot, at, away, MachineReadiness::Ready) {
-            bind_tentatively(snapshot, at, place);
+    let stopping_count =
+        job.bound.iter().filter(|b| b.stopping && b.task != BoundView::TENTATIVE).count();
+    if stopping_count > 0 {
+        for machine_index in
+            find_machines(snapshot, job_index, stopping_count, MachineReadiness::Ready)
+        {
+            bind_tentatively(snapshot, job_index, machine_index);
         }
     }
 }
--- a/src/scheduler/optimizer.rs
+++ b/src/scheduler/optimizer.rs
@@ -1,104 +1,109 @@
-//! The dynamic program: P(j, K) = max over k of P(j-1, K - k) + T(j, k).
+//! The dynamic program that sets widths: P(j, K) = max over k of P(j-1, K - k) + T(j, k), where
+//! P(j, K) is the greatest total throughput of the first j jobs on K capacity units, and T(j, k)
+//! the throughput scaling factor of job j on k units.
 //!
-//! A row is kept for each admitted job, so trying one job more costs one row
-//! and a failed trial costs nothing that was there before.
+//! Each admitted job has one row. To try one more job computes one row, and a rejected job leaves
+//! the earlier rows as they were.
 
 use std::collections::VecDeque;
 
-/// How a job's throughput scales with its width, and what a width costs.
+/// How a job's throughput scales with its width, and how much capacity a width takes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Curve {
-    /// The least width that the job may have.
-    pub min: u32,
-    /// The greatest width that it may have.
-    pub max: u32,
-    /// Units of room that one task takes.
+    /// The minimum width of the job.
+    pub min_width: u32,
+    /// The maximum width of the job.
+    pub max_width: u32,
+    /// Capacity units that each unit of width takes.
     pub cost: usize,
-    /// 0 for an array (its factor is its width); a gang's factor at width k
-    /// is k / (1 + slope (k - 1)).
+    /// How far the throughput falls short of linear scaling: the scaling factor at width k is
+    /// k / (1 + slope (k - 1)). It is 0 for an array, whose scaling factor is its width.
     pub slope: f64,
 }
 
 impl Curve {
-    /// The throughput at a width, as a multiple of that at width 1.
-    pub fn factor(&self, width: u32) -> f64 {
+    /// The throughput at a width, as a multiple of the throughput at width 1.
+    pub fn scaling_factor(&self, width: u32) -> f64 {
         let k = f64::from(width);
         if width == 0 { 0.0 } else { k / (1.0 + self.slope * (k - 1.0)) }
     }
 }
 
-/// What the program keeps of an admitted job.
+/// The row of an admitted job.
 struct Row {
     widths: Widths,
     cost: usize,
 }
 
+/// The best width of a job for each capacity.
 enum Widths {
-    /// The job has one width. Each of many one-task jobs has a row, and a
-    /// table for each of those would not fit a small machine.
-    Only(u32),
-    /// The job's width for each room up to the last one; more room than that
-    /// changes nothing.
-    ByRoom(Vec<u32>),
+    /// The job's only width. There may be many one-task jobs with a row each, and a table for
+    /// each of them would not fit into the memory of a small machine.
+    Fixed(u32),
+    /// The job's best width, indexed by capacity. Any greater capacity has the same best width as
+    /// the last entry.
+    ByCapacity(Vec<u32>),
 }
 
-/// The table of all admitted jobs over `room` units.
+/// The table of all admitted jobs for up to `capacity` units.
 ///
-/// What the jobs so far could take at most bounds a row: beyond it every room
-/// has the same optimum. Totals are only needed of the last row.
+/// A row is no longer than the maximum demand of the jobs up to it: beyond that every capacity
+/// has the same optimum. Totals are kept for the last row only.
 pub struct Program {
-    room: usize,
+    capacity: usize,
     rows: Vec<Row>,
-    best: Vec<f64>,
+    best_totals: Vec<f64>,
 }
 
 impl Program {
-    /// A program without jobs over `room` units.
-    pub fn new(room: usize) -> Self {
-        Self { room, rows: Vec::new(), best: vec![0.0] }
+    /// Creates a program without jobs for `capacity` units.
+    pub fn new(capacity: usize) -> Self {
+        Self { capacity, rows: Vec::new(), best_totals: vec![0.0] }
     }
 
-    /// Admits a job if all jobs so far still get at least their least width.
+    /// Admits a job if it and all jobs admitted so far get at least their minimum widths. Returns
+    /// whether it was admitted.
     pub fn admit(&mut self, curve: &Curve) -> bool {
         let cost = curve.cost.max(1);
-        let asked = (self.best.len() - 1).saturating_add(curve.max as usize * cost);
-        let size = self.room.min(asked) + 1;
-        let (best, widths) = if curve.min == curve.max {
-            (fixed_row(&self.best, curve, cost, size), Widths::Only(curve.min))
+        let max_demand =
+            (self.best_totals.len() - 1).saturating_add(curve.max_width as usize * cost);
+        let size = self.capacity.min(max_demand) + 1;
+        let (best, widths) = if curve.min_width == curve.max_width {
+            (fixed_row(&self.best_totals, curve, cost, size), Widths::Fixed(curve.min_width))
         } else {
-            let row = if curve.slope == 0.0 { linear_row } else { plain_row };
-            let (best, widths) = row(&self.best, curve, cost, size);
-            (best, Widths::ByRoom(widths))
+            let row = if curve.slope == 0.0 { linear_row } else { general_row };
+            let (best, widths) = row(&self.best_totals, curve, cost, size);
+            (best, Widths::ByCapacity(widths))
         };
         let feasible = best[size - 1] > 0.0;
         if feasible {
-            self.best = best;
+            self.best_totals = best;
             self.rows.push(Row { widths, cost });
         }
         feasible
     }
 
-    /// The greatest sum of throughput factors of the admitted jobs.
+    /// The greatest sum of throughput scaling factors of the admitted jobs.
     pub fn total(&self) -> f64 {
-        self.best[self.best.len() - 1]
+        self.best_totals[self.best_totals.len() - 1]
     }
 
-    /// The best widths, in order of admission.
+    /// The widths of the admitted jobs that give this total, in order of admission.
     pub fn widths(&self) -> Vec<u32> {
-        let mut room = self.room;
+        let mut capacity = self.capacity;
         let mut widths: Vec<u32> = self
             .rows
             .iter()
             .rev()
             .map(|row| {
                 let width = match &row.widths {
-                    Widths::Only(width) => *width,
-                    Widths::ByRoom(widths) => {
-                        room = room.min(widths.len() - 1);
-                        widths[room]
+                    Widths::Fixed(width) => *width,
+                    Widths::ByCapacity(widths) => {
+                        capacity = capacity.min(widths.len() - 1);
+                        widths[capacity]
                     }
                 };
-                room -= width as usize * row.cost;
+                capacity -= width as usize * row.cost;
                 width
             })
             .collect();
@@ -107,63 +112,66 @@
     }
 }
 
-/// The optima with one more job that has a single width.
-fn fixed_row(before: &[f64], curve: &Curve, cost: usize, size: usize) -> Vec<f64> {
-    let taken = curve.min as usize * cost;
-    let gain = curve.factor(curve.min);
-    let with_job = |room: usize| {
-        let left = room.checked_sub(taken).map(|left| left.min(before.len() - 1));
-        left.map_or(f64::NEG_INFINITY, |left| before[left] + gain)
+/// Computes the best total for each capacity with one more job that has a single width.
+fn fixed_row(previous: &[f64], curve: &Curve, cost: usize, size: usize) -> Vec<f64> {
+    let needed = curve.min_width as usize * cost;
+    let gain = curve.scaling_factor(curve.min_width);
+    let with_job = |capacity: usize| {
+        let left = capacity.checked_sub(needed).map(|left| left.min(previous.len() - 1));
+        left.map_or(f64::NEG_INFINITY, |left| previous[left] + gain)
     };
     (0..size).map(with_job).collect()
 }
 
-/// One row for any curve: room times width steps.
-fn plain_row(before: &[f64], curve: &Curve, cost: usize, size: usize) -> (Vec<f64>, Vec<u32>) {
+/// Computes the best total and the job's width for each capacity, for any curve, in time
+/// proportional to the capacity times the maximum width.
+fn general_row(previous: &[f64], curve: &Curve, cost: usize, size: usize) -> (Vec<f64>, Vec<u32>) {
     let (mut best, mut choice) = (vec![f64::NEG_INFINITY; size], vec![0; size]);
-    for room in 0..size {
-        for width in curve.min.max(1)..=curve.max {
-            let taken = width as usize * cost;
-            if taken > room {
+    for capacity in 0..size {
+        for width in curve.min_width.max(1)..=curve.max_width {
+            let needed = width as usize * cost;
+            if needed > capacity {
                 break;
             }
-            let total = before[(room - taken).min(before.len() - 1)] + curve.factor(width);
-            if total > best[room] {
-                best[room] = total;
-                choice[room] = width;
+            let total =
+                previous[(capacity - needed).min(previous.len() - 1)] + curve.scaling_factor(width);
+            if total > best[capacity] {
+                best[capacity] = total;
+                choice[capacity] = width;
             }
         }
     }
     (best, choice)
 }
 
-/// The same row for a curve whose factor is its width, in steps of the room
-/// alone. With `q` steps of `cost` in a room, the best of
-/// `before(q - k) + k` over k is `q` plus the greatest `before(i) - i` over a
-/// window of `i` that slides along with `q`.
-fn linear_row(before: &[f64], curve: &Curve, cost: usize, size: usize) -> (Vec<f64>, Vec<u32>) {
+/// Computes the same row as `general_row` for a curve whose scaling factor is its width, in time
+/// proportional to the capacity alone. A capacity of `quotient * cost + remainder` units holds
+/// widths up to `quotient`. The maximum over k of `previous(quotient - k) + k` equals `quotient`
+/// plus the maximum of `previous(i) - i` over a window of `i` that slides along with `quotient`.
+fn linear_row(previous: &[f64], curve: &Curve, cost: usize, size: usize) -> (Vec<f64>, Vec<u32>) {
     let (mut best, mut choice) = (vec![f64::NEG_INFINITY; size], vec![0; size]);
-    let (min, max) = (curve.min.max(1) as usize, curve.max as usize);
+    let (min, max) = (curve.min_width.max(1) as usize, curve.max_width as usize);
     let mut window: VecDeque<(usize, f64)> = VecDeque::new();
-    for rest in 0..cost.min(size) {
+    for remainder in 0..cost.min(size) {
         window.clear();
-        for q in 0..=(size - 1 - rest) / cost {
-            if min > max || q < min {
+        for quotient in 0..=(size - 1 - remainder) / cost {
+            if min > max || quotient < min {
                 continue;
             }
-            let enters = q - min;
-            let value = before[(enters * cost + rest).min(before.len() - 1)] - enters as f64;
-            // Of equal ones the newest stays: it means the least width.
+            let entering = quotient - min;
+            let value =
+                previous[(entering * cost + remainder).min(previous.len() - 1)] - entering as f64;
+            // Of equal values the newest stays: it gives the smallest width.
             while window.back().is_some_and(|(_, v)| *v <= value) {
                 window.pop_back();
             }
-            window.push_back((enters, value));
-            while window.front().is_some_and(|(i, _)| *i + max < q) {
+            window.push_back((entering, value));
+            while window.front().is_some_and(|(i, _)| *i + max < quotient) {
                 window.pop_front();
             }
             if let Some((i, value)) = window.front().filter(|(_, v)| v.is_finite()) {
-                best[q * cost + rest] = value + q as f64;
-                choice[q * cost + rest] = (q - i) as u32;
+                best[quotient * cost + remainder] = value + quotient as f64;
+                choice[quotient * cost + remainder] = (quotient - i) as u32;
             }
         }
     }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,7 +1,7 @@
-//! Which machine each task starts on.
+//! Placement: chooses the machine on which each waiting task starts.
 
 use super::{
-    bin_packing::{MachineReadiness, fetch_s, find_machines, is_obtainable},
+    bin_packing::{MachineReadiness, find_machines, image_fetch_s, may_provision_in_zone},
     consolidation,
     decisions::{Decisions, PlacedTask},
     eligibility::is_eligible,
@@ -9,114 +9,130 @@
     quota::tasks_within_team_limit,
     resources::Resources,
     scale_out::UnplacedTasks,
-    snapshot::{Snapshot, TaskSlot, bind_tentatively},
+    snapshot::{BoundTaskIndex, Snapshot, bind_tentatively},
 };
 use crate::protocol::Shape;
 
-/// Places waiting tasks, job by job in the order in which they take room. Returns the
-/// tasks that lack room.
+/// Places waiting tasks, job by job in `placement_order`. Returns the tasks for which there is no
+/// capacity.
 pub fn place(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<TaskSlot>],
+    bound_by_machine: &[Vec<BoundTaskIndex>],
     decisions: &mut Decisions,
 ) -> Vec<UnplacedTasks> {
     let mut unplaced = Vec::new();
-    for at in order(snapshot) {
-        consolidation::reserve_next_places(snapshot, at);
-        let Some(tasks) = tasks_to_place(snapshot, at) else { continue };
-        let count = place_job(snapshot, bound_by_machine, at, &tasks, decisions);
-        if count > 0 {
-            unplaced.push(UnplacedTasks { job: at, count });
+    for job_index in placement_order(snapshot) {
+        consolidation::reserve_next_machines(snapshot, job_index);
+        let Some(tasks) = tasks_to_place(snapshot, job_index) else { continue };
+        let lacking = place_job(snapshot, bound_by_machine, job_index, &tasks, decisions);
+        if lacking > 0 {
+            unplaced.push(UnplacedTasks { job_index, count: lacking });
         }
     }
     unplaced
 }
 
-/// The tasks of a job that may start now within its width and its team's limit.
-fn tasks_to_place(snapshot: &mut Snapshot<'_>, at: usize) -> Option<Vec<u32>> {
-    let job = &snapshot.jobs[at];
-    let wanted = job.startable();
-    if wanted == 0 {
+/// Returns the tasks of a job that may start now within the job's width and its team's limit; for
+/// a gang all tasks or none.
+fn tasks_to_place(snapshot: &mut Snapshot<'_>, job_index: usize) -> Option<Vec<u32>> {
+    let job = &snapshot.jobs[job_index];
+    let startable = job.startable();
+    if startable == 0 {
         return None;
     }
     let usage = snapshot.usage.entry(job.spec.team.clone()).or_default();
-    let room =
+    let limit =
         tasks_within_team_limit(snapshot.settings.team(&job.spec.team), usage, &job.spec) as usize;
-    if room == 0 || (job.spec.shape == Shape::Gang && room < wanted) {
+    if limit == 0 || (job.spec.shape == Shape::Gang && limit < startable) {
         return None;
     }
-    Some(job.pending[..wanted.min(room)].to_vec())
+    Some(job.pending[..startable.min(limit)].to_vec())
 }
 
-/// Places tasks of a job, or makes room for them. Returns how many lack room.
+/// Places tasks of a job, or frees capacity for them. Returns the number of tasks that got
+/// neither.
 fn place_job(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<TaskSlot>],
-    at: usize,
+    bound_by_machine: &[Vec<BoundTaskIndex>],
+    job_index: usize,
     tasks: &[u32],
     decisions: &mut Decisions,
 ) -> usize {
-    let shape = snapshot.jobs[at].spec.shape;
-    let mut found = find_machines(snapshot, at, tasks.len(), MachineReadiness::Ready);
-    let found_at_first = found.len();
+    let shape = snapshot.jobs[job_index].spec.shape;
+    let mut found = find_machines(snapshot, job_index, tasks.len(), MachineReadiness::Ready);
+    let found_count = found.len();
     if shape == Shape::Service {
-        found = avoid_fetches(snapshot, bound_by_machine, at, found, decisions);
+        found = avoid_fetches(snapshot, bound_by_machine, job_index, found, decisions);
     }
-    add_usage(snapshot, at, tasks.len());
+    add_usage(snapshot, job_index, tasks.len());
     if shape == Shape::Gang && found.len() < tasks.len() {
-        return make_room_for_gang(snapshot, bound_by_machine, at, found, tasks.len(), decisions);
+        return obtain_capacity_for_gang(
+            snapshot,
+            bound_by_machine,
+            job_index,
+            found,
+            tasks.len(),
+            decisions,
+        );
     }
-    for (&task, &machine) in tasks.iter().zip(&found) {
+    for (&task, &machine_index) in tasks.iter().zip(&found) {
         decisions.place.push(PlacedTask {
-            job: snapshot.jobs[at].id.clone(),
+            job: snapshot.jobs[job_index].id.clone(),
             task,
-            machine: snapshot.machines[machine].id.clone(),
+            machine: snapshot.machines[machine_index].id.clone(),
         });
-        bind_tentatively(snapshot, at, machine);
+        bind_tentatively(snapshot, job_index, machine_index);
     }
-    // Tasks that wait for cached room are neither placed nor lacking room.
-    let lacking = tasks.len() - found_at_first;
-    lacking - preemption::preempt(snapshot, bound_by_machine, at, lacking, decisions)
+    // A task for which `avoid_fetches` frees capacity waits until the preempted tasks are gone:
+    // it is not placed, but doesn't lack capacity either.
+    let lacking = tasks.len() - found_count;
+    lacking - preemption::preempt(snapshot, bound_by_machine, job_index, lacking, decisions)
 }
 
-/// Counts tasks of a job into its team's usage, whether they are placed at once or wait
-/// for room that is made for them.
-fn add_usage(snapshot: &mut Snapshot<'_>, at: usize, count: usize) {
-    let spec = &snapshot.jobs[at].spec;
+/// Adds tasks of a job to its team's usage, whether they are placed in this pass or wait for
+/// capacity that is being freed for them.
+fn add_usage(snapshot: &mut Snapshot<'_>, job_index: usize, count: usize) {
+    let spec = &snapshot.jobs[job_index].spec;
     let usage = snapshot.usage.entry(spec.team.clone()).or_default();
     usage.cpus += spec.cpus * count as f64;
     usage.gpus += spec.gpus * count as f64;
 }
 
-/// Makes room for all `count` tasks of a gang that found too little. Returns how many
-/// lack room.
-fn make_room_for_gang(
+/// Frees or reserves capacity for a gang of `count` tasks of which only those on the `found`
+/// machines can start now. Returns the number of tasks that lack capacity.
+fn obtain_capacity_for_gang(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<TaskSlot>],
-    at: usize,
+    bound_by_machine: &[Vec<BoundTaskIndex>],
+    job_index: usize,
     found: Vec<usize>,
     count: usize,
     decisions: &mut Decisions,
 ) -> usize {
-    if preemption::preempt(snapshot, bound_by_machine, at, count, decisions) == count {
+    if preemption::preempt(snapshot, bound_by_machine, job_index, count, decisions) == count {
         return 0;
     }
-    if rest_can_come(snapshot, at, &found, count) {
+    if may_get_remaining_capacity(snapshot, job_index, &found, count) {
         let lacking = count - found.len();
-        hold_partial_gang(snapshot, at, found, decisions);
+        reserve_for_partial_gang(snapshot, job_index, found, decisions);
         return lacking;
     }
-    if consolidation::make_room_for_gang(snapshot, bound_by_machine, at, count, decisions) {
+    if consolidation::consolidate_for_gang(snapshot, bound_by_machine, job_index, count, decisions)
+    {
         0
     } else {
         count
     }
 }
 
-/// Whether the rest of a gang's room will come by itself: machines that boot
-/// or can be provisioned in the zone where the gang has found some.
-fn rest_can_come(snapshot: &Snapshot<'_>, at: usize, found: &[usize], count: usize) -> bool {
-    let job = &snapshot.jobs[at];
+/// Whether the capacity that a gang lacks can come from machines that boot or that the cloud may
+/// provision. For a gang that must run in one zone, only the zone of the found machines counts.
+fn may_get_remaining_capacity(
+    snapshot: &Snapshot<'_>,
+    job_index: usize,
+    found: &[usize],
+    count: usize,
+) -> bool {
+    let job = &snapshot.jobs[job_index];
     let zone = found.first().map(|&m| snapshot.machines[m].zone);
     let zone = zone.filter(|_| job.spec.one_zone);
     let need = Resources::of_task(&job.spec);
@@ -127,66 +143,68 @@
             && is_eligible(&job.spec, &snapshot.types[m.machine_type], m.spot)
             && m.free.has_capacity_for(&need)
     });
-    zones.filter(|z| zone.is_none_or(|zone| zone == *z)).any(|z| is_obtainable(snapshot, job, z))
+    zones
+        .filter(|z| zone.is_none_or(|zone| zone == *z))
+        .any(|z| may_provision_in_zone(snapshot, job, z))
         || booting.count() >= count - found.len()
 }
 
-/// Holds what part of a gang's room is there, until the rest is: given to
-/// small work meanwhile, it would never be whole at one time.
-fn hold_partial_gang(
+/// Reserves the machines that a gang has found until the rest of its capacity is there. If small
+/// tasks took these machines meanwhile, the gang might never get its whole capacity at one time.
+fn reserve_for_partial_gang(
     snapshot: &mut Snapshot<'_>,
-    at: usize,
+    job_index: usize,
     found: Vec<usize>,
     decisions: &mut Decisions,
 ) {
-    for machine in found {
-        decisions.machines_to_keep.push(snapshot.machines[machine].id.clone());
-        bind_tentatively(snapshot, at, machine);
+    for machine_index in found {
+        decisions.machines_to_keep.push(snapshot.machines[machine_index].id.clone());
+        bind_tentatively(snapshot, job_index, machine_index);
     }
 }
 
-/// Keeps a replica from a machine that would first fetch its image, if one
-/// that holds the image can be had at a smaller loss.
+/// Drops found machines that would first fetch the replica's image, if preemption on a machine
+/// that holds the image loses less work than the fetch takes. Returns the remaining machines.
 fn avoid_fetches(
     snapshot: &mut Snapshot<'_>,
-    bound_by_machine: &[Vec<TaskSlot>],
-    at: usize,
+    bound_by_machine: &[Vec<BoundTaskIndex>],
+    job_index: usize,
     found: Vec<usize>,
     decisions: &mut Decisions,
 ) -> Vec<usize> {
-    // The longest fetch that no cached room could be had for: room only gets
-    // dearer, so there is no use in looking for it again.
+    // The longest fetch for which preemption lost more work. The least loss only grows as the
+    // pass goes on, so fetches that are no longer than this one are not tried again.
     let mut longest_failed_fetch_s = 0.0;
     found
         .into_iter()
         .filter(|&m| {
-            let fetch_s = fetch_s(snapshot, at, m);
-            let made = fetch_s > longest_failed_fetch_s
+            let fetch_s = image_fetch_s(snapshot, job_index, m);
+            let capacity_freed = fetch_s > longest_failed_fetch_s
                 && preemption::preempt_where_image_is_cached(
                     snapshot,
                     bound_by_machine,
-                    at,
+                    job_index,
                     fetch_s,
                     decisions,
                 );
-            if !made {
+            if !capacity_freed {
                 longest_failed_fetch_s = fetch_s.max(longest_failed_fetch_s);
             }
-            !made
+            !capacity_freed
         })
         .collect()
 }
 
-/// Priority, then work within its team's guarantee, then work that needs most
-/// of a machine (others find room in what it can't use), then arrival: the
-/// order in which waiting work takes room.
-fn order(snapshot: &Snapshot<'_>) -> Vec<usize> {
+/// The order in which waiting jobs are placed: by priority, then services and gangs before arrays
+/// (which can use the capacity that tasks needing most of a machine leave), then jobs within their
+/// team's guarantee, then by arrival.
+fn placement_order(snapshot: &Snapshot<'_>) -> Vec<usize> {
     let mut order: Vec<usize> = (0..snapshot.jobs.len()).collect();
-    order.sort_by_cached_key(|&at| {
-        let job = &snapshot.jobs[at];
-        let elastic = job.spec.shape == Shape::Array;
+    order.sort_by_cached_key(|&job_index| {
+        let job = &snapshot.jobs[job_index];
+        let is_array = job.spec.shape == Shape::Array;
         let priority = std::cmp::Reverse(job.priority);
-        (priority, elastic, !job.guaranteed, job.arrival)
+        (priority, is_array, !job.guaranteed, job.arrival)
     });
     order
 }
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -1,45 +1,56 @@
-//! Machines that are reclaimed for one job: what must leave them is stopped with time to
-//! save, and nothing else is placed there.
+//! Machines that are reserved for one job (the claimant): tasks of other jobs that save
+//! checkpoints are stopped there with a grace period in which to save, and no other job's tasks
+//! are placed there.
 
 use std::collections::HashMap;
 
 use super::{
     decisions::Decisions,
-    snapshot::{Snapshot, TaskSlot},
-    vacancy::stop,
+    snapshot::{BoundTaskIndex, Snapshot},
+    vacancy::mark_stopping,
     view::JobView,
 };
 use crate::protocol::{JobId, Shape};
 
-/// Stops the work that reserved machines are to be cleared of.
+/// Stops the tasks that must leave reserved machines.
 pub fn clear_reserved(snapshot: &mut Snapshot<'_>, decisions: &mut Decisions) {
     if snapshot.machines.iter().all(|machine| machine.reservation.is_none()) {
         return;
     }
-    let places: HashMap<JobId, usize> =
-        snapshot.jobs.iter().enumerate().map(|(at, job)| (job.id.clone(), at)).collect();
+    let job_indexes: HashMap<JobId, usize> = snapshot
+        .jobs
+        .iter()
+        .enumerate()
+        .map(|(job_index, job)| (job.id.clone(), job_index))
+        .collect();
     let bound_by_machine = snapshot.bound_by_machine();
-    for (machine, slots) in bound_by_machine.iter().enumerate() {
-        let reservation = snapshot.machines[machine].reservation.as_ref();
-        let claimant = reservation.and_then(|held| places.get(&held.job)).copied();
-        let Some(claimant) = claimant else { continue };
-        // It is kept for the job, though it may be idle until that is placed.
-        decisions.machines_to_keep.push(snapshot.machines[machine].id.clone());
-        for &slot in slots.iter().filter(|slot| slot.job != claimant) {
-            if may_stop(snapshot, slot) {
-                let stopping = stop(snapshot, slot, machine);
-                decisions.stop.push(stopping);
+    for (machine_index, bound_tasks) in bound_by_machine.iter().enumerate() {
+        let reservation = snapshot.machines[machine_index].reservation.as_ref();
+        let claimant_index =
+            reservation.and_then(|reservation| job_indexes.get(&reservation.job)).copied();
+        let Some(claimant_index) = claimant_index else { continue };
+        // The machine may be idle until the claimant is placed; it must not be returned.
+        decisions.machines_to_keep.push(snapshot.machines[machine_index].id.clone());
+        for &bound_task in
+            bound_tasks.iter().filter(|bound_task| bound_task.job_index != claimant_index)
+        {
+            if may_stop(snapshot, bound_task) {
+                let stop = mark_stopping(snapshot, bound_task, machine_index);
+                decisions.stop.push(stop);
             }
         }
     }
 }
 
-fn may_stop(snapshot: &Snapshot<'_>, slot: TaskSlot) -> bool {
-    let job = &snapshot.jobs[slot.job];
-    may_be_stopped(job) && !job.bound[slot.binding].stopping
+/// Whether a task may be stopped and is not being stopped yet.
+fn may_stop(snapshot: &Snapshot<'_>, bound_task: BoundTaskIndex) -> bool {
+    let job = &snapshot.jobs[bound_task.job_index];
+    is_reclaimable(job) && !job.bound[bound_task.binding_index].stopping
 }
 
-/// Work beyond its team's guarantee that saves. What came inside meanwhile stays.
-fn may_be_stopped(job: &JobView) -> bool {
+/// Whether a job's tasks may be stopped for a claimant: the job is no service, saves checkpoints
+/// and is beyond its team's guarantee. A job that has come within the guarantee since the reservation keeps
+/// running.
+fn is_reclaimable(job: &JobView) -> bool {
     !job.guaranteed && job.spec.shape != Shape::Service && job.spec.checkpoint_s > 0.0
 }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: which machines to provision for what finds no place, and for headroom.
+//! Scale-out: chooses the machines to provision for unplaced tasks and for headroom.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +12,16 @@
 };
 use crate::protocol::{MachineId, MachineType};
 
-/// Tasks of a job that no running machine takes.
+/// Tasks of a job for which no ready machine has capacity.
 pub struct UnplacedTasks {
-    /// The job's place in the snapshot.
-    pub job: usize,
-    /// How many.
+    /// The job's index in the snapshot.
+    pub job_index: usize,
+    /// The number of such tasks.
     pub count: usize,
 }
 
-/// Provisions machines for tasks that no running machine takes, after the booting
-/// machines are filled tentatively, and for headroom.
+/// Decides which machines to provision: for the unplaced tasks that the booting machines can't
+/// take either, and for headroom.
 pub fn scale_out(
     snapshot: &mut Snapshot<'_>,
     unplaced: &[UnplacedTasks],
@@ -29,8 +29,8 @@
 ) {
     let existing = snapshot.machines.len();
     for tasks in unplaced {
-        let left = fill_booting_machines(snapshot, tasks, existing, decisions);
-        add_machines(snapshot, tasks.job, left);
+        let remaining = fill_booting_machines(snapshot, tasks, existing, decisions);
+        add_machines(snapshot, tasks.job_index, remaining);
     }
     let mut counts: BTreeMap<MachineKind, u32> = BTreeMap::new();
     add_headroom(snapshot, &mut counts);
@@ -41,43 +41,43 @@
         counts.into_iter().map(|(kind, count)| ScaleOut { kind, count }).collect();
 }
 
-/// Binds tasks tentatively to machines that boot, or that this pass provisions for other
-/// jobs: those after the first `existing`. Returns how many tasks are left.
+/// Binds tasks tentatively to machines that boot, or that this pass provisions for other jobs
+/// (the machines from index `existing` on). Returns the number of tasks that remain.
 fn fill_booting_machines(
     snapshot: &mut Snapshot<'_>,
     tasks: &UnplacedTasks,
     existing: usize,
     decisions: &mut Decisions,
 ) -> usize {
-    let found = find_machines(snapshot, tasks.job, tasks.count, MachineReadiness::Booting);
-    let left = tasks.count - found.len();
-    for machine in found {
-        if machine < existing {
-            decisions.machines_to_keep.push(snapshot.machines[machine].id.clone());
+    let found = find_machines(snapshot, tasks.job_index, tasks.count, MachineReadiness::Booting);
+    let remaining = tasks.count - found.len();
+    for machine_index in found {
+        if machine_index < existing {
+            decisions.machines_to_keep.push(snapshot.machines[machine_index].id.clone());
         }
-        bind_tentatively(snapshot, tasks.job, machine);
+        bind_tentatively(snapshot, tasks.job_index, machine_index);
     }
-    left
+    remaining
 }
 
-/// Adds machines to the snapshot until they hold so many more tasks of a job, as far as
-/// the cloud may have some.
-fn add_machines(snapshot: &mut Snapshot<'_>, job: usize, mut tasks: usize) {
+/// Adds machines to the snapshot for `tasks` more tasks of a job, as far as there is a kind that
+/// the cloud may provision.
+fn add_machines(snapshot: &mut Snapshot<'_>, job_index: usize, mut tasks: usize) {
     while tasks > 0 {
-        let Some(kind) = cheapest_kind(snapshot, job) else { break };
-        let machine = add_machine(snapshot, kind);
-        let need = Resources::of_task(&snapshot.jobs[job].spec);
-        while tasks > 0 && snapshot.machines[machine].free.has_capacity_for(&need) {
-            if !ZoneConstraint::of(snapshot, &snapshot.jobs[job]).allows(kind.zone) {
+        let Some(kind) = cheapest_kind(snapshot, job_index) else { break };
+        let machine_index = add_machine(snapshot, kind);
+        let need = Resources::of_task(&snapshot.jobs[job_index].spec);
+        while tasks > 0 && snapshot.machines[machine_index].free.has_capacity_for(&need) {
+            if !ZoneConstraint::of(snapshot, &snapshot.jobs[job_index]).allows(kind.zone) {
                 break;
             }
-            bind_tentatively(snapshot, job, machine);
+            bind_tentatively(snapshot, job_index, machine_index);
             tasks -= 1;
         }
     }
 }
 
-/// Adds a machine that is yet to be provisioned, and returns its place.
+/// Adds a machine that is yet to be provisioned to the snapshot, and returns its index.
 fn add_machine(snapshot: &mut Snapshot<'_>, kind: MachineKind) -> usize {
     snapshot.machines.push(MachineView {
         id: MachineId::from(""),
@@ -95,10 +95,10 @@
     snapshot.machines.len() - 1
 }
 
-/// Counts the empty machines that headroom lacks.
+/// Adds the empty machines that are missing for headroom to the counts.
 fn add_headroom(snapshot: &Snapshot<'_>, counts: &mut BTreeMap<MachineKind, u32>) {
-    let wanted = [(false, snapshot.headroom_machines), (true, snapshot.headroom_spot_machines)];
-    for (spot, headroom) in wanted {
+    let targets = [(false, snapshot.headroom_machines), (true, snapshot.headroom_spot_machines)];
+    for (spot, headroom) in targets {
         let empty = snapshot.machines.iter().filter(|m| m.empty && m.spot == spot).count();
         if let Some(kind) = headroom_kind(snapshot, spot)
             && empty < headroom
@@ -108,25 +108,30 @@
     }
 }
 
-/// A kind of machine with what decides between kinds.
+/// A kind of machine with the values by which kinds are compared.
 struct Offer {
-    /// The price of an hour for its room, or for the part of it that a task takes.
+    /// The price of an hour of one GPU or core of the machine, or of the share of the machine that
+    /// a task takes.
     price: f64,
-    /// How many machines its zone has.
+    /// The number of machines in the kind's zone.
     machines_in_zone: usize,
     kind: MachineKind,
 }
 
-/// The kind of a machine for headroom: the cheapest one for its room, in the zone with
-/// the fewest machines.
+/// The kind of machine to provision for headroom: the cheapest for its GPUs (or cores, if it has
+/// more of these), in the zone with the fewest machines.
 fn headroom_kind(snapshot: &Snapshot<'_>, spot: bool) -> Option<MachineKind> {
     let mut offers: Vec<Offer> = Vec::new();
     for (machine_type, t) in snapshot.types.iter().enumerate() {
         for zone in t.zones.iter().filter_map(|z| snapshot.settings.zone_index(z)) {
             let kind = MachineKind { machine_type, zone, spot };
-            if snapshot.may_be_provisioned(&kind) {
+            if snapshot.may_provision(&kind) {
                 let price = price_of(t, spot) / t.gpus.max(t.cpus);
-                offers.push(Offer { price, machines_in_zone: count_in(snapshot, zone), kind });
+                offers.push(Offer {
+                    price,
+                    machines_in_zone: count_machines_in(snapshot, zone),
+                    kind,
+                });
             }
         }
     }
@@ -136,10 +141,10 @@
     offers.first().map(|offer| offer.kind)
 }
 
-/// The cheapest kind of machine that one more task may go to, in the zone
-/// with the fewest machines so far.
-fn cheapest_kind(snapshot: &Snapshot<'_>, job: usize) -> Option<MachineKind> {
-    let job = &snapshot.jobs[job];
+/// The kind of machine on which one more task of a job costs least, in the zone with the fewest
+/// machines so far.
+fn cheapest_kind(snapshot: &Snapshot<'_>, job_index: usize) -> Option<MachineKind> {
+    let job = &snapshot.jobs[job_index];
     let zones = ZoneConstraint::of(snapshot, job);
     let mut best: Option<Offer> = None;
     for (machine_type, t) in snapshot.types.iter().enumerate() {
@@ -151,10 +156,11 @@
             let price = price_of(t, spot) * share;
             for zone in t.zones.iter().filter_map(|z| snapshot.settings.zone_index(z)) {
                 let kind = MachineKind { machine_type, zone, spot };
-                if !snapshot.may_be_provisioned(&kind) || !zones.allows(zone) {
+                if !snapshot.may_provision(&kind) || !zones.allows(zone) {
                     continue;
                 }
-                let offer = Offer { price, machines_in_zone: count_in(snapshot, zone), kind };
+                let offer =
+                    Offer { price, machines_in_zone: count_machines_in(snapshot, zone), kind };
                 if best.as_ref().is_none_or(|best| offer.is_cheaper_than(best)) {
                     best = Some(offer);
                 }
@@ -174,6 +180,6 @@
     if spot { machine_type.spot_price } else { machine_type.price }
 }
 
-fn count_in(snapshot: &Snapshot<'_>, zone: u8) -> usize {
+fn count_machines_in(snapshot: &Snapshot<'_>, zone: u8) -> usize {
     snapshot.machines.iter().filter(|machine| machine.zone == zone).count()
 }
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot that a pass decides on, and what the pass holds there tentatively.
+//! The snapshot that a pass decides on, and the tentative bindings that the pass adds to it.
 
 use std::{cell::Cell, collections::HashMap, sync::Arc};
 
@@ -9,66 +9,68 @@
 };
 use crate::{protocol::MachineType, settings::Settings};
 
-/// The state that a pass decides on. The pass marks in it what it decides, so that later
-/// decisions of the same pass reckon with that.
+/// The state that a pass decides on. The pass applies its decisions to the snapshot, so that
+/// later decisions of the same pass take them into account.
 #[derive(Clone)]
 pub struct Snapshot<'a> {
     /// The settings.
     pub settings: &'a Settings,
     /// The machine types on offer.
     pub types: &'a [MachineType],
-    /// The machines that take tasks or boot, and then those that the pass adds.
+    /// The machines that are ready or booting, followed by those that the pass adds.
     pub machines: Vec<MachineView>,
-    /// The unfinished jobs that wait for no other job, in order of arrival.
+    /// The unfinished jobs without unfinished dependencies, in order of arrival.
     pub jobs: Vec<JobView>,
-    /// What each team's bound tasks use.
+    /// The resources that each team's bound tasks use.
     pub usage: HashMap<Arc<str>, TeamUse>,
-    /// Kinds of machine of which the cloud had no more lately.
+    /// Kinds of machine that the cloud recently ran out of: none are requested until the retry
+    /// interval is over.
     pub exhausted: Vec<MachineKind>,
-    /// Empty ordinary machines to have ready for what may come.
+    /// The number of empty ordinary machines to keep ready for future tasks.
     pub headroom_machines: usize,
-    /// Empty spot machines to have ready.
+    /// The number of empty spot machines to keep ready for future tasks.
     pub headroom_spot_machines: usize,
-    /// Room on ordinary machines, in machines, to keep for what may come.
+    /// The free capacity to keep on ordinary machines for future tasks, in machines.
     pub headroom_capacity: f64,
-    /// Whether a round is due now, which also sets the widths of arrays.
+    /// Whether this pass is a round, which also sets the widths of arrays and consolidates.
     pub round: bool,
-    /// How many places were evaluated so far: what a pass costs.
+    /// How many machines were evaluated for tasks so far, a measure of the cost of the pass.
     pub candidates_evaluated: Cell<u64>,
 }
 
-/// A bound task, by its place in a snapshot.
+/// The position of a bound task in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TaskSlot {
-    /// The job's place in the snapshot.
-    pub job: usize,
-    /// The binding's place in the job.
-    pub binding: usize,
+pub struct BoundTaskIndex {
+    /// The job's index in the snapshot.
+    pub job_index: usize,
+    /// The index of the task's binding in `JobView::bound`.
+    pub binding_index: usize,
 }
 
 impl Snapshot<'_> {
     /// The type of a machine.
-    pub(super) fn type_of(&self, machine: usize) -> &MachineType {
-        &self.types[self.machines[machine].machine_type]
+    pub(super) fn type_of(&self, machine_index: usize) -> &MachineType {
+        &self.types[self.machines[machine_index].machine_type]
     }
 
-    /// Whether the cloud may have machines of a kind.
-    pub(super) fn may_be_provisioned(&self, kind: &MachineKind) -> bool {
+    /// Whether machines of a kind may be requested: the cloud did not recently run out of them.
+    pub(super) fn may_provision(&self, kind: &MachineKind) -> bool {
         !self.exhausted.contains(kind)
     }
 
-    /// Counts places that are evaluated.
-    pub(super) fn count_evaluated(&self, places: usize) {
-        self.candidates_evaluated.set(self.candidates_evaluated.get() + places as u64);
+    /// Adds to the count of evaluated candidates.
+    pub(super) fn count_evaluated(&self, candidates: usize) {
+        self.candidates_evaluated.set(self.candidates_evaluated.get() + candidates as u64);
     }
 
     /// The tasks bound to each machine.
-    pub(super) fn bound_by_machine(&self) -> Vec<Vec<TaskSlot>> {
+    pub(super) fn bound_by_machine(&self) -> Vec<Vec<BoundTaskIndex>> {
         let mut bound_by_machine = vec![Vec::new(); self.machines.len()];
-        for (job, view) in self.jobs.iter().enumerate() {
-            for (binding, bound) in view.bound.iter().enumerate() {
-                if let Some(machine) = bound.machine {
-                    bound_by_machine[machine].push(TaskSlot { job, binding });
+        for (job_index, view) in self.jobs.iter().enumerate() {
+            for (binding_index, bound) in view.bound.iter().enumerate() {
+                if let Some(machine_index) = bound.machine {
+                    bound_by_machine[machine_index]
+                        .push(BoundTaskIndex { job_index, binding_index });
                 }
             }
         }
@@ -76,18 +78,18 @@
     }
 }
 
-/// Binds one more task of a job to a machine for the rest of the pass, whichever task it
-/// is: later decisions of the pass reckon with the place.
-pub fn bind_tentatively(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
-    occupy(snapshot, at, machine);
-    let zone = snapshot.machines[machine].zone;
-    snapshot.jobs[at].bound.push(BoundView::tentative(machine, zone, false));
+/// Binds one more task of a job, without naming which, to a machine for the rest of the pass, so
+/// that later decisions of the pass don't use the same capacity.
+pub fn bind_tentatively(snapshot: &mut Snapshot<'_>, job_index: usize, machine_index: usize) {
+    allocate(snapshot, job_index, machine_index);
+    let zone = snapshot.machines[machine_index].zone;
+    snapshot.jobs[job_index].bound.push(BoundView::tentative(machine_index, zone, false));
 }
 
-/// Takes the room of one task of a job on a machine.
-fn occupy(snapshot: &mut Snapshot<'_>, at: usize, machine: usize) {
-    let spec = &snapshot.jobs[at].spec;
-    let view = &mut snapshot.machines[machine];
+/// Allocates the resources of one task of a job on a machine.
+fn allocate(snapshot: &mut Snapshot<'_>, job_index: usize, machine_index: usize) {
+    let spec = &snapshot.jobs[job_index].spec;
+    let view = &mut snapshot.machines[machine_index];
     view.free.sub(&Resources::of_task(spec));
     view.empty = false;
     view.allocated_in_pass = true;
--- a/src/scheduler/team_use.rs
+++ b/src/scheduler/team_use.rs
@@ -1,6 +1,6 @@
-//! What a team's tasks use.
+//! Resource usage of a team.
 
-/// What the tasks of a team use, or ask for.
+/// The resources that the tasks of a team use or request.
 #[derive(Clone, Debug, Default)]
 pub struct TeamUse {
     /// CPU cores.
--- a/src/scheduler/vacancy.rs
+++ b/src/scheduler/vacancy.rs
@@ -1,17 +1,17 @@
-//! Room that is made on a machine by stopping tasks there: what preemption, consolidation
-//! and reservations share.
+//! Capacity that is freed on a machine by stopping tasks there: functions shared by preemption,
+//! consolidation and reservations.
 
 use super::{
     decisions::TaskStop,
     eligibility::{MachineEligibility, ZoneConstraint},
     resources::Resources,
-    snapshot::{Snapshot, TaskSlot},
+    snapshot::{BoundTaskIndex, Snapshot},
     view::{BoundView, JobView, MachineView},
 };
 
-/// The machines, with their places, that take tasks now and that one more task of a job
-/// may go to once there is room; only those of one zone, if one is given.
-pub(super) fn machines_for<'a>(
+/// The ready machines, with their indexes, on which one more task of a job may run once they have
+/// capacity; only those of one zone if one is given.
+pub(super) fn machines_eligible_for<'a>(
     snapshot: &'a Snapshot<'_>,
     job: &'a JobView,
     zone: Option<u8>,
@@ -24,33 +24,42 @@
             && zones.allows(machine.zone)
             && zone.is_none_or(|zone| zone == machine.zone)
             && eligibility.accepts(machine)
-            && machine.open_to(&job.id)
+            && machine.is_available_to(&job.id)
             && !job.avoided_machines.contains(&machine.id)
     })
 }
 
-/// The free room of a machine once all tasks that are being stopped there are gone.
-pub(super) fn room_after_stops(machine: &MachineView) -> Resources {
-    let mut room = machine.free;
-    room.add(&machine.stopping);
-    room
+/// The free capacity of a machine once all tasks that are being stopped there are gone.
+pub(super) fn capacity_after_stops(machine: &MachineView) -> Resources {
+    let mut capacity = machine.free;
+    capacity.add(&machine.stopping);
+    capacity
 }
 
-/// Marks a task on a machine as being stopped, with time to save.
-pub(super) fn stop(snapshot: &mut Snapshot<'_>, slot: TaskSlot, machine: usize) -> TaskStop {
-    let job = &mut snapshot.jobs[slot.job];
-    let bound = &mut job.bound[slot.binding];
+/// Marks a task on a machine as being stopped, and returns the decision to stop it with its grace
+/// period.
+pub(super) fn mark_stopping(
+    snapshot: &mut Snapshot<'_>,
+    bound_task: BoundTaskIndex,
+    machine_index: usize,
+) -> TaskStop {
+    let job = &mut snapshot.jobs[bound_task.job_index];
+    let bound = &mut job.bound[bound_task.binding_index];
     bound.stopping = true;
-    snapshot.machines[machine].stopping.add(&Resources::of_task(&job.spec));
+    snapshot.machines[machine_index].stopping.add(&Resources::of_task(&job.spec));
     TaskStop { job: job.id.clone(), task: bound.task, without_grace: false }
 }
 
-/// Keeps room on a machine for one more task of a job, until what is being stopped there
-/// is gone: given to other work, it would have to be made again and again.
-pub(super) fn keep_vacated_place(snapshot: &mut Snapshot<'_>, job: usize, machine: usize) {
-    let view = &mut snapshot.machines[machine];
-    view.free.sub(&Resources::of_task(&snapshot.jobs[job].spec));
+/// Reserves capacity on a machine for one more task of a job until the tasks that are being
+/// stopped there are gone. If other tasks took it, capacity would have to be freed repeatedly.
+pub(super) fn reserve_vacated_capacity(
+    snapshot: &mut Snapshot<'_>,
+    job_index: usize,
+    machine_index: usize,
+) {
+    let view = &mut snapshot.machines[machine_index];
+    view.free.sub(&Resources::of_task(&snapshot.jobs[job_index].spec));
     view.allocated_in_pass = true;
-    let place = BoundView::tentative(machine, view.zone, true);
-    snapshot.jobs[job].bound.push(place);
+    let place = BoundView::tentative(machine_index, view.zone, true);
+    snapshot.jobs[job_index].bound.push(place);
 }
