--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -45,6 +45,7 @@
 /// array of tens of thousands of small tasks would make its tables as long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Step {
+    /// Tasks in one step.
     tasks: u32,
     /// Capacity units that a step takes.
     units: usize,
@@ -76,7 +77,7 @@
     }
 }
 
-/// Rounding error, in capacity units, that comparisons of summed decimal amounts allow for.
+/// Rounding error of sums of decimal amounts that conversions to whole units and tasks allow for.
 const STEP_TOLERANCE: f64 = 1e-6;
 
 /// Bounds the tasks in one step, so that tasks that need almost no resources still count
@@ -87,6 +88,7 @@
 struct Candidate {
     /// The job's index in the snapshot.
     job_index: usize,
+    /// The unit in which the job's width is counted.
     step: Step,
     /// The maximum number of tasks that may run at a time within the team's limit.
     max_tasks: u32,
@@ -101,6 +103,7 @@
     }
 }
 
+/// Sets the widths of arrays to those that the dynamic program chooses for the current capacity.
 fn set_widths_in_round(snapshot: &mut Snapshot<'_>) {
     let units = units_per_machine(snapshot);
     let candidates = candidates(snapshot, units);
@@ -175,17 +178,17 @@
     let arrays: Vec<usize> = (0..snapshot.jobs.len())
         .filter(|&job_index| snapshot.jobs[job_index].spec.shape == Shape::Array)
         .collect();
-    let mut used: HashMap<_, TeamUse> = snapshot.usage.clone();
+    let mut usage_by_team: HashMap<_, TeamUse> = snapshot.usage.clone();
     for &job_index in &arrays {
         let job = &snapshot.jobs[job_index];
-        let team = used.entry(job.spec.team.clone()).or_default();
+        let team = usage_by_team.entry(job.spec.team.clone()).or_default();
         team.cpus -= job.spec.cpus * job.bound.len() as f64;
         team.gpus -= job.spec.gpus * job.bound.len() as f64;
     }
     let mut candidates = Vec::with_capacity(arrays.len());
     for job_index in arrays {
         let job = &snapshot.jobs[job_index];
-        let usage = used.entry(job.spec.team.clone()).or_default();
+        let usage = usage_by_team.entry(job.spec.team.clone()).or_default();
         let limit =
             tasks_within_team_limit(snapshot.settings.team(&job.spec.team), usage, &job.spec);
         let max_tasks = job.remaining.min(limit);
--- a/src/scheduler/bin_packing.rs
+++ b/src/scheduler/bin_packing.rs
@@ -21,6 +21,7 @@
     fetch_s_for_job(snapshot, &snapshot.jobs[job_index], machine_index)
 }
 
+/// Same as `image_fetch_s`, for a job's view.
 fn fetch_s_for_job(snapshot: &Snapshot<'_>, job: &JobView, machine_index: usize) -> f64 {
     let view = &snapshot.machines[machine_index];
     let rate = snapshot.type_of(machine_index).fetch_gb_per_s;
@@ -69,12 +70,12 @@
         // then the zone with capacity for the most tasks.
         return (0..snapshot.settings.cluster.zones.len() as u8)
             .map(|zone| {
-                let here: Vec<usize> = eligible
+                let in_zone: Vec<usize> = eligible
                     .iter()
                     .copied()
                     .filter(|&m| snapshot.machines[m].zone == zone)
                     .collect();
-                (zone, cheapest_machines(snapshot, job, &here, count, zones.clone()))
+                (zone, cheapest_machines(snapshot, job, &in_zone, count, zones.clone()))
             })
             .max_by_key(|(zone, found)| {
                 (found.len() == count || may_provision_in_zone(snapshot, job, *zone), found.len())
@@ -88,11 +89,12 @@
 /// Whether a kind of machine that the job may use is not marked exhausted in a zone.
 pub(super) fn may_provision_in_zone(snapshot: &Snapshot<'_>, job: &JobView, zone: u8) -> bool {
     snapshot.types.iter().enumerate().any(|(machine_type, t)| {
-        let here = t.zones.iter().any(|z| snapshot.settings.zone_index(z) == Some(zone));
-        here && [false, true].iter().any(|&spot| {
-            is_eligible(&job.spec, t, spot)
-                && snapshot.may_provision(&MachineKind { machine_type, zone, spot })
-        })
+        let is_offered = t.zones.iter().any(|z| snapshot.settings.zone_index(z) == Some(zone));
+        is_offered
+            && [false, true].iter().any(|&spot| {
+                is_eligible(&job.spec, t, spot)
+                    && snapshot.may_provision(&MachineKind { machine_type, zone, spot })
+            })
     })
 }
 
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -74,8 +74,8 @@
         if self.spec.one_zone && self.counts.keys().any(|z| *z != zone) {
             return false;
         }
-        let here = self.counts.get(&zone).copied().unwrap_or(0);
-        !self.spec.spread || here < self.spec.tasks.div_ceil(2)
+        let tasks_in_zone = self.counts.get(&zone).copied().unwrap_or(0);
+        !self.spec.spread || tasks_in_zone < self.spec.tasks.div_ceil(2)
     }
 
     /// Counts one more task in a zone.
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -11,7 +11,7 @@
 };
 use crate::protocol::Shape;
 
-/// How many times as long as its job declares the saving of a checkpoint may take.
+/// Saving a checkpoint may take this many times as long as its job declares.
 const SLOW_SAVE_FACTOR: f64 = 1.5;
 
 /// Frees capacity for `count` tasks of a job by stopping tasks of lower priority, those that lose
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -49,8 +49,8 @@
 }
 
 /// Whether a job's tasks may be stopped for a claimant: the job is no service, saves checkpoints
-/// and is beyond its team's guarantee. A job that has come within the guarantee since the reservation keeps
-/// running.
+/// and is beyond its team's guarantee. A job that has come within the guarantee since the machine
+/// was reserved keeps running.
 fn is_reclaimable(job: &JobView) -> bool {
     !job.guaranteed && job.spec.shape != Shape::Service && job.spec.checkpoint_s > 0.0
 }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -27,14 +27,14 @@
     unplaced: &[UnplacedTasks],
     decisions: &mut Decisions,
 ) {
-    let existing = snapshot.machines.len();
+    let existing_count = snapshot.machines.len();
     for tasks in unplaced {
-        let remaining = fill_booting_machines(snapshot, tasks, existing, decisions);
+        let remaining = fill_booting_machines(snapshot, tasks, existing_count, decisions);
         add_machines(snapshot, tasks.job_index, remaining);
     }
     let mut counts: BTreeMap<MachineKind, u32> = BTreeMap::new();
     add_headroom(snapshot, &mut counts);
-    for machine in &snapshot.machines[existing..] {
+    for machine in &snapshot.machines[existing_count..] {
         *counts.entry(machine.kind()).or_default() += 1;
     }
     decisions.scale_out =
@@ -42,17 +42,17 @@
 }
 
 /// Binds tasks tentatively to machines that boot, or that this pass provisions for other jobs
-/// (the machines from index `existing` on). Returns the number of tasks that remain.
+/// (the machines from index `existing_count` on). Returns the number of tasks that remain.
 fn fill_booting_machines(
     snapshot: &mut Snapshot<'_>,
     tasks: &UnplacedTasks,
-    existing: usize,
+    existing_count: usize,
     decisions: &mut Decisions,
 ) -> usize {
     let found = find_machines(snapshot, tasks.job_index, tasks.count, MachineReadiness::Booting);
     let remaining = tasks.count - found.len();
     for machine_index in found {
-        if machine_index < existing {
+        if machine_index < existing_count {
             decisions.machines_to_keep.push(snapshot.machines[machine_index].id.clone());
         }
         bind_tentatively(snapshot, tasks.job_index, machine_index);
