--- a/src/controller/lending.rs
+++ b/src/controller/lending.rs
@@ -81,7 +81,7 @@
             (id.clone(), self.lendable_machine(machine, &inside, grace_s, now))
         };
         LendingView {
-            settled: self.is_settled(now),
+            settled: self.is_fleet_view_complete(now),
             machines: machines.map(view).collect(),
             waiting: self.waiting_inside(&inside, waited, now),
         }
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -29,20 +29,21 @@
             let interval = Duration::from_secs_f64(self.settings.operator.round_s);
             self.timers.begin_round(now, interval);
         }
-        let settled = self.is_settled(now);
+        let fleet_view_complete = self.is_fleet_view_complete(now);
         let decisions = self.decide(kind, now);
         self.counters.passes += 1;
         self.counters.candidates_evaluated += decisions.candidates_evaluated;
-        self.apply_decisions(decisions, settled, now);
+        self.apply_decisions(decisions, fleet_view_complete, now);
     }
 
-    fn apply_decisions(&mut self, decisions: Decisions, settled: bool, now: Instant) {
+    fn apply_decisions(&mut self, decisions: Decisions, fleet_view_complete: bool, now: Instant) {
         for GrantedWidth { job, width } in decisions.widths {
             self.set_width(job, width);
         }
         self.bind(decisions.place);
-        // What the workers have not reported yet looks like a lack of machines.
-        if !settled {
+        // A machine whose worker has not reported yet is not ready, so the scheduler sees fewer
+        // machines than there are. Preemption and scale-out wait until the view is complete.
+        if !fleet_view_complete {
             self.timers.request_round();
             return;
         }
@@ -57,9 +58,10 @@
         self.scale_out(decisions.scale_out);
     }
 
-    /// Whether a new leader was in contact with all machines that hold tasks, as far as
-    /// they report within the usual time.
-    pub(super) fn is_settled(&self, now: Instant) -> bool {
+    /// Whether the leader knows the state of all machines that hold tasks: each of their workers
+    /// has reported in this term, or half a worker lease has passed since the term began,
+    /// which is longer than workers usually take to find a new leader.
+    pub(super) fn is_fleet_view_complete(&self, now: Instant) -> bool {
         let machines = self.fleet.machines.values();
         now > self.started + self.settings.worker_lease() / 2
             || machines.filter(|m| !m.bound.is_empty()).all(Machine::has_reported)
