--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -1,9 +1,10 @@
-//! Commands sent to workers' own addresses.
+//! Direct commands: commands that the leader sends to workers' own addresses, without waiting
+//! for their next heartbeats.
 //!
-//! Which starts may still be carried out without an answer is kept by
-//! `fleet::OpenStarts`. When no answer comes, the worker's token is raised
-//! (`fencing.rs`): it learns of that with the next answer or command, and its heartbeat
-//! after that settles all.
+//! `fleet::OpenStarts` keeps the start commands that have no response yet and may still be
+//! carried out. If a request gets no response, the leader raises the worker's fencing token
+//! (`fencing.rs`). The next heartbeat response or direct command carries the higher token to
+//! the worker, and the worker's heartbeat after that closes the open starts.
 
 use tokio::time::Instant;
 
@@ -13,15 +14,15 @@
     protocol::{BODY_LIMIT, CommandKind, DirectCommands, MachineId, TaskCommand, WorkerHeartbeat},
 };
 
-/// No less than what a worker's heartbeat holds for one task.
-const REPORTED_TASK_BYTES: usize = 128;
+/// An upper bound of the size of one task's status in a heartbeat.
+const MAX_TASK_STATUS_BYTES: usize = 128;
 
-/// A machine with this many open starts gets further ones only with the answers
-/// to its heartbeats: exits stay listed while starts are open, and may take up a small
-/// part of a heartbeat only.
-const MAX_OPEN_STARTS: usize = BODY_LIMIT / REPORTED_TASK_BYTES / 16;
+/// The number of open starts from which a machine gets further starts only in the responses to
+/// its heartbeats. While a start is open the worker keeps reporting the attempt's exit, and
+/// these exits may take up only a small part of a heartbeat, here a sixteenth of the body limit.
+const MAX_OPEN_STARTS: usize = BODY_LIMIT / MAX_TASK_STATUS_BYTES / 16;
 
-/// Commands that leave now for one worker.
+/// A request with direct commands, to be sent to one worker now.
 #[derive(Clone, Debug)]
 pub struct DirectRequest {
     /// The request's number within the term.
@@ -34,43 +35,45 @@
     pub commands: DirectCommands,
 }
 
-/// What became of a direct request.
+/// The outcome of a direct request.
 #[derive(Clone, Copy, Debug)]
 pub enum DirectOutcome<'a> {
-    /// Carried out, or refused as a whole: the worker's heartbeat after that.
+    /// The worker carried the request out or refused it as a whole, and responded with this
+    /// heartbeat.
     Answered(&'a WorkerHeartbeat),
-    /// No connection came about, so it will never be carried out.
+    /// No connection was established, so the request will never be carried out.
     NotDelivered,
-    /// It may have been carried out, or may still be.
+    /// The request may have been carried out, or may be carried out later.
     Unknown,
 }
 
-/// What may be asked of a worker by direct commands.
+/// Which direct commands may be sent to a worker.
 #[derive(Clone, Copy)]
 struct Authority {
     /// The incarnation that the commands are for.
     incarnation: u64,
-    /// The worker is alive and has acknowledged this term. One whose heartbeats reach
-    /// nobody, or not this leader yet, may still take commands: cancelled tasks are
-    /// stopped there, and nothing else is asked of it.
-    commanded: bool,
+    /// The worker is alive and has acknowledged this term. Otherwise it may still receive
+    /// direct commands, even if its heartbeats reach no controller or have not reached this
+    /// leader yet: it is sent stop commands for cancelled tasks, and no others.
+    controlled: bool,
     /// Start commands may be sent.
     may_start: bool,
 }
 
 impl Leader {
-    /// The token that commands to a worker carry.
+    /// Returns the fencing token that commands to a worker carry.
     pub fn token_for(&self, machine: &str) -> u64 {
-        let raised = self.fleet.machines.get(machine).map_or(0, |m| m.token);
-        raised.max(self.tokens.first())
+        let highest_known = self.fleet.machines.get(machine).map_or(0, |m| m.token);
+        highest_known.max(self.tokens.first())
     }
 
-    /// Composes commands for as many machines as there are free calls, so that none
-    /// waits for a socket after it was decided.
+    /// Returns the requests to send now, for at most as many machines as the limit on direct
+    /// requests in flight allows. So no request waits for a socket after its commands were
+    /// decided.
     pub fn take_direct_requests(&mut self, now: Instant) -> Vec<DirectRequest> {
         let mut requests = Vec::new();
         for _ in 0..self.direct_calls.waiting_machines() {
-            if self.direct_calls.calls_in_flight() >= self.settings.direct_calls() {
+            if self.direct_calls.requests_in_flight() >= self.settings.direct_calls() {
                 break;
             }
             let Some(id) = self.direct_calls.pop() else { break };
@@ -84,11 +87,12 @@
         requests
     }
 
-    /// The request with all commands that are due for a machine, if any.
+    /// Returns a request with all commands that are due for a machine, if there are any, and
+    /// records the request as sent.
     fn compose_request(&mut self, id: &MachineId, now: Instant) -> Option<DirectRequest> {
         let machine = self.fleet.machines.get(id)?;
         let authority = self.authority_over(machine, now);
-        if (machine.deleting && !authority.commanded) || machine.address.is_empty() {
+        if (machine.deleting && !authority.controlled) || machine.address.is_empty() {
             return None;
         }
         let due = machine.bound.iter();
@@ -103,33 +107,35 @@
         if commands.is_empty() {
             return None;
         }
-        let request = self.direct_calls.begin();
+        let request_id = self.direct_calls.begin();
         let token = self.token_for(id);
         let machine = self.fleet.machines.get_mut(id)?;
         machine.commands_in_flight = true;
-        machine.open_starts.record_sent(request, token, starts);
+        machine.open_starts.record_sent(request_id, token, starts);
         let address = machine.address.clone();
         let commands = DirectCommands { token, incarnation: authority.incarnation, commands };
-        Some(DirectRequest { id: request, machine: id.clone(), address, commands })
+        Some(DirectRequest { id: request_id, machine: id.clone(), address, commands })
     }
 
+    /// Returns which direct commands may be sent to the worker of a machine now. A worker whose
+    /// machine the cloud is about to reclaim gets commands too.
     fn authority_over(&self, machine: &Machine, now: Instant) -> Authority {
         let heartbeat_interval = self.settings.heartbeat_interval();
         let usable = machine.is_usable(now, heartbeat_interval) || machine.reclaim_at.is_some();
-        let commanded = usable && machine.acknowledged_term;
-        let recorded =
+        let controlled = usable && machine.acknowledged_term;
+        let bound_incarnation =
             |key: &TaskKey| Some(self.jobs.get(&key.job)?.bound.get(&key.task)?.incarnation);
         let open_starts = machine.open_starts.len();
         Authority {
-            incarnation: machine.incarnation(machine.bound.iter().filter_map(recorded)),
-            commanded,
-            may_start: commanded && self.starts_allowed && open_starts < MAX_OPEN_STARTS,
+            incarnation: machine.incarnation(machine.bound.iter().filter_map(bound_incarnation)),
+            controlled,
+            may_start: controlled && self.starts_allowed && open_starts < MAX_OPEN_STARTS,
         }
     }
 
-    /// The direct command that is due for one task bound to a machine.
+    /// Returns the direct command that is due for one bound task, if any.
     fn direct_command(&self, key: &TaskKey, authority: Authority) -> Option<TaskCommand> {
-        let Authority { incarnation, commanded, may_start } = authority;
+        let Authority { incarnation, controlled, may_start } = authority;
         let job = self.jobs.get(&key.job)?;
         let binding = job.bound.get(&key.task)?;
         if binding.incarnation != incarnation || !binding.durable {
@@ -139,16 +145,16 @@
         let grace_s = if cancelled { Some(0.0) } else { binding.stop.map(|stop| stop.grace_s) };
         let op = match grace_s {
             None if may_start && !binding.observed && job.may_start(binding) => CommandKind::Start,
-            Some(_) if commanded && binding.observed => CommandKind::Stop,
-            Some(_) if !commanded && cancelled => CommandKind::Stop,
+            Some(_) if controlled && binding.observed => CommandKind::Stop,
+            Some(_) if !controlled && cancelled => CommandKind::Stop,
             _ => return None,
         };
         Some(TaskCommand { op, task: key.to_string(), attempt: binding.attempt, grace_s })
     }
 
-    /// Takes what became of a direct request.
+    /// Processes the outcome of a direct request.
     ///
-    /// Fails if the worker has seen a higher token than this term's.
+    /// Fails if the worker has seen a higher fencing token than this term's.
     pub fn on_direct_outcome(
         &mut self,
         request: &DirectRequest,
@@ -159,10 +165,11 @@
         let Some(machine) = self.fleet.machines.get_mut(&request.machine) else { return Ok(()) };
         machine.commands_in_flight = false;
         match outcome {
-            // Another machine may have its address by now.
+            // If another machine has taken over the address, the heartbeat names that machine
+            // and says nothing of this one.
             DirectOutcome::Answered(heartbeat) if heartbeat.machine == request.machine => {
                 machine.open_starts.settle(request.id);
-                self.take_heartbeat(heartbeat, HeartbeatSource::DirectResponse, now).map(|_| ())
+                self.process_heartbeat(heartbeat, HeartbeatSource::DirectResponse, now).map(|_| ())
             }
             DirectOutcome::NotDelivered => {
                 machine.open_starts.settle(request.id);
--- a/src/controller/known_end.rs
+++ b/src/controller/known_end.rs
@@ -1,28 +1,30 @@
-//! When a job's end became known, and the time limit that follows for its tasks.
+//! When a job's end became known, and the deadline for its remaining tasks that follows.
 
 use tokio::time::{Duration, Instant};
 
-/// When a job ended, as far as this controller knows.
+/// The instants that this controller knows of a job's end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownEnd {
-    /// When this leader learned of it.
+    /// When this leader learned of the end.
     pub(super) learned_at: Instant,
-    /// The earliest time at which its user may have been told.
+    /// The earliest instant at which the end may have been confirmed to the job's user.
     pub(super) confirmed_at: Instant,
 }
 
 impl KnownEnd {
-    /// An end that this leader learns of now.
+    /// Returns an end that this leader learns of now, and that was not confirmed earlier as far
+    /// as is known.
     pub(super) fn learned(now: Instant) -> Self {
         Self { learned_at: now, confirmed_at: now }
     }
 
-    /// When machines that still hold its tasks are returned. All of them must be
-    /// gone `limit` after the confirmation. Half of that is left for stopping
-    /// them; what was learned late gets half a lease, but not beyond three
-    /// quarters of the limit.
+    /// Returns when machines that still hold tasks of the job are returned to the cloud.
+    ///
+    /// All tasks must have terminated `limit` after the confirmation. Stop commands get half of
+    /// that time. If the leader learned of the end late, they get half a worker lease from
+    /// then, but no longer than three quarters of the limit.
     pub(super) fn machine_return_deadline(&self, limit: Duration, lease: Duration) -> Instant {
-        let late = (self.learned_at + lease / 2).min(self.confirmed_at + limit * 3 / 4);
-        late.max(self.confirmed_at + limit / 2)
+        let learned_late = (self.learned_at + lease / 2).min(self.confirmed_at + limit * 3 / 4);
+        learned_late.max(self.confirmed_at + limit / 2)
     }
 }
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation: what a worker's heartbeat proves of the tasks bound to its machine,
-//! and the commands that go back in the response.
+//! Reconciliation: compares a worker's heartbeat with the tasks bound to its machine, records
+//! what it proves of them, and collects the commands for the response.
 
 use std::collections::HashMap;
 
@@ -19,16 +19,16 @@
 };
 
 impl Leader {
-    /// Takes a worker's heartbeat and returns the commands of the response.
+    /// Processes a worker's heartbeat and returns the commands of the response.
     ///
-    /// Fails if the worker has seen a higher token than this term's.
+    /// Fails if the worker has seen a higher fencing token than this term's.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         now: Instant,
     ) -> Result<Vec<TaskCommand>, Superseded> {
-        let commands = self.take_heartbeat(heartbeat, HeartbeatSource::Worker, now)?;
-        for command in commands.iter().filter(|o| o.op == CommandKind::Start) {
+        let commands = self.process_heartbeat(heartbeat, HeartbeatSource::Worker, now)?;
+        for command in commands.iter().filter(|command| command.op == CommandKind::Start) {
             if let Some(key) = TaskKey::parse(&command.task)
                 && let Some(binding) =
                     self.jobs.get_mut(&key.job).and_then(|j| j.bound.get_mut(&key.task))
@@ -39,23 +39,25 @@
         Ok(commands)
     }
 
-    /// Takes the heartbeat of a worker that is redirected, to find another leader.
+    /// Processes the heartbeat of a worker that the response redirects to other controllers, so
+    /// that it finds another leader if there is one.
     ///
-    /// Fails if the worker has seen a higher token than this term's.
+    /// Fails if the worker has seen a higher fencing token than this term's.
     pub fn on_redirected_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         now: Instant,
     ) -> Result<(), Superseded> {
-        self.take_heartbeat(heartbeat, HeartbeatSource::Worker, now)?;
+        self.process_heartbeat(heartbeat, HeartbeatSource::Worker, now)?;
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.redirected_at = Some(now);
         }
         Ok(())
     }
 
-    /// Takes a heartbeat and returns the commands that are due.
-    pub(super) fn take_heartbeat(
+    /// Processes a heartbeat from either source and returns the commands that are due on its
+    /// machine.
+    pub(super) fn process_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         source: HeartbeatSource,
@@ -83,8 +85,9 @@
             self.record_change();
         }
         let machine = self.fleet.machines.get(&heartbeat.machine);
-        // A worker that has not shown this token yet may still carry out
-        // older commands; it gets the token first, and commands next time.
+        // A worker that has not acknowledged this term yet may still carry out commands of an
+        // earlier one. The response to this heartbeat carries the new token, and only the
+        // responses after it carry commands.
         let acknowledged = machine.is_some_and(|m| m.acknowledged_term);
         Ok(if acknowledged { commands } else { Vec::new() })
     }
@@ -96,7 +99,8 @@
             .is_some_and(|m| m.is_ready(now, self.settings.heartbeat_interval()))
     }
 
-    /// Compares all tasks bound to a machine, and all that its worker reports.
+    /// Compares the tasks bound to a machine with those that its worker reports, and returns the
+    /// commands that are due.
     fn reconcile_machine(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -127,8 +131,8 @@
         commands
     }
 
-    /// What a heartbeat shows of a bound task. None if the binding is of another
-    /// incarnation, of which the heartbeat says nothing.
+    /// Returns what a heartbeat shows of a bound task, or None if the binding belongs to another
+    /// incarnation of the worker than the one that sent the heartbeat.
     fn verdict<'a>(
         &self,
         key: &TaskKey,
@@ -152,7 +156,7 @@
         Some(task_verdict(binding, context, reported))
     }
 
-    /// Acts on a verdict and returns the command that it asks for.
+    /// Updates the state according to a verdict and returns the command that follows from it.
     fn apply_verdict(
         &mut self,
         key: &TaskKey,
@@ -175,8 +179,11 @@
                 None
             }
             TaskVerdict::StartUnacknowledged => {
-                let until = now + self.settings.worker_lease();
-                self.fleet.machines.get_mut(machine)?.record_unacknowledged_command(until);
+                let quarantined_until = now + self.settings.worker_lease();
+                self.fleet
+                    .machines
+                    .get_mut(machine)?
+                    .record_unacknowledged_command(quarantined_until);
                 info!(%machine, task = %key, "start command not acknowledged");
                 self.confirm_terminated(key, now);
                 None
@@ -190,7 +197,10 @@
         }
     }
 
-    /// Records that a task is on its machine, and returns the stop command that is due.
+    /// Records that a task is on its machine, and returns the stop command if one is due.
+    ///
+    /// A task that is already saving a checkpoint gets no further stop command, unless its job
+    /// has ended or twice the grace period has passed; the command then allows no grace.
     fn record_present(
         &mut self,
         key: &TaskKey,
@@ -217,8 +227,8 @@
         Some(stop_command(status, if overdue { 0.0 } else { stop.grace_s }))
     }
 
-    /// Tasks on the machine that are not bound there: workers forget exited ones
-    /// once their outcome is durable, and stop others.
+    /// Adds commands for reported tasks that are not bound to the machine: the worker forgets
+    /// exited tasks once their outcome is durable, and stops the others.
     fn reconcile_unmanaged_tasks(
         &mut self,
         reported: &HashMap<TaskKey, &TaskStatus>,
@@ -256,11 +266,12 @@
         })
     }
 
-    /// Whether a worker may forget an exited attempt.
+    /// Whether a worker may forget an exited attempt, and so stop reporting it.
     fn may_forget(&self, key: &TaskKey, status: &TaskStatus, machine: &MachineId) -> bool {
-        // A job's last exit is durable only with the job's end.
+        // The exit of a job's last task becomes durable with the record of the job's end.
         let finishing = self.jobs.get(&key.job).is_some_and(|job| job.remaining() == 0);
-        // While it is listed, a late start command has no effect.
+        // A worker ignores a start command for an attempt that it still lists. It must not forget
+        // the attempt while a late command could start that attempt again.
         let machine = self.fleet.machines.get(machine);
         let may_still_start = machine.is_some_and(|m| m.open_starts.contains(key, status.attempt));
         !finishing && !may_still_start && !self.is_unwritten(key)
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -1,5 +1,5 @@
-//! Tasks that are over: what their exits say of job and machine, and the confirmed
-//! termination that ends their placements.
+//! Task exits: back-off of jobs and quarantine of machines after failures, and the end of a
+//! task's binding once its termination is confirmed.
 
 use tokio::time::Instant;
 use tracing::{debug, info};
@@ -10,25 +10,26 @@
     protocol::{ExitCause, JobId, MachineId, Shape},
 };
 
-/// A job that failed on this many machines is itself at fault.
+/// The number of machines that a job's failures are attributed to. A job that fails on this
+/// many machines is taken to be at fault itself.
 const MAX_MACHINES_AT_FAULT: usize = 3;
 
-/// A failing job waits 2 to the power of its failures in heartbeat intervals, with at
-/// most this exponent.
+/// The highest exponent of the back-off of a failing job, which is 2 to the power of its
+/// failures in a row, in heartbeat intervals.
 const MAX_BACKOFF_EXPONENT: u32 = 6;
 
-/// A machine is quarantined this many heartbeat intervals for each job that failed on it.
+/// How long a machine is quarantined for each job that failed on it, in heartbeat intervals.
 const QUARANTINE_INTERVALS_PER_JOB: u32 = 5;
 
-/// A machine that refused a task for lack of resources is quarantined this long, in
-/// heartbeat intervals.
+/// How long a machine that refused a start is quarantined, in heartbeat intervals.
 const REFUSAL_QUARANTINE_INTERVALS: u32 = 4;
 
-/// A job waits this long after an exit of unknown cause, in heartbeat intervals.
+/// How long a job backs off after the worker did not know an attempt that a command named, in
+/// heartbeat intervals.
 const UNKNOWN_EXIT_BACKOFF_INTERVALS: u32 = 2;
 
 impl Leader {
-    /// Records a reported exit and confirms the task as terminated.
+    /// Records the exit of a task that a worker reported, and ends the task's binding.
     pub(super) fn record_exit(&mut self, key: &TaskKey, cause: ExitCause, now: Instant) {
         debug!(job = %key.job, task = key.task, ?cause, "task exited");
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -45,7 +46,8 @@
             }
             ExitCause::Error => self.record_failure(key, &id, now),
             ExitCause::NoRoom | ExitCause::Busy => {
-                // What is known of the machine is wrong; its heartbeats will correct it.
+                // The leader's view of the machine is wrong. The heartbeats that arrive during
+                // the quarantine correct it.
                 let until = now + self.settings.heartbeat_interval() * REFUSAL_QUARANTINE_INTERVALS;
                 if let Some(machine) = self.fleet.machines.get_mut(&id) {
                     machine.quarantine(until);
@@ -60,8 +62,11 @@
         self.confirm_terminated(key, now);
     }
 
-    /// Records a failed task. Mostly the machine is at fault, but a job with a mistake
-    /// fails everywhere; each is judged by how many of the other it met.
+    /// Records a failed task, and attributes the failure to the machine or to the job.
+    ///
+    /// Usually the machine is at fault, but a faulty job fails on every machine. So the machine
+    /// is quarantined until the job has failed on `MAX_MACHINES_AT_FAULT` machines, and then the
+    /// job backs off instead.
     fn record_failure(&mut self, key: &TaskKey, machine: &MachineId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         job.failures += 1;
@@ -75,8 +80,8 @@
         }
     }
 
-    /// A job that failed on several machines waits longer and longer, and the machines
-    /// are not held responsible.
+    /// Backs off a job that failed on several machines, for longer with each failure, and lifts
+    /// the quarantine of those machines.
     fn back_off_failing_job(&mut self, id: &JobId, now: Instant) {
         let heartbeat_interval = self.settings.heartbeat_interval();
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -92,6 +97,7 @@
         }
     }
 
+    /// Quarantines a machine, for longer with each job that failed on it.
     fn quarantine_failing_machine(&mut self, key: &TaskKey, id: &MachineId, now: Instant) {
         let heartbeat_interval = self.settings.heartbeat_interval();
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
@@ -102,7 +108,8 @@
         info!(machine = %id, task = %key, wait_s = wait.as_secs_f64(), "machine quarantined after a failed task");
     }
 
-    /// Ends the placement of a task: there is proof that it is not on its machine.
+    /// Ends the binding of a task that is proved not to be on its machine any more. A task that
+    /// is not done is queued again.
     pub(super) fn confirm_terminated(&mut self, key: &TaskKey, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(binding) = job.bound.remove(&key.task) else { return };
@@ -121,8 +128,8 @@
             }
         }
         if job.spec.shape == Shape::Gang && !done {
-            // The rest of a broken gang can't continue; the next attempt starts
-            // when all tasks of this one are gone.
+            // A gang can't continue without one of its tasks. The next attempt starts when all
+            // tasks of this one have terminated.
             job.stop_all(StopRequest { requested_at: now, grace_s: job.grace_s() });
         }
         if job.is_over() {
--- a/src/controller/task_verdict.rs
+++ b/src/controller/task_verdict.rs
@@ -1,29 +1,30 @@
-//! What a heartbeat shows of one bound task: a pure decision over the binding, the job and
-//! the reported status. Acting on it is up to `reconciliation`.
+//! What a heartbeat shows of one bound task: a pure function of the binding, the job and
+//! the reported status. `reconciliation` acts on the result.
 
 use super::binding::Binding;
 use crate::protocol::{ExitCause, TaskState, TaskStatus};
 
-/// A start command that went out with this many answers and was not followed by its
-/// task is taken as not acknowledged.
+/// The number of heartbeat responses with a start command after which a task that is still
+/// absent shows that the worker does not receive its responses.
 const MAX_STARTS_SENT: u32 = 2;
 
-/// Where a heartbeat came from.
+/// How a heartbeat reached the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeartbeatSource {
-    /// The worker sent it by itself.
+    /// The worker sent the heartbeat on its own schedule.
     Worker,
-    /// It is the response to a direct request. It proves no absence: the worker may still
-    /// be waiting for the answer to its last own heartbeat, with a start command in it.
+    /// The heartbeat is the response to a direct request. A task that it lacks may still start:
+    /// the worker may be waiting for the response to its last periodic heartbeat, which may
+    /// carry a start command.
     DirectResponse,
 }
 
-/// What holds for a bound task besides its binding and reported status.
+/// The conditions that bear on a verdict besides the task's binding and reported status.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TaskContext {
     /// The job has ended, so the task must stop.
     pub(super) job_ended: bool,
-    /// A start command for it may leave now.
+    /// A start command for the task may be sent now.
     pub(super) may_start: bool,
     /// The worker has acknowledged this term.
     pub(super) acknowledged_term: bool,
@@ -34,22 +35,23 @@
 /// The outcome of comparing a binding with a heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TaskVerdict<'a> {
-    /// The attempt is over.
+    /// The attempt has exited, for this cause.
     Exited(ExitCause),
-    /// The attempt is on the machine.
+    /// The attempt is on the machine and has not exited.
     Present(&'a TaskStatus),
-    /// The attempt was to be stopped and is certainly not on the machine.
+    /// The attempt was to be stopped, and the heartbeat proves that it is not on the machine.
     Terminated,
-    /// Start commands were sent and not carried out: the answers do not arrive.
+    /// Start commands were sent and not carried out: the worker does not receive the responses
+    /// to its heartbeats.
     StartUnacknowledged,
     /// A start command is due.
     StartDue,
-    /// The heartbeat shows nothing certain.
+    /// The heartbeat proves neither presence nor absence, and no start command is due.
     Undetermined,
 }
 
-/// Compares a binding with what its worker reports of the task. `reported` may be
-/// another attempt than the bound one.
+/// Compares a binding with the status that its worker reports of the task. The status may be
+/// of another attempt than the bound one.
 pub(super) fn task_verdict<'a>(
     binding: &Binding,
     context: TaskContext,
@@ -65,8 +67,10 @@
     }
 }
 
-/// Commands in answers are never carried out late, so a newer heartbeat at this token
-/// that lacks the task is proof, unless a command in flight may still start it.
+/// Returns the verdict on a task whose bound attempt is missing from a heartbeat of this term.
+///
+/// A worker never carries out commands of a heartbeat response late. So a newer heartbeat that
+/// lacks the attempt proves its absence, unless a command in flight may still start it.
 fn absent_task_verdict(
     binding: &Binding,
     context: TaskContext,
--- a/src/controller/task_verdict/tests.rs
+++ b/src/controller/task_verdict/tests.rs
@@ -5,7 +5,7 @@
 
 const ATTEMPT: u64 = 7;
 
-/// A bound task that was never seen, on a worker of this term.
+/// The binding of a task that no heartbeat has shown yet.
 fn binding() -> Binding {
     Binding::new("n-1".into(), ATTEMPT, 1, 0)
 }
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn a_reported_attempt_is_present_or_exited_whatever_else_holds() {
-    let unknown_worker = TaskContext { acknowledged_term: false, job_ended: true, ..context() };
-    for context in [context(), unknown_worker] {
+fn a_reported_attempt_is_present_or_exited_in_any_context() {
+    let unacknowledged = TaskContext { acknowledged_term: false, job_ended: true, ..context() };
+    for context in [context(), unacknowledged] {
         let running = status(ATTEMPT, TaskState::Running);
         let verdict = task_verdict(&stopping(binding()), context, Some(&running));
         assert!(matches!(verdict, TaskVerdict::Present(_)), "{verdict:?}");
@@ -62,16 +62,16 @@
 #[test]
 fn absence_proves_nothing_while_a_start_is_open_or_before_the_term_is_acknowledged() {
     let ended = TaskContext { job_ended: true, ..context() };
-    let open = TaskContext { may_still_start: true, ..ended };
-    let unknown_worker = TaskContext { acknowledged_term: false, ..ended };
-    for context in [open, unknown_worker] {
+    let start_open = TaskContext { may_still_start: true, ..ended };
+    let unacknowledged = TaskContext { acknowledged_term: false, ..ended };
+    for context in [start_open, unacknowledged] {
         let verdict = task_verdict(&stopping(binding()), context, None);
         assert!(matches!(verdict, TaskVerdict::Undetermined), "{verdict:?}");
     }
 }
 
 #[test]
-fn a_start_is_due_until_two_were_not_carried_out() {
+fn a_start_is_due_until_two_start_commands_were_not_carried_out() {
     for (starts_sent, unacknowledged) in [(0, false), (1, false), (2, true), (3, true)] {
         let binding = Binding { starts_sent, ..binding() };
         let verdict = task_verdict(&binding, context(), None);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn no_start_is_due_while_another_attempt_is_there_or_starts_are_not_allowed() {
+fn no_start_is_due_while_another_attempt_is_reported_or_starts_are_not_allowed() {
     let earlier = status(ATTEMPT - 1, TaskState::Running);
     let verdict = task_verdict(&binding(), context(), Some(&earlier));
     assert!(matches!(verdict, TaskVerdict::Undetermined), "{verdict:?}");
