--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -14,7 +14,7 @@
     protocol::{BODY_LIMIT, CommandKind, DirectCommands, MachineId, TaskCommand, WorkerHeartbeat},
 };
 
-/// An upper bound of the size of one task's status in a heartbeat.
+/// An upper bound on the size of one task's status in a heartbeat.
 const MAX_TASK_STATUS_BYTES: usize = 128;
 
 /// The number of open starts from which a machine gets further starts only in the responses to
--- a/src/controller/pass_timers.rs
+++ b/src/controller/pass_timers.rs
@@ -1,39 +1,41 @@
-//! When the leader's periodic work is due: sweeps, scheduling passes and rounds.
+//! Timers of the leader's periodic work: sweeps, scheduling passes and rounds.
 
 use tokio::time::{Duration, Instant};
 
 use super::state_service::StateService;
 
-/// A pass may take up to one in so many parts of the time: the rest is for
-/// heartbeats, answers and the renewal of the lease.
-const PASS_PARTS: u32 = 8;
+/// The time from the end of a tick to the next pass, as a multiple of the tick's duration. So
+/// passes take at most an eighth of the time, and the rest is left for heartbeats, responses
+/// and the renewal of the leader lease.
+const PASS_INTERVAL_FACTOR: u32 = 8;
 
 /// What a scheduling pass decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PassKind {
-    /// Where tasks run.
+    /// On which machines tasks run.
     Placement,
-    /// The widths of arrays as well.
+    /// On which machines tasks run, and the widths of arrays.
     Round,
 }
 
-/// When sweeps, passes and rounds are due.
+/// The instants from which sweeps, passes and rounds are due.
 ///
-/// A sweep goes over all machines and jobs for what time alone brings. A pass schedules;
-/// rounds are passes that are made less often.
+/// A sweep goes over all machines and jobs for changes that need no event, such as expired
+/// leases. A pass schedules tasks. A round is a pass that also sets the widths of arrays; rounds
+/// are less frequent than other passes.
 pub(super) struct PassTimers {
     next_round: Instant,
     next_sweep: Instant,
     next_pass: Instant,
     round_requested: bool,
-    /// Something changed that the next pass has to consider.
+    /// A change that the next pass has to consider was recorded since the last pass.
     changed: bool,
-    /// The same since the last tick.
+    /// Such a change was recorded since the last tick began, by something other than the tick.
     needs_tick: bool,
 }
 
 impl PassTimers {
-    /// All is due now.
+    /// Returns timers by which a sweep and a round are due immediately.
     pub(super) fn new(now: Instant) -> Self {
         Self {
             next_round: now,
@@ -45,36 +47,37 @@
         }
     }
 
-    /// Something changed that the next pass has to consider, soon.
+    /// Records a change that the next pass has to consider, and requests a tick before the next
+    /// sweep.
     pub(super) fn record_change(&mut self) {
         self.changed = true;
         self.needs_tick = true;
     }
 
-    /// The same within a tick, which may make that pass itself.
+    /// Records a change that a tick makes and that the next pass has to consider. No further tick
+    /// is requested, since the same tick may make that pass.
     pub(super) fn record_change_within_tick(&mut self) {
         self.changed = true;
     }
 
-    /// The next round is due as soon as its time has come.
+    /// Requests a round for the time when the interval since the last round has passed.
     pub(super) fn request_round(&mut self) {
         self.round_requested = true;
     }
 
-    /// A tick begins.
+    /// Records that a tick begins, which meets earlier requests for one.
     pub(super) fn begin_tick(&mut self) {
         self.needs_tick = false;
     }
 
-    /// Whether something happened since the last tick that should not wait for the
-    /// next sweep.
+    /// Whether something changed since the last tick that should not wait for the next sweep.
     pub(super) fn needs_tick(&self) -> bool {
         self.needs_tick
     }
 
-    /// When the next tick is due if nothing happens until then.
+    /// Returns when the next tick is due if no event requests one earlier.
     pub(super) fn next_tick(&self, state_service: StateService) -> Instant {
-        // While the state service is unavailable no pass is made.
+        // No pass is made while the state service is unavailable.
         if self.changed && state_service == StateService::Available {
             self.next_sweep.min(self.next_pass)
         } else {
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Whether a sweep is due. If so, the next one is due after `interval`.
+    /// Returns whether a sweep is due, and if so schedules the next one after `interval`.
     pub(super) fn take_sweep(&mut self, now: Instant, interval: Duration) -> bool {
         let due = now >= self.next_sweep;
         if due {
@@ -91,8 +94,8 @@
         due
     }
 
-    /// The pass that is due now, if one is; it takes in all changes before it.
-    /// `jobs_wait` is only asked if no round was requested.
+    /// Returns the kind of the pass that is due now, if one is, and marks all recorded changes as
+    /// considered. Without a requested round, one is due if `jobs_wait` returns true.
     pub(super) fn take_pass(
         &mut self,
         now: Instant,
@@ -109,16 +112,16 @@
         changed.then_some(PassKind::Placement)
     }
 
-    /// A round begins; the next one is due after `interval` at the earliest.
+    /// Records that a round begins. The next one is due after `interval` at the earliest.
     pub(super) fn begin_round(&mut self, now: Instant, interval: Duration) {
         self.round_requested = false;
         self.next_round = now + interval;
     }
 
-    /// A tick took this long: the next pass keeps its distance, so that passes never
-    /// crowd out heartbeats, however large the fleet.
+    /// Records how long a tick took, and delays the next pass in proportion. So passes leave time
+    /// for heartbeats however large the fleet is.
     pub(super) fn record_tick_duration(&mut self, now: Instant, duration: Duration) {
-        self.next_pass = now + duration * PASS_PARTS;
+        self.next_pass = now + duration * PASS_INTERVAL_FACTOR;
     }
 }
 
--- a/src/controller/pass_timers/tests.rs
+++ b/src/controller/pass_timers/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 fn timers_after_first_round(now: Instant) -> PassTimers {
     let mut timers = PassTimers::new(now);
     timers.begin_tick();
-    assert!(timers.take_sweep(now, SWEEP));
+    assert!(timers.take_sweep(now, SWEEP_INTERVAL));
     assert_eq!(timers.take_pass(now, || false), Some(PassKind::Round));
     timers.begin_round(now, Duration::from_secs(60));
     timers
@@ -15,16 +15,16 @@
 fn nothing_is_due_until_something_changes() {
     let now = Instant::now();
     let mut timers = timers_after_first_round(now);
-    assert!(!timers.needs_tick() && !timers.take_sweep(now, SWEEP));
+    assert!(!timers.needs_tick() && !timers.take_sweep(now, SWEEP_INTERVAL));
     assert_eq!(timers.take_pass(now, || true), None, "the next round is not due");
     timers.record_change();
     assert!(timers.needs_tick());
     assert_eq!(timers.take_pass(now, || false), Some(PassKind::Placement));
-    assert_eq!(timers.take_pass(now, || false), None, "it took in all changes");
+    assert_eq!(timers.take_pass(now, || false), None, "the pass before considered all changes");
 }
 
 #[test]
-fn a_round_comes_in_its_time_if_it_was_requested_or_jobs_wait() {
+fn a_round_is_due_after_its_interval_if_it_was_requested_or_jobs_wait() {
     let now = Instant::now();
     let later = now + Duration::from_secs(60);
     let mut timers = timers_after_first_round(now);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn passes_take_up_an_eighth_of_the_time_at_most() {
+fn passes_take_at_most_an_eighth_of_the_time() {
     let now = Instant::now();
     let mut timers = timers_after_first_round(now);
     timers.record_tick_duration(now, Duration::from_secs(1));
@@ -43,15 +43,19 @@
     assert!(!timers.needs_tick());
     assert_eq!(timers.take_pass(now + Duration::from_secs(7), || false), None);
     let due = now + Duration::from_secs(8);
-    assert_eq!(timers.take_pass(due, || false), Some(PassKind::Placement), "the change waited");
+    assert_eq!(
+        timers.take_pass(due, || false),
+        Some(PassKind::Placement),
+        "the change is kept until the pass"
+    );
 }
 
 #[test]
-fn the_next_tick_waits_for_a_pass_only_if_one_can_be_made() {
+fn the_next_tick_is_due_with_the_pass_only_if_the_state_service_is_available() {
     let now = Instant::now();
     let mut timers = timers_after_first_round(now);
-    assert_eq!(timers.next_tick(StateService::Available), now + SWEEP);
+    assert_eq!(timers.next_tick(StateService::Available), now + SWEEP_INTERVAL);
     timers.record_change();
     assert_eq!(timers.next_tick(StateService::Available), now);
-    assert_eq!(timers.next_tick(StateService::Unavailable), now + SWEEP);
+    assert_eq!(timers.next_tick(StateService::Unavailable), now + SWEEP_INTERVAL);
 }
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -1,5 +1,5 @@
-//! A scheduling pass: from a snapshot of the state to the scheduler's decisions, and from
-//! those to bindings, stops, widths and provisioning requests.
+//! A scheduling pass: takes the scheduler's decisions on a snapshot of the state, and turns them
+//! into bindings, stop requests, array widths and provisioning requests.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 };
 
 impl Leader {
-    /// Makes a pass.
+    /// Makes a scheduling pass of this kind.
     pub(super) fn schedule(&mut self, kind: PassKind, now: Instant) {
         if self.types.is_empty() {
             return;
@@ -50,6 +50,8 @@
         for stopping in decisions.stop {
             self.preempt(stopping, now);
         }
+        // Machines that waiting work counts on must not be returned as idle: their idle time starts
+        // anew.
         for id in decisions.awaited {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
                 machine.idle_since = machine.has_reported().then_some(now);
@@ -71,7 +73,7 @@
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.width != width) {
             info!(job = %id, from = job.width, to = width, "array width changed");
             job.width = width;
-            // The first page holds the width.
+            // The job's first page record holds the width.
             self.writes.mark_due(PageKey { job: id, page: 0 });
         }
     }
@@ -83,11 +85,11 @@
         self.stop(&TaskKey { job, task }, grace, now);
     }
 
-    /// Binds tasks to machines. All tasks of a gang's attempt share its number; elsewhere
-    /// a number is never used twice.
-    fn bind(&mut self, places: Vec<PlacedTask>) {
+    /// Binds tasks to machines. The tasks of a gang share one attempt number. Other tasks each
+    /// get an attempt number of their own.
+    fn bind(&mut self, placed_tasks: Vec<PlacedTask>) {
         let mut previous_job: Option<JobId> = None;
-        for PlacedTask { job, task, machine } in places {
+        for PlacedTask { job, task, machine } in placed_tasks {
             let key = TaskKey { job, task };
             let same_job = previous_job.as_ref() == Some(&key.job);
             if self.bind_task(&key, &machine, same_job) {
@@ -98,15 +100,16 @@
         }
     }
 
-    /// Binds a task, unless that is not possible any more. `same_job`: the task bound
-    /// before it is of the same job.
+    /// Binds a task, and returns whether that was possible. `same_job`: whether the task bound
+    /// before this one belongs to the same job.
     fn bind_task(&mut self, key: &TaskKey, machine_id: &MachineId, same_job: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&key.job) else { return false };
         if !may_bind(job, key.task) {
             return false;
         }
         let Some(machine) = self.fleet.machines.get_mut(machine_id) else { return false };
-        // An earlier attempt may still start there, and would meet this one.
+        // A direct start command in flight may still start an earlier attempt there, which would
+        // then run beside this one.
         if machine.open_starts.contains_task(key) {
             return false;
         }
@@ -123,7 +126,7 @@
         true
     }
 
-    /// Records that a task's image will be on its machine.
+    /// Records that the machine of a newly bound task fetches the task's image.
     fn record_image_use(&mut self, key: &TaskKey, machine_id: &MachineId) {
         let Some(machine) = self.fleet.machines.get_mut(machine_id) else { return };
         let Some(job) = self.jobs.get(&key.job) else { return };
@@ -131,15 +134,15 @@
             self.types.named(&machine.machine_type).map_or(f64::INFINITY, |t| t.cache_gb);
         let (jobs, bound) = (&self.jobs, &machine.bound);
         let is_used = |image: &Arc<str>| {
-            let mut here = bound.iter().filter_map(|key| jobs.get(&key.job));
-            here.any(|job| job.spec.image == *image)
+            let mut jobs_on_machine = bound.iter().filter_map(|key| jobs.get(&key.job));
+            jobs_on_machine.any(|job| job.spec.image == *image)
         };
         machine.images.record_use(&job.spec.image, job.spec.image_gb, cache_gb, is_used);
     }
 }
 
-/// Whatever was decided, a bound task is never bound again, nor is any task of a job
-/// that another one still holds back.
+/// Whether a task may be bound. Regardless of the scheduler's decision, a task that is bound or
+/// done is not bound again, nor is a task of a job that has ended or awaits its dependencies.
 fn may_bind(job: &Job, task: u32) -> bool {
     !job.bound.contains_key(&task) && !job.done.contains(&task) && job.is_active()
 }
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -10,9 +10,8 @@
     protocol::{ExitCause, JobId, MachineId, Shape},
 };
 
-/// The number of machines that a job's failures are attributed to. A job that fails on this
-/// many machines is taken to be at fault itself.
-const MAX_MACHINES_AT_FAULT: usize = 3;
+/// A job that failed on this many machines is taken to be at fault itself.
+const MIN_MACHINES_FOR_JOB_FAULT: usize = 3;
 
 /// The highest exponent of the back-off of a failing job, which is 2 to the power of its
 /// failures in a row, in heartbeat intervals.
@@ -65,7 +64,7 @@
     /// Records a failed task, and attributes the failure to the machine or to the job.
     ///
     /// Usually the machine is at fault, but a faulty job fails on every machine. So the machine
-    /// is quarantined until the job has failed on `MAX_MACHINES_AT_FAULT` machines, and then the
+    /// is quarantined until the job has failed on `MIN_MACHINES_FOR_JOB_FAULT` machines, and then the
     /// job backs off instead.
     fn record_failure(&mut self, key: &TaskKey, machine: &MachineId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -73,7 +72,7 @@
         if !job.avoided_machines.contains(machine) {
             job.avoided_machines.push(machine.clone());
         }
-        if job.avoided_machines.len() >= MAX_MACHINES_AT_FAULT {
+        if job.avoided_machines.len() >= MIN_MACHINES_FOR_JOB_FAULT {
             self.back_off_failing_job(&key.job, now);
         } else {
             self.quarantine_failing_machine(key, machine, now);
--- a/src/controller/task_verdict/tests.rs
+++ b/src/controller/task_verdict/tests.rs
@@ -32,8 +32,9 @@
 
 #[test]
 fn a_reported_attempt_is_present_or_exited_in_any_context() {
-    let unacknowledged = TaskContext { acknowledged_term: false, job_ended: true, ..context() };
-    for context in [context(), unacknowledged] {
+    let unacknowledged_worker =
+        TaskContext { acknowledged_term: false, job_ended: true, ..context() };
+    for context in [context(), unacknowledged_worker] {
         let running = status(ATTEMPT, TaskState::Running);
         let verdict = task_verdict(&stopping(binding()), context, Some(&running));
         assert!(matches!(verdict, TaskVerdict::Present(_)), "{verdict:?}");
@@ -63,8 +64,8 @@
 fn absence_proves_nothing_while_a_start_is_open_or_before_the_term_is_acknowledged() {
     let ended = TaskContext { job_ended: true, ..context() };
     let start_open = TaskContext { may_still_start: true, ..ended };
-    let unacknowledged = TaskContext { acknowledged_term: false, ..ended };
-    for context in [start_open, unacknowledged] {
+    let unacknowledged_worker = TaskContext { acknowledged_term: false, ..ended };
+    for context in [start_open, unacknowledged_worker] {
         let verdict = task_verdict(&stopping(binding()), context, None);
         assert!(matches!(verdict, TaskVerdict::Undetermined), "{verdict:?}");
     }
--- a/src/controller/tick.rs
+++ b/src/controller/tick.rs
@@ -1,4 +1,4 @@
-//! What the leader does as time passes: sweeps over all machines and jobs, and
+//! Ticks: the leader's periodic work, which is sweeps over all machines and jobs, and
 //! scheduling passes.
 
 use tokio::time::{Duration, Instant};
@@ -14,22 +14,22 @@
     protocol::Shape,
 };
 
-/// Sweeps are made so many times in a heartbeat interval.
+/// The number of sweeps in a heartbeat interval.
 const SWEEPS_PER_INTERVAL: u32 = 8;
 
-/// The time kept for a task to stop before its machine is reclaimed, beyond its grace
-/// period, in heartbeat intervals.
+/// The time between the end of a task's grace period and the reclaim of its machine, in
+/// heartbeat intervals. It is left for the stop command to reach the worker.
 const RECLAIM_MARGIN_INTERVALS: u32 = 4;
 
 impl Leader {
-    /// Whether something happened since the last tick that should not wait for
-    /// the next sweep. Most heartbeats only say that all is as it was, and a tick
-    /// for each of those would cost more than the heartbeat itself.
+    /// Whether something changed since the last tick that should not wait for the next sweep.
+    /// Most heartbeats report no change, and a tick for each of them would cost more than
+    /// processing the heartbeat itself.
     pub fn needs_tick(&self) -> bool {
         self.timers.needs_tick()
     }
 
-    /// When the next tick is due if nothing happens until then.
+    /// Returns when the next tick is due if no event requests one earlier.
     pub fn next_tick(&self) -> Instant {
         let state_service = match self.state_available_since {
             Some(_) => StateService::Available,
@@ -38,12 +38,12 @@
         self.timers.next_tick(state_service)
     }
 
-    /// Called when something happened, and when `next_tick` says so. What goes over all
-    /// machines or jobs is done a few times per heartbeat interval only, since events
-    /// come far more often.
+    /// Does the work that is due. Called after events that request a tick, and at the instant
+    /// that `next_tick` returns. Work that goes over all machines or jobs is done only a few
+    /// times per heartbeat interval, since events are far more frequent.
     ///
-    /// `sole_renewer_since`: since when surely no other controller has renewed workers'
-    /// leases.
+    /// `sole_renewer_since`: the instant since which certainly no other controller has renewed
+    /// workers' leases, if there is one.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -58,8 +58,8 @@
             self.counters.sweeps += 1;
             self.sweep(now, state_service, sole_renewer_since);
         }
-        // Without the state service nothing new can be made durable, and an
-        // old watch cache is no ground for returning machines.
+        // Without the state service no new decision can be made durable, and machines must not be
+        // returned on the basis of an outdated watch cache.
         if state_service == StateService::Unavailable {
             self.state_available_since = None;
             return;
@@ -73,12 +73,12 @@
         self.schedule_if_due(now);
     }
 
-    /// How long the last tick took: the next pass keeps its distance.
+    /// Records how long the last tick took, which delays the next pass in proportion.
     pub fn record_tick_duration(&mut self, now: Instant, duration: Duration) {
         self.timers.record_tick_duration(now, duration);
     }
 
-    /// What time alone brings, also while the state service is unavailable.
+    /// Does the periodic work over all machines and jobs that does not depend on the state service.
     fn sweep(
         &mut self,
         now: Instant,
@@ -94,8 +94,12 @@
         self.return_machines_with_cancelled_tasks(now, state_service);
     }
 
-    /// Whether termination can be proved by lease. After an outage the others'
-    /// abstentions need their time first, which is no ground for anything.
+    /// Returns whether the termination of tasks on silent machines can be proved by lease.
+    ///
+    /// It can once this controller has been the only one to renew leases for longer than a
+    /// worker lease. After an outage of the state service the abstentions of the other controllers
+    /// (`lease_renewal`) take time to be established again. So for two leases the proof counts
+    /// as available, and machines are not returned for the lack of it.
     fn termination_proof(
         &self,
         now: Instant,
@@ -108,37 +112,38 @@
         TerminationProof { provable, sole_renewer_since }
     }
 
-    /// Jobs whose back-off is over may start tasks again.
+    /// Ends the back-offs whose time has passed, so that their jobs may start tasks again.
     fn end_backoffs(&mut self, now: Instant) {
-        let is_over = |job: &&mut Job| job.backoff_until.is_some_and(|until| until <= now);
-        for job in self.jobs.values_mut().filter(is_over) {
+        let has_expired = |job: &&mut Job| job.backoff_until.is_some_and(|until| until <= now);
+        for job in self.jobs.values_mut().filter(has_expired) {
             job.backoff_until = None;
             self.timers.record_change_within_tick();
         }
     }
 
-    /// Makes a pass if one is due and the last one lies back long enough.
+    /// Makes a scheduling pass if one is due and the interval since the last one has passed.
     fn schedule_if_due(&mut self, now: Instant) {
-        // While a job waits, each round checks again: a boot may be overdue by
-        // then, or the cloud have machines again.
-        let waits = |job: &Job| job.is_active() && job.bound.is_empty();
-        if let Some(kind) = self.timers.take_pass(now, || self.jobs.values().any(waits)) {
+        // While a job has no task on a machine, rounds are made without any event: a boot may have
+        // become overdue, or the cloud may have machines of an exhausted kind again.
+        let is_waiting = |job: &Job| job.is_active() && job.bound.is_empty();
+        if let Some(kind) = self.timers.take_pass(now, || self.jobs.values().any(is_waiting)) {
             self.schedule(kind, now);
         }
     }
 
-    /// Stops tasks on machines that the cloud will take back, in time to save.
+    /// Stops tasks on machines that the cloud will reclaim, in time to save their checkpoints.
+    /// Tasks that save none are stopped immediately.
     fn drain_reclaimed_machines(&mut self, now: Instant) {
         let margin = self.settings.heartbeat_interval() * RECLAIM_MARGIN_INTERVALS;
         let mut stops = Vec::new();
         for machine in self.fleet.machines.values() {
             let Some(reclaim_at) = machine.reclaim_at else { continue };
-            let left = reclaim_at.saturating_duration_since(now);
+            let time_left = reclaim_at.saturating_duration_since(now);
             for key in &machine.bound {
                 let Some(job) = self.jobs.get(&key.job) else { continue };
-                let needed = Duration::from_secs_f64(job.grace_s()) + margin;
-                // A notice may run half as long as it says.
-                if job.spec.checkpoint_s <= 0.0 || left / 2 < needed {
+                let time_needed = Duration::from_secs_f64(job.grace_s()) + margin;
+                // The cloud may reclaim a machine after half of the announced time.
+                if job.spec.checkpoint_s <= 0.0 || time_left / 2 < time_needed {
                     stops.push(key.clone());
                 }
             }
@@ -148,7 +153,8 @@
         }
     }
 
-    /// Requests that a task stops; of a gang, all tasks.
+    /// Requests a stop of a task, or of all tasks of its job if that is a gang. Tasks that are
+    /// being stopped already keep their grace period.
     pub(super) fn stop(&mut self, key: &TaskKey, grace: GracePeriod, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let grace_s = match grace {
