--- a/src/controller/binding.rs
+++ b/src/controller/binding.rs
@@ -4,27 +4,28 @@
 
 use crate::{protocol::MachineId, store::BoundTask};
 
-/// A task on its machine, until it is confirmed terminated.
+/// The binding of a task to a machine. It lasts until the task is confirmed terminated.
 #[derive(Clone, Debug)]
 pub(super) struct Binding {
     pub(super) machine: MachineId,
     pub(super) attempt: u64,
     /// The worker's incarnation that the attempt belongs to.
     pub(super) incarnation: u64,
-    /// The number of the machine's zone in the settings.
+    /// The index of the machine's zone in the settings.
     pub(super) zone: u8,
-    /// The record that binds it is committed.
+    /// The page record that holds this binding is committed.
     pub(super) durable: bool,
-    /// Responses that carried its start command and were not followed by it.
+    /// The number of heartbeat responses that carried the start command since a heartbeat last
+    /// showed the task.
     pub(super) starts_sent: u32,
-    /// A heartbeat showed it on the machine.
+    /// A heartbeat showed the task on the machine.
     pub(super) observed: bool,
     pub(super) running_since: Option<Instant>,
     pub(super) stop: Option<StopRequest>,
 }
 
 impl Binding {
-    /// A new placement, whose record is still to be written.
+    /// Returns a new binding, whose record is not written yet.
     pub(super) fn new(machine: MachineId, attempt: u64, incarnation: u64, zone: u8) -> Self {
         Self {
             machine,
@@ -39,13 +40,13 @@
         }
     }
 
-    /// The placement that a record names.
+    /// Returns the binding that a page record holds.
     pub(super) fn from_record(bound: BoundTask) -> Self {
         let BoundTask { task: _, attempt, machine, incarnation, zone } = bound;
         Self { durable: true, ..Self::new(machine, attempt, incarnation, zone) }
     }
 
-    /// What a page records of it.
+    /// Returns the form in which a page records the binding.
     pub(super) fn record(&self, task: u32) -> BoundTask {
         BoundTask {
             task,
@@ -57,7 +58,7 @@
     }
 }
 
-/// A request to stop a task, with the grace period that it has to save a checkpoint.
+/// A request to stop a task, with the grace period in which the task may save a checkpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StopRequest {
     pub(super) requested_at: Instant,
@@ -65,11 +66,11 @@
     pub(super) grace_s: f64,
 }
 
-/// How long a task that is stopped may take to save a checkpoint.
+/// How long a stopped task may take to save a checkpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GracePeriod {
-    /// As long as its job needs.
+    /// The grace period that the task's job needs.
     OfJob,
-    /// Not at all.
+    /// No grace period.
     None,
 }
--- a/src/controller/incarnations.rs
+++ b/src/controller/incarnations.rs
@@ -1,5 +1,5 @@
-//! Worker incarnations that end: by proof of lease expiry, by a later one, or by the
-//! deletion of the machine. Their tasks are confirmed terminated.
+//! The end of worker incarnations: by a proved lease expiry, by a later incarnation, or by the
+//! deletion of the machine. The tasks of an ended incarnation are confirmed terminated.
 
 use tokio::time::Instant;
 use tracing::info;
@@ -11,8 +11,8 @@
 };
 
 impl Leader {
-    /// Ends incarnations whose lease expired, with proof of it. `sole_renewer_since`:
-    /// since when surely no other controller has renewed workers' leases.
+    /// Ends incarnations whose leases are proved to have expired. `sole_renewer_since`: the instant
+    /// since which certainly no other controller has renewed workers' leases, if there is one.
     pub(super) fn expire_incarnations(
         &mut self,
         now: Instant,
@@ -37,16 +37,16 @@
         }
     }
 
-    /// The latest incarnation known of a machine. One that was never in contact with this
-    /// leader has the incarnations that the records name.
+    /// Returns the latest known incarnation of a machine's worker. If the worker has not been in
+    /// contact with this leader, the records of the tasks bound to the machine name it.
     fn latest_incarnation(&self, machine: &Machine) -> u64 {
-        let recorded =
+        let bound_incarnation =
             |key: &TaskKey| Some(self.jobs.get(&key.job)?.bound.get(&key.task)?.incarnation);
-        let recorded = machine.bound.iter().filter_map(recorded).max();
+        let recorded = machine.bound.iter().filter_map(bound_incarnation).max();
         machine.latest_heartbeat.incarnation.max(recorded.unwrap_or(0))
     }
 
-    /// All tasks of incarnations before `incarnation` are gone from a machine.
+    /// Confirms that all tasks on a machine of incarnations before `incarnation` terminated.
     pub(super) fn end_incarnations_before(
         &mut self,
         id: &MachineId,
@@ -58,7 +58,7 @@
         for key in bound {
             let binding = self.jobs.get(&key.job).and_then(|job| job.bound.get(&key.task));
             if binding.is_some_and(|binding| binding.incarnation < incarnation) {
-                info!(job = %key.job, task = key.task, machine = %id, "task lost with its worker's incarnation");
+                info!(job = %key.job, task = key.task, machine = %id, "task lost, worker incarnation ended");
                 self.confirm_terminated(&key, now);
             }
         }
@@ -67,9 +67,11 @@
         }
     }
 
-    /// Whether this controller alone seems cut off from the workers. Found out late,
-    /// a successor would have no time left to be found by them within their
-    /// lease: they search for it only after a response has failed to come.
+    /// Whether most workers are silent, so that this controller seems to be cut off from them.
+    ///
+    /// The limit of two and a half heartbeat intervals is short because workers look for another
+    /// controller only after a response has failed to come. If this leader resigned later, they
+    /// would not have enough time to find its successor within their leases.
     pub fn is_isolated_from_workers(&self, now: Instant) -> bool {
         now > self.started + self.settings.worker_lease()
             && self.fleet.is_mostly_silent(now, self.settings.heartbeat_interval() * 5 / 2)
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -85,8 +85,8 @@
         self.stop(&TaskKey { job, task }, grace, now);
     }
 
-    /// Binds tasks to machines. The tasks of a gang share one attempt number. Other tasks each
-    /// get an attempt number of their own.
+    /// Binds tasks to machines. The tasks of a gang share one attempt number. Every other task
+    /// gets an attempt number that is never used again within its job.
     fn bind(&mut self, placed_tasks: Vec<PlacedTask>) {
         let mut previous_job: Option<JobId> = None;
         for PlacedTask { job, task, machine } in placed_tasks {
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot of the state that a scheduling pass decides on.
+//! The snapshot of machines and jobs that a scheduling pass decides on.
 
 use std::{cell::Cell, collections::HashMap};
 
@@ -11,15 +11,16 @@
     scheduler::{self, BoundView, Decisions, JobView, MachineView, Resources, Snapshot},
 };
 
-/// Boots usually end within one and a half of the type's boot time.
-const OVERDUE_BOOTS: f64 = 1.6;
+/// A boot is overdue after this multiple of the machine type's boot time. Boots usually take at
+/// most one and a half times the boot time.
+const OVERDUE_BOOT_FACTOR: f64 = 1.6;
 
-/// A start counts for its job's objectives unless the task is stopped by command
-/// within this many seconds, so nothing is moved before then.
-const SETTLED_S: f64 = 30.0;
+/// How long a task runs before it may be moved to another machine, in seconds. A start does not
+/// count for the objectives of the task's job if a command stops the task earlier.
+const MIN_RUN_BEFORE_MOVE_S: f64 = 30.0;
 
 impl Leader {
-    /// What the scheduler decides on the state as it is now.
+    /// Returns the scheduler's decisions on the present state.
     pub(super) fn decide(&mut self, kind: PassKind, now: Instant) -> Decisions {
         let exhausted = self.provisioning.exhausted(now);
         let types = self.types.all();
@@ -40,18 +41,19 @@
         })
     }
 
-    /// The machines that take tasks now, or that are worth waiting for.
+    /// Returns views of the machines that take tasks now or are expected to take them soon.
     fn machine_views(&self, now: Instant) -> Vec<MachineView> {
         let machines = self.fleet.machines.iter();
         machines.filter_map(|(id, machine)| self.machine_view(id, machine, now)).collect()
     }
 
+    /// Returns the scheduler's view of a machine, or None if no task can count on the machine.
     fn machine_view(&self, id: &MachineId, machine: &Machine, now: Instant) -> Option<MachineView> {
-        let type_number = self.types.number(&machine.machine_type)?;
-        let machine_type = self.types.get(type_number)?;
+        let type_index = self.types.number(&machine.machine_type)?;
+        let machine_type = self.types.get(type_index)?;
         let zone = self.settings.zone_index(&machine.zone)?;
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
-        if !ready && !self.is_coming(machine, machine_type, now) {
+        if !ready && !self.is_expected_soon(machine, machine_type, now) {
             return None;
         }
         let mut free = Resources::of_type(machine_type);
@@ -68,7 +70,7 @@
         }
         Some(MachineView {
             id: id.clone(),
-            machine_type: type_number,
+            machine_type: type_index,
             zone,
             spot: machine.spot,
             free,
@@ -81,40 +83,52 @@
         })
     }
 
-    /// Whether a machine that is not ready will be soon: it boots, or its zone is cut off.
-    fn is_coming(&self, machine: &Machine, machine_type: &MachineType, now: Instant) -> bool {
-        // A boot that is overdue may take several times as long, or never
-        // end: nothing should count on it any more.
-        let due = Duration::from_secs_f64(machine_type.boot_s * OVERDUE_BOOTS);
-        let booting = machine.never_reported() && machine.silence(now) < due;
+    /// Whether a machine that is not ready is expected to be ready soon, because it is booting or
+    /// a network partition cuts off its zone.
+    fn is_expected_soon(
+        &self,
+        machine: &Machine,
+        machine_type: &MachineType,
+        now: Instant,
+    ) -> bool {
+        // An overdue boot may take several times as long as usual or never end, so no task should
+        // wait for the machine any longer.
+        let max_boot_time = Duration::from_secs_f64(machine_type.boot_s * OVERDUE_BOOT_FACTOR);
+        let booting = machine.never_reported() && machine.silence(now) < max_boot_time;
         (booting || self.fleet.is_awaiting_reconnection(machine)) && !machine.deleting
     }
 
-    /// The jobs that have tasks left and wait for no other job, in order of arrival.
+    /// Returns views of the jobs that have tasks left and await no dependency, in order of arrival.
     fn job_views(&self, machines: &[MachineView], now: Instant) -> Vec<JobView> {
-        let positions: HashMap<&MachineId, usize> =
-            machines.iter().enumerate().map(|(at, m)| (&m.id, at)).collect();
-        let names = self.longest_names();
+        let machine_indexes: HashMap<&MachineId, usize> =
+            machines.iter().enumerate().map(|(index, machine)| (&machine.id, index)).collect();
+        let longest_names = self.longest_names();
         self.jobs
             .by_arrival()
             .filter(|job| job.is_active() && job.remaining() > 0)
-            .map(|job| self.job_view(job, &positions, names, now))
+            .map(|job| self.job_view(job, &machine_indexes, longest_names, now))
             .collect()
     }
 
+    /// Returns the scheduler's view of a job. `machine_indexes`: the position of each machine in
+    /// the snapshot.
     fn job_view(
         &self,
         job: &Job,
-        positions: &HashMap<&MachineId, usize>,
-        names: LongestNames,
+        machine_indexes: &HashMap<&MachineId, usize>,
+        longest_names: LongestNames,
         now: Instant,
     ) -> JobView {
-        let pending = job.pending(self.starts_in_a_pass(&job.spec));
-        let wanted = pending.len();
-        let pending =
-            job.fitting_their_pages(pending, self.settings.state_limits().value_bytes, names);
-        // Half a gang is no use to anybody.
-        let crowded = job.spec.shape == Shape::Gang && pending.len() < wanted;
+        let pending = job.pending(self.max_starts_per_pass(&job.spec));
+        let pending_count = pending.len();
+        let pending = job.fitting_their_pages(
+            pending,
+            self.settings.state_limits().value_bytes,
+            longest_names,
+        );
+        // A gang starts as a whole, so it is blocked while its pages can't hold the placements of
+        // all its tasks.
+        let gang_exceeds_pages = job.spec.shape == Shape::Gang && pending.len() < pending_count;
         let bound = job.bound.iter();
         JobView {
             id: job.spec.id.clone(),
@@ -123,29 +137,33 @@
             priority: job.priority,
             pending,
             remaining: job.remaining(),
-            bound: bound.map(|(&task, b)| bound_view(job, task, b, positions, now)).collect(),
+            bound: bound.map(|(&task, b)| bound_view(job, task, b, machine_indexes, now)).collect(),
             width: job.width,
-            patience_s: self.patience_s(job, now),
-            // Known only once all jobs of the team are seen together.
+            patience_s: self.remaining_wait_s(job, now),
+            // Set by the scheduler, which compares all jobs of a team with its guarantee.
             guaranteed: false,
-            blocked: crowded || job.backoff_until.is_some(),
+            blocked: gang_exceeds_pages || job.backoff_until.is_some(),
             avoid: self.machines_to_avoid(job),
         }
     }
 
-    /// Seconds left to meet the objective for waiting of a job's class, if it has one.
-    fn patience_s(&self, job: &Job, now: Instant) -> Option<f64> {
+    /// Returns the seconds left to meet the waiting objective of a job's class, if it has one. None
+    /// are left once a task of the job has been bound.
+    fn remaining_wait_s(&self, job: &Job, now: Instant) -> Option<f64> {
         self.wait_objective_s(&job.spec).map(|within_s| {
             let waited = (now - job.known_since).as_secs_f64();
             if job.attempt > 0 { 0.0 } else { within_s - waited }
         })
     }
 
-    /// How many tasks of a job one pass may place. A start waits for its record,
-    /// and a pass may not outlast the leader's lease: an array of tens of thousands
-    /// of tasks placed at once cost one leader after the other its lease, and none
-    /// got as far as writing a placement. A gang starts as a whole.
-    fn starts_in_a_pass(&self, spec: &JobSpec) -> usize {
+    /// Returns how many tasks of a job one pass may place.
+    ///
+    /// A start command waits for the record of its placement, so more placements than one
+    /// transaction writes are of no use in a pass. A pass must also not outlast the leader lease:
+    /// when arrays of tens of thousands of tasks were placed in one pass, one leader after the
+    /// other lost its lease before it wrote any placement. A gang is not limited, since it starts
+    /// as a whole.
+    fn max_starts_per_pass(&self, spec: &JobSpec) -> usize {
         match spec.shape {
             Shape::Gang => spec.tasks as usize,
             Shape::Array | Shape::Service => {
@@ -155,8 +173,8 @@
         }
     }
 
-    /// Machines that a job's tasks should not be placed on: they failed them, or
-    /// may still start earlier attempts of them.
+    /// Returns the machines that a job's tasks should not be placed on: those on which tasks of
+    /// the job failed, and those that may still start earlier attempts of its tasks.
     fn machines_to_avoid(&self, job: &Job) -> Vec<MachineId> {
         let has_open_starts = |id: &&MachineId| {
             let machine = self.fleet.machines.get(*id);
@@ -167,20 +185,21 @@
     }
 }
 
+/// Returns the scheduler's view of a bound task.
 fn bound_view(
     job: &Job,
     task: u32,
     binding: &Binding,
-    positions: &HashMap<&MachineId, usize>,
+    machine_indexes: &HashMap<&MachineId, usize>,
     now: Instant,
 ) -> BoundView {
     let ran_s = binding.running_since.map_or(0.0, |at| (now - at).as_secs_f64());
     BoundView {
         task,
-        machine: positions.get(&binding.machine).copied(),
+        machine: machine_indexes.get(&binding.machine).copied(),
         zone: binding.zone,
         stopping: binding.stop.is_some(),
-        settled: ran_s > SETTLED_S,
+        settled: ran_s > MIN_RUN_BEFORE_MOVE_S,
         loss_s: if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { ran_s },
     }
 }
--- a/src/controller/tick.rs
+++ b/src/controller/tick.rs
@@ -17,8 +17,8 @@
 /// The number of sweeps in a heartbeat interval.
 const SWEEPS_PER_INTERVAL: u32 = 8;
 
-/// The time between the end of a task's grace period and the reclaim of its machine, in
-/// heartbeat intervals. It is left for the stop command to reach the worker.
+/// The time that a task is given to stop before its machine is reclaimed, beyond its grace
+/// period, in heartbeat intervals.
 const RECLAIM_MARGIN_INTERVALS: u32 = 4;
 
 impl Leader {
@@ -78,7 +78,8 @@
         self.timers.record_tick_duration(now, duration);
     }
 
-    /// Does the periodic work over all machines and jobs that does not depend on the state service.
+    /// Does the periodic work over all machines and jobs that is also done while the state service
+    /// is unavailable.
     fn sweep(
         &mut self,
         now: Instant,
