--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -34,8 +34,8 @@
 }
 
 impl Leader {
-    /// Returns machines that have failed or are not under the leader's control, and idle machines
-    /// beyond the headroom. Forgets machines that were deleted long ago.
+    /// Returns machines to the cloud that are of no further use (see `ReturnReason`), and idle
+    /// machines beyond the headroom. Forgets machines that were deleted long ago.
     pub(super) fn scale_in(&mut self, now: Instant, proof: TerminationProof) {
         let boot_s = |type_name: &str| self.types.boot_s(type_name);
         let returns = self.fleet.machines_to_return(&self.settings, boot_s, proof, now);
@@ -171,7 +171,7 @@
         let until = now + Duration::from_secs_f64(boot_s / EXHAUSTED_WAIT_BOOT_DIVISOR);
         info!(
             machine_type = %request.machine_type, zone = %request.zone, spot = request.spot,
-            "machines exhausted in the cloud"
+            "machine kind exhausted in the cloud"
         );
         let kind = MachineKind { machine_type, zone, spot: request.spot };
         self.provisioning.mark_exhausted(kind, until);
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -36,8 +36,9 @@
     ///
     /// The tasks must have terminated within `cancel_s`, even on a machine that can't be reached
     /// or that may still start one of them. While the state service is unavailable only the
-    /// machines whose lease this controller renewed within the last lease are returned. The leases
-    /// of the others expire, or are renewed by a controller that learns of the cancellation in time.
+    /// machines that sent this controller a heartbeat within the last worker lease are returned,
+    /// since this controller keeps their leases alive. The leases of the others expire, or are
+    /// renewed by a controller that learns of the cancellation in time.
     pub(super) fn return_machines_with_cancelled_tasks(
         &mut self,
         now: Instant,
--- a/src/controller/headroom.rs
+++ b/src/controller/headroom.rs
@@ -73,10 +73,10 @@
     /// class has an objective.
     ///
     /// The headroom is multiplied by the ratio of the ordinary price to the spot price, since
-    /// spare spot machines cost less while a late start costs the same. The growth of the load within
-    /// the last boot time is added, since the load is likely to grow by as much within the next
-    /// boot time. If machines were requested only for work that has arrived, all of the growth
-    /// would wait for a boot.
+    /// spare spot machines cost less while a late start costs the same. The growth of the load
+    /// within the last boot time is added, since the load is likely to grow by as much within the
+    /// next boot time. If machines were requested only for work that has arrived, all of the
+    /// growth would wait for a boot.
     pub(super) fn headroom_spot_machines(&self) -> usize {
         let price_ratio_of =
             |t: &MachineType| if t.spot_price > 0.0 { t.price / t.spot_price } else { 1.0 };
--- a/src/controller/pass_timers.rs
+++ b/src/controller/pass_timers.rs
@@ -95,16 +95,16 @@
     }
 
     /// Returns the kind of the pass that is due now, if one is, and marks all recorded changes as
-    /// considered. Without a requested round, one is due if `jobs_wait` returns true.
+    /// considered. Without a requested round, one is due if `has_waiting_jobs` returns true.
     pub(super) fn take_pass(
         &mut self,
         now: Instant,
-        jobs_wait: impl FnOnce() -> bool,
+        has_waiting_jobs: impl FnOnce() -> bool,
     ) -> Option<PassKind> {
         if now < self.next_pass {
             return None;
         }
-        let round = now >= self.next_round && (self.round_requested || jobs_wait());
+        let round = now >= self.next_round && (self.round_requested || has_waiting_jobs());
         let changed = std::mem::take(&mut self.changed);
         if round {
             return Some(PassKind::Round);
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -228,7 +228,8 @@
     }
 
     /// Adds commands for reported tasks that are not bound to the machine: the worker forgets
-    /// exited tasks once their outcome is durable, and stops the others.
+    /// exited tasks once their outcome is durable, and stops the others. Records the resources
+    /// that the latter still use.
     fn reconcile_unmanaged_tasks(
         &mut self,
         reported: &HashMap<TaskKey, &TaskStatus>,
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -158,11 +158,11 @@
 
     /// Returns how many tasks of a job one pass may place.
     ///
-    /// A start command waits for the record of its placement, so more placements than one
-    /// transaction writes are of no use in a pass. A pass must also not outlast the leader lease:
-    /// when arrays of tens of thousands of tasks were placed in one pass, one leader after the
-    /// other lost its lease before it wrote any placement. A gang is not limited, since it starts
-    /// as a whole.
+    /// A start command waits for the record of its placement, so the limit for an array or service
+    /// follows from what one transaction can write. A pass must also not outlast the leader lease:
+    /// when an array of tens of thousands of tasks was placed in one pass, one leader after the
+    /// other lost its lease before any of them wrote a placement. A gang is not limited, since
+    /// its tasks start together.
     fn max_starts_per_pass(&self, spec: &JobSpec) -> usize {
         match spec.shape {
             Shape::Gang => spec.tasks as usize,
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -63,9 +63,9 @@
 
     /// Records a failed task, and attributes the failure to the machine or to the job.
     ///
-    /// Usually the machine is at fault, but a faulty job fails on every machine. So the machine
-    /// is quarantined until the job has failed on `MIN_MACHINES_FOR_JOB_FAULT` machines, and then the
-    /// job backs off instead.
+    /// Usually the machine is at fault, but a faulty job fails on every machine. So each machine is
+    /// quarantined until the job has failed on `MIN_MACHINES_FOR_JOB_FAULT` of them, and from then
+    /// on the job backs off instead.
     fn record_failure(&mut self, key: &TaskKey, machine: &MachineId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         job.failures += 1;
