--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -17,6 +17,6 @@
         session: node.settings.worker_lease(),
         state_timeout: node.settings.state_timeout(),
     };
-    let store = Store::new(node.state.clone(), node.requests.clone(), node.writer());
+    let store = Store::new(node.state.clone(), node.request_budget.clone(), node.writer());
     Coordinator::new(owner, members, timing, store)
 }
--- a/src/node/candidate.rs
+++ b/src/node/candidate.rs
@@ -34,7 +34,7 @@
     }
 
     fn requests(&self) -> &Budget {
-        &self.requests
+        &self.request_budget
     }
 
     fn watch_cache(&self) -> &Mutex<WatchCache> {
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -38,7 +38,7 @@
     /// The client of workers' own addresses.
     pub workers: Arc<dyn WorkerApi>,
     /// The budget of requests to the state service.
-    pub requests: Arc<Budget>,
+    pub request_budget: Arc<Budget>,
     /// The limit on users' requests in progress.
     pub admission: Arc<AdmissionLimit>,
     /// The records in memory.
@@ -78,9 +78,9 @@
     ) -> Arc<Self> {
         let mut rng = StdRng::seed_from_u64(seed);
         let settings = Arc::new(settings);
-        let requests =
+        let request_budget =
             Arc::new(Budget::new(settings.follower_share(settings.state_limits().requests_per_s)));
-        let writer = Arc::new(state::writer(state.clone(), &settings, requests.clone()));
+        let writer = Arc::new(state::writer(state.clone(), &settings, request_budget.clone()));
         // Users wait a second at ease; half of a heartbeat interval is a ratio
         // to how time runs here.
         let target = settings.heartbeat_interval() / 2;
@@ -91,7 +91,7 @@
             state,
             cloud,
             workers,
-            requests,
+            request_budget,
             admission: AdmissionLimit::new(target, ceiling),
             watch_cache: Mutex::new(WatchCache::with_notice_limit(
                 settings.noticed_cancellations(),
@@ -127,7 +127,7 @@
     /// Whether users' requests may be sent here. Healthy unless it never saw the
     /// records, or alone lost the state service: in an outage that all share, other
     /// nodes are no better.
-    pub fn healthy(&self) -> bool {
+    pub fn is_healthy(&self) -> bool {
         if !lock(&self.watch_cache).loaded {
             return false;
         }
--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -24,7 +24,7 @@
     /// It is carried out, by this call or by one before it.
     Done,
     /// Another job has this id.
-    NameTaken,
+    IdTaken,
     /// The record that it was decided on has changed.
     Stale,
     /// The job can never run, and why.
@@ -75,7 +75,7 @@
         Ok(if keys.contains(&fence.key) {
             InternalJobReply::Stale
         } else {
-            InternalJobReply::NameTaken
+            InternalJobReply::IdTaken
         })
     }
 
@@ -122,7 +122,7 @@
 
     /// The version of a marker, as the state service has it now.
     async fn marker_version(&self, marker: &str) -> Result<Option<u64>, Unavailable> {
-        self.requests.take_leaving(1.0, Reserve::Quarter).await;
+        self.request_budget.take_leaving(1.0, Reserve::Quarter).await;
         let page = self.state.list(marker, "").await.map_err(|_| Unavailable::State)?;
         Ok(page.items.iter().find(|item| item.key == marker).map(|item| item.version))
     }
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -20,7 +20,7 @@
         self.peers.begin_term();
         *lock(&self.term) = Some(Term::new(version, tokens));
         let limits = self.settings.state_limits();
-        self.requests.set_rate(self.settings.leader_share(limits.requests_per_s));
+        self.request_budget.set_rate(self.settings.leader_share(limits.requests_per_s));
         self.writer.set_write_rate(self.settings.leader_share(limits.writes_per_s));
     }
 
@@ -31,7 +31,7 @@
             *term = None;
         }
         let limits = self.settings.state_limits();
-        self.requests.set_rate(self.settings.follower_share(limits.requests_per_s));
+        self.request_budget.set_rate(self.settings.follower_share(limits.requests_per_s));
         self.writer.set_write_rate(self.settings.follower_share(limits.writes_per_s));
     }
 
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -104,7 +104,7 @@
     /// Reads all records, and then what changed while they were read.
     async fn load(&self) -> Result<(), StateError> {
         let LoadedItems { items, first_revision } = self.load_items().await?;
-        self.requests.take(1.0).await;
+        self.request_budget.take(1.0).await;
         let events = self.state.watch(KEY_PREFIX, first_revision, Duration::ZERO).await?;
         let changes = lock(&self.watch_cache).replace(items, first_revision, events);
         self.dispatch(&changes);
@@ -120,7 +120,7 @@
         let mut since = String::new();
         let mut first_revision = None;
         loop {
-            self.requests.take(1.0).await;
+            self.request_budget.take(1.0).await;
             let page = match self.state.list(KEY_PREFIX, &since).await {
                 Ok(page) => page,
                 Err(error) if first_revision.is_none() => return Err(error),
@@ -189,7 +189,7 @@
     let spacing = spacing(&node, 2.0);
     loop {
         load_until_success(&node, retry_interval).await;
-        node.requests.take_leaving(1.0, Reserve::Half).await;
+        node.request_budget.take_leaving(1.0, Reserve::Half).await;
         let revision = lock(&node.watch_cache).revision;
         let requested_at = Instant::now();
         match node.state.watch(KEY_PREFIX, revision, wait).await {
@@ -234,7 +234,7 @@
         let _ = tokio::time::timeout(idle, node.read_requested.notified()).await;
         let loaded = lock(&node.watch_cache).loaded;
         if loaded {
-            node.requests.take_leaving(1.0, Reserve::Quarter).await;
+            node.request_budget.take_leaving(1.0, Reserve::Quarter).await;
         }
         // Whoever came while the budget was awaited shares the read.
         let waiting = std::mem::take(&mut *lock(&node.waiting_readers));
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -31,7 +31,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.healthy()
+        self.is_healthy()
     }
 
     fn submit(&self, body: &[u8]) -> impl Future<Output = Result<UserReply, Unavailable>> + Send {
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -28,7 +28,7 @@
         let interval = self.settings.heartbeat_interval();
         let until = Instant::now() + interval * SUCCESSOR_WAIT_INTERVALS;
         loop {
-            let reply = self.heartbeat(heartbeat);
+            let reply = self.answer_heartbeat_now(heartbeat);
             let is_without_leader = reply == HeartbeatReply::Redirect(None);
             let waits = is_without_leader && self.expects_successor(heartbeat);
             if !waits || Instant::now() >= until {
@@ -53,7 +53,7 @@
     }
 
     /// Answers a heartbeat now.
-    pub fn heartbeat(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
+    pub fn answer_heartbeat_now(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
         if let Some(reply) = self.heartbeat_as_leader(heartbeat) {
             return reply;
         }
--- a/src/replica_jobs.rs
+++ b/src/replica_jobs.rs
@@ -211,7 +211,7 @@
 fn outcome(reply: Result<InternalJobReply, Unavailable>) -> Result<(), ReplicaJobError> {
     match reply {
         Ok(InternalJobReply::Done) => Ok(()),
-        Ok(InternalJobReply::NameTaken) => Err(ReplicaJobError::NameTaken),
+        Ok(InternalJobReply::IdTaken) => Err(ReplicaJobError::NameTaken),
         Ok(InternalJobReply::Stale) => Err(ReplicaJobError::Stale),
         Ok(InternalJobReply::Impossible(reason)) => Err(ReplicaJobError::Rejected(reason)),
         Err(unavailable) => Err(ReplicaJobError::Unavailable(unavailable.to_string())),
--- a/tests/activation.rs
+++ b/tests/activation.rs
@@ -251,7 +251,7 @@
         .await
         .expect("accepted");
     let reply = node.submit_internal_job(&spec("j-000007"), &fence(), "sp/a/j/j-000007").await;
-    assert_eq!(reply, Ok(InternalJobReply::NameTaken));
+    assert_eq!(reply, Ok(InternalJobReply::IdTaken));
     let reply = node.cancel_internal_job("j-000007", &fence(), "sp/a/j/j-000007").await;
     assert_eq!(reply, Ok(InternalJobReply::Done), "there is nothing of ours");
     assert_eq!(state(&cluster.status(1, "j-000007").await), Some(JobState::Pending));
--- a/tests/common/workers.rs
+++ b/tests/common/workers.rs
@@ -129,7 +129,7 @@
                     // It is read when the node goes on; by then nobody waits.
                     tokio::spawn(async move {
                         tokio::time::sleep_until(until).await;
-                        node.heartbeat(&heartbeat);
+                        node.answer_heartbeat_now(&heartbeat);
                     });
                     sleep(HEARTBEAT_TIMEOUT).await;
                 } else {
--- a/tests/deployment/failover.rs
+++ b/tests/deployment/failover.rs
@@ -179,7 +179,7 @@
     let leader_name = format!("m-{leader}");
     let sent_to = |token| match deployment
         .node(follower)
-        .heartbeat(&WorkerHeartbeat { token, ..known.clone() })
+        .answer_heartbeat_now(&WorkerHeartbeat { token, ..known.clone() })
     {
         HeartbeatReply::Redirect(to) => to,
         other => panic!("a follower answered {other:?}"),
--- a/tests/deployment/workers.rs
+++ b/tests/deployment/workers.rs
@@ -40,7 +40,7 @@
         let reply = deployment.node(node).submit(&job("j-000010", json!({}))).await;
         assert_eq!(reply, Err(Unavailable::State));
         assert_eq!(deployment.node(node).status("j-000009").await, Err(Unavailable::State));
-        assert!(deployment.node(node).healthy(), "no other node would be better");
+        assert!(deployment.node(node).is_healthy(), "no other node would be better");
     }
     seconds(40).await;
     deployment.state.set_outage(false);
--- a/tests/fault_scenarios/leadership.rs
+++ b/tests/fault_scenarios/leadership.rs
@@ -120,7 +120,7 @@
     sleep(Duration::from_millis(300)).await;
     for round in 0..4 {
         for late in before.iter().chain([&during]) {
-            deployment.node(new).heartbeat(late);
+            deployment.node(new).answer_heartbeat_now(late);
             sleep(Duration::from_millis(100)).await;
         }
         seconds(2).await;
--- a/tests/fault_scenarios/machines.rs
+++ b/tests/fault_scenarios/machines.rs
@@ -48,14 +48,14 @@
     deployment.until("it runs again", || deployment.starts() == 2).await;
     seconds(3).await;
     for node in 0..3 {
-        deployment.node(node).heartbeat(&first);
+        deployment.node(node).answer_heartbeat_now(&first);
         let exited = {
             let mut copy = first.clone();
             copy.tasks[0].state = stonewheel::protocol::TaskState::Exited;
             copy.tasks[0].cause = Some(stonewheel::protocol::ExitCause::Done);
             copy
         };
-        deployment.node(node).heartbeat(&exited);
+        deployment.node(node).answer_heartbeat_now(&exited);
     }
     seconds(10).await;
     assert_eq!(state(&deployment.status(0, "j-000001").await), Some(JobState::Running));
--- a/tests/late_commands/cancelled_tasks.rs
+++ b/tests/late_commands/cancelled_tasks.rs
@@ -84,7 +84,7 @@
             seconds(1).await;
             if let Some(node) = deployment.leader().and_then(|l| deployment.running_node(l)) {
                 heartbeat.sequence += 1;
-                let _ = deployment.node(node).heartbeat(&heartbeat);
+                let _ = deployment.node(node).answer_heartbeat_now(&heartbeat);
             }
         }
         deployment.kill_node(leader);
--- a/tests/late_commands/direct_calls.rs
+++ b/tests/late_commands/direct_calls.rs
@@ -88,7 +88,7 @@
     heartbeat: &mut WorkerHeartbeat,
 ) -> usize {
     heartbeat.sequence += 1;
-    match deployment.node(node).heartbeat(heartbeat) {
+    match deployment.node(node).answer_heartbeat_now(heartbeat) {
         HeartbeatReply::Commands { commands, .. } => ops(&commands, CommandKind::Start).len(),
         HeartbeatReply::Redirect(_) => 0,
     }
--- a/tests/late_commands/open_starts.rs
+++ b/tests/late_commands/open_starts.rs
@@ -187,12 +187,12 @@
     assert!(state(&deployment.submit(leader, "j-000001", json!({"Spokes": 1})).await).is_some());
     for _ in 0..3 {
         heartbeat.sequence += 1;
-        let _ = deployment.node(leader).heartbeat(&heartbeat);
+        let _ = deployment.node(leader).answer_heartbeat_now(&heartbeat);
         seconds(1).await;
     }
     heartbeat.sequence += 1;
     let first = heartbeat.token;
-    let reply = deployment.node(leader).heartbeat(&heartbeat);
+    let reply = deployment.node(leader).answer_heartbeat_now(&heartbeat);
     assert!(
         matches!(&reply, HeartbeatReply::Commands { token, .. } if *token > first),
         "{reply:?}"
--- a/tests/late_commands/record_deletion.rs
+++ b/tests/late_commands/record_deletion.rs
@@ -124,6 +124,6 @@
     deployment.start_node(node);
     seconds(30).await;
     deployment.state.set_failing(None);
-    assert!(deployment.node(node).healthy(), "it has read the records");
+    assert!(deployment.node(node).is_healthy(), "it has read the records");
     assert_eq!(state(&deployment.status(node, "j-001499").await), Some(JobState::Done));
 }
--- a/tests/production_size.rs
+++ b/tests/production_size.rs
@@ -200,7 +200,7 @@
                 for heartbeat in std::mem::take(&mut old_reports) {
                     let _ = deployment
                         .running_node(leader)
-                        .map(|n| deployment.node(n).heartbeat(&heartbeat));
+                        .map(|n| deployment.node(n).answer_heartbeat_now(&heartbeat));
                 }
             }
         }
