--- a/src/node/follower_renewals.rs
+++ b/src/node/follower_renewals.rs
@@ -1,4 +1,4 @@
-//! Workers whose leases this node renews while nobody can lead.
+//! Workers whose leases this node renews as a follower while no leader can be elected.
 
 use std::{collections::HashMap, sync::Mutex};
 
@@ -6,30 +6,31 @@
 
 use crate::{protocol::MachineId, state::lock};
 
-/// Since when each worker has had its lease renewed here without a redirect.
+/// For each worker, when this node began to renew its lease without a redirect since.
 #[derive(Default)]
 pub(super) struct FollowerRenewals {
-    since: Mutex<HashMap<MachineId, Instant>>,
+    renewing_since: Mutex<HashMap<MachineId, Instant>>,
 }
 
 impl FollowerRenewals {
-    /// This node may not renew leases at present.
+    /// Discards all entries: this node may not renew leases now.
     pub(super) fn clear(&self) {
-        lock(&self.since).clear();
+        lock(&self.renewing_since).clear();
     }
 
-    /// Whether to renew this worker's lease now. Each worker is refused once it was
-    /// renewed for `probe_interval`, and may then begin anew: a leader may be there
-    /// that only this node can't reach, so workers are sent to probe for it.
-    pub(super) fn admit(
+    /// Whether to renew this worker's lease now. After `probe_interval` of renewals the
+    /// worker is refused once, so that it probes the other controllers: there may be a
+    /// leader that only this node can't reach. If the worker comes back, a new interval
+    /// starts.
+    pub(super) fn admit_renewal(
         &self,
         machine: &MachineId,
         now: Instant,
         probe_interval: Duration,
     ) -> bool {
-        let mut renewals = lock(&self.since);
-        let since = *renewals.entry(machine.clone()).or_insert(now);
-        if now > since + probe_interval {
+        let mut renewals = lock(&self.renewing_since);
+        let renewing_since = *renewals.entry(machine.clone()).or_insert(now);
+        if now > renewing_since + probe_interval {
             renewals.remove(machine);
             return false;
         }
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -1,4 +1,4 @@
-//! The state of one controller, which all its tasks share.
+//! The state of one controller, shared by all its tasks.
 
 use std::{
     collections::HashMap,
@@ -27,48 +27,52 @@
     worker_client::WorkerApi,
 };
 
-/// One controller. It lives as long as its process.
+/// One controller, which exists for the lifetime of its process.
 pub struct Node {
-    /// The settings, fixed at the start.
+    /// The settings, fixed when the process starts.
     pub settings: Arc<Settings>,
     /// The client of the state service.
     pub state: Arc<dyn StateApi>,
-    /// The client of the cloud.
+    /// The client of the cloud's API.
     pub cloud: Arc<dyn CloudApi>,
-    /// The client of workers' own addresses.
+    /// The client for direct commands to workers, at the workers' addresses.
     pub workers: Arc<dyn WorkerApi>,
-    /// The budget of requests to the state service.
+    /// The rate limit of this controller's requests to the state service.
     pub request_budget: Arc<Budget>,
-    /// The limit on users' requests in progress.
+    /// The limit on concurrent user requests.
     pub admission: Arc<AdmissionLimit>,
-    /// The records in memory.
+    /// The records of the state service in memory.
     pub watch_cache: Mutex<WatchCache>,
-    /// What is known of the other controllers.
+    /// The latest state received from each of the other controllers.
     pub peers: Peers,
     /// Notified whenever the leader record or this node's term may have changed.
     pub leadership_changed: Notify,
-    /// Drawn at each start, so that a node distinguishes its predecessors from itself.
+    /// A random number drawn when the process starts, which distinguishes this process from
+    /// earlier ones of the same member.
     pub incarnation: u64,
+    /// The source of random delays.
     pub(super) rng: Mutex<StdRng>,
+    /// The queue through which all writes to the state service pass.
     pub(super) writer: Arc<Writer>,
+    /// The current term, while this node is the leader.
     pub(super) term: Mutex<Option<Term>>,
-    /// Notified when the leader should tick.
+    /// Notified when the leader should tick before the next scheduled tick.
     pub(super) tick_requested: Notify,
-    /// Those who wait for a fresh watch cache.
+    /// Callers of `refresh` that wait for the next read of the state service.
     pub(super) waiting_readers: Mutex<Vec<oneshot::Sender<Result<(), Unavailable>>>>,
-    /// Notified when one more waits.
+    /// Notified when a caller was added to `waiting_readers`.
     pub(super) read_requested: Notify,
     pub(super) state_health: StateServiceHealth,
     pub(super) started_at: Instant,
     pub(super) follower_renewals: FollowerRenewals,
     pub(super) rejected_heartbeats: RejectedHeartbeats,
-    /// For ended jobs that still have records: the earliest time at which their end
-    /// may have been confirmed to users.
+    /// For each ended job that still has a job record: the earliest time at which its end
+    /// may have been confirmed to a user.
     pub(super) confirmed_since: Mutex<HashMap<JobId, Instant>>,
 }
 
 impl Node {
-    /// A controller that doesn't run yet. `seed`: of its random numbers.
+    /// A controller whose tasks are not started yet. `seed`: seeds its random numbers.
     pub fn new(
         settings: Settings,
         state: Arc<dyn StateApi>,
@@ -81,10 +85,10 @@
         let request_budget =
             Arc::new(Budget::new(settings.follower_share(settings.state_limits().requests_per_s)));
         let writer = Arc::new(state::writer(state.clone(), &settings, request_budget.clone()));
-        // Users wait a second at ease; half of a heartbeat interval is a ratio
-        // to how time runs here.
-        let target = settings.heartbeat_interval() / 2;
-        let ceiling = settings.cluster.quota.fd_limit as usize / 4;
+        // Users accept a response time of about a second. Half of a heartbeat interval
+        // scales with the durations in the settings.
+        let target_latency = settings.heartbeat_interval() / 2;
+        let max_concurrent_requests = settings.cluster.quota.fd_limit as usize / 4;
         let incarnation = rng.random();
         let members = settings.members.iter().map(|m| m.member.clone()).collect();
         Arc::new(Self {
@@ -92,7 +96,7 @@
             cloud,
             workers,
             request_budget,
-            admission: AdmissionLimit::new(target, ceiling),
+            admission: AdmissionLimit::new(target_latency, max_concurrent_requests),
             watch_cache: Mutex::new(WatchCache::with_notice_limit(
                 settings.noticed_cancellations(),
             )),
@@ -114,7 +118,8 @@
         })
     }
 
-    /// What all parts of this controller write through.
+    /// The queue through which every component of this controller writes to the state
+    /// service.
     pub fn writer(&self) -> Arc<Writer> {
         self.writer.clone()
     }
@@ -124,19 +129,21 @@
         self.settings.members.iter().map(|member| member.member.as_str())
     }
 
-    /// Whether users' requests may be sent here. Healthy unless it never saw the
-    /// records, or alone lost the state service: in an outage that all share, other
-    /// nodes are no better.
+    /// Whether users' requests may be sent to this node. The node is unhealthy until the
+    /// records are loaded, and while it can't reach the state service but another
+    /// controller can. In an outage that affects all controllers every node stays healthy,
+    /// since no other node could answer better.
     pub fn is_healthy(&self) -> bool {
         if !lock(&self.watch_cache).loaded {
             return false;
         }
-        self.state_ok()
+        self.state_service_reachable()
             || !self.peers.any_recent(self.settings.leader_lease(), |heartbeat| heartbeat.state_ok)
     }
 
-    /// Whether the state service answered this node within a leader lease.
-    pub(super) fn state_ok(&self) -> bool {
-        self.state_health.is_ok(self.settings.leader_lease())
+    /// Whether the state service answered this node's latest read, less than a leader lease
+    /// ago.
+    pub(super) fn state_service_reachable(&self) -> bool {
+        self.state_health.answered_within(self.settings.leader_lease())
     }
 }
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -75,7 +75,7 @@
             .unwrap_or(false);
         let lately = self.settings.heartbeat_interval() * 2;
         is_silent
-            && (self.rejected_heartbeats.any_elsewhere(lately)
+            && (self.rejected_heartbeats.any_remote(lately)
                 || self.peers.any_recent(lately, |heartbeat| heartbeat.rejected_heartbeats))
     }
 
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -56,7 +56,7 @@
     /// run meanwhile: the first one is reported at once.
     pub(super) fn record_rejected_heartbeat(&self) {
         let was_reported = self.rejects_heartbeats();
-        self.rejected_heartbeats.record_here();
+        self.rejected_heartbeats.record_local();
         if !was_reported {
             self.peers.request_immediate_heartbeats();
         }
@@ -65,7 +65,7 @@
     /// The heartbeat for another controller now.
     pub fn controller_heartbeat(&self, receiver: &str) -> ControllerHeartbeat {
         let OutgoingHeartbeat { id, acknowledged } = self.peers.next_heartbeat(receiver);
-        let (leads, state_ok) = (self.leads(), self.state_ok());
+        let (leads, state_ok) = (self.leads(), self.state_service_reachable());
         let watch_cache = lock(&self.watch_cache);
         // A watch cache that was never read holds nothing of what a former process of
         // this member confirmed.
@@ -103,7 +103,7 @@
 
     /// Whether this node rejected a worker heartbeat lately.
     fn rejects_heartbeats(&self) -> bool {
-        self.rejected_heartbeats.any_here(self.settings.heartbeat_interval() * 2)
+        self.rejected_heartbeats.any_local(self.settings.heartbeat_interval() * 2)
     }
 
     /// Whether workers send their heartbeats to another controller, but not to this one.
@@ -133,7 +133,7 @@
     pub async fn announce_rejected_heartbeats(&self) {
         let lately = self.settings.leader_lease();
         let reaches_leader = self.peers.any_recent(lately, |heartbeat| heartbeat.leads);
-        if reaches_leader || !self.rejects_heartbeats() || !self.state_ok() {
+        if reaches_leader || !self.rejects_heartbeats() || !self.state_service_reachable() {
             return;
         }
         if let Ok(value) = store::value(&self.settings.member) {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,16 +1,18 @@
-//! One controller: its watch cache, what it answers users, workers and the other
-//! controllers, and the background tasks that keep it going.
+//! One controller process: it keeps the watch cache current, answers users, workers and
+//! the other controllers, and runs as a candidate for leadership and as the leader.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `instance` | the state that all tasks share |
-//! | `run` | the background tasks and listeners |
-//! | `records` | keeps the watch cache current |
-//! | `candidate`, `leadership`, `term` | the node in an election, and the term it won |
-//! | `leading`, `cloud_loop` | carries out what the leader decides |
-//! | `requests`, `submission`, `users`, `internal_jobs` | requests about jobs |
-//! | `workers`, `follower_renewals` | answers to worker heartbeats |
-//! | `messages`, `rejected_heartbeats` | heartbeats of the other controllers |
+//! | `instance` | the state shared by all tasks of the process |
+//! | `run`, `tasks` | spawning and stopping of the background tasks and listeners |
+//! | `records`, `state_health` | the watch cache, and whether the state service answers |
+//! | `candidate`, `leadership`, `term` | participation in elections, and the state of a term |
+//! | `leading`, `cloud_loop` | execution of the leader's decisions |
+//! | `requests`, `submission`, `users` | users' requests about jobs |
+//! | `internal_jobs` | jobs that other components of this process submit and cancel |
+//! | `workers`, `follower_renewals` | responses to worker heartbeats |
+//! | `messages` | messages to and from the other controllers |
+//! | `rejected_heartbeats` | evidence that workers live although the leader may not receive their heartbeats |
 
 mod candidate;
 mod cloud_loop;
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -43,7 +43,7 @@
             self.leadership_changed.notify_one();
         }
         if changes.contains(&Change::HeartbeatsRejected) {
-            self.rejected_heartbeats.record_elsewhere();
+            self.rejected_heartbeats.record_remote();
         }
         self.record_confirmations(changes);
         let watch_cache = lock(&self.watch_cache);
--- a/src/node/rejected_heartbeats.rs
+++ b/src/node/rejected_heartbeats.rs
@@ -1,5 +1,7 @@
-//! When worker heartbeats were last rejected, which proves that workers live although
-//! the leader may not receive their heartbeats.
+//! Times of the latest rejected worker heartbeats.
+//!
+//! A rejected heartbeat proves that workers live although the leader may not receive their
+//! heartbeats.
 
 use std::sync::Mutex;
 
@@ -7,32 +9,32 @@
 
 use crate::state::lock;
 
-/// When a controller last rejected a worker heartbeat, or answered it in a leader's
-/// stead.
+/// When a controller last rejected a worker heartbeat, or renewed a worker's lease as a
+/// follower.
 #[derive(Default)]
 pub(super) struct RejectedHeartbeats {
-    here: Mutex<Option<Instant>>,
-    elsewhere: Mutex<Option<Instant>>,
+    last_local_at: Mutex<Option<Instant>>,
+    last_remote_at: Mutex<Option<Instant>>,
 }
 
 impl RejectedHeartbeats {
-    /// This node rejected one just now.
-    pub(super) fn record_here(&self) {
-        *lock(&self.here) = Some(Instant::now());
+    /// Records that this node rejected a heartbeat now.
+    pub(super) fn record_local(&self) {
+        *lock(&self.last_local_at) = Some(Instant::now());
     }
 
-    /// The watch brought just now that another node rejected one.
-    pub(super) fn record_elsewhere(&self) {
-        *lock(&self.elsewhere) = Some(Instant::now());
+    /// Records that the watch reported a rejection by another node now.
+    pub(super) fn record_remote(&self) {
+        *lock(&self.last_remote_at) = Some(Instant::now());
     }
 
-    /// Whether this node rejected one within this time.
-    pub(super) fn any_here(&self, within: Duration) -> bool {
-        lock(&self.here).is_some_and(|at| at.elapsed() < within)
+    /// Whether this node rejected a heartbeat less than `within` ago.
+    pub(super) fn any_local(&self, within: Duration) -> bool {
+        lock(&self.last_local_at).is_some_and(|at| at.elapsed() < within)
     }
 
-    /// Whether the watch brought within this time that another node rejected one.
-    pub(super) fn any_elsewhere(&self, within: Duration) -> bool {
-        lock(&self.elsewhere).is_some_and(|at| at.elapsed() < within)
+    /// Whether the watch reported a rejection by another node less than `within` ago.
+    pub(super) fn any_remote(&self, within: Duration) -> bool {
+        lock(&self.last_remote_at).is_some_and(|at| at.elapsed() < within)
     }
 }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! The node as what answers the HTTP routes.
+//! The node as the handler of the HTTP routes.
 
 use std::sync::Arc;
 
@@ -13,12 +13,12 @@
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The bounds of the public listener that the settings give.
+/// The limits of the public listener, derived from the settings.
 pub(super) fn server_limits(settings: &Settings) -> ServerLimits {
     ServerLimits {
         sockets: settings.public_sockets(),
-        // A worker that was silent for longer has left; what a cut left half open
-        // must not hold a socket for long.
+        // A worker that is silent for longer than its lease has stopped. A connection that
+        // a network failure left half open must not occupy a socket for long.
         idle_timeout: settings.worker_lease() * 2,
         body_timeout: settings.worker_lease() / 2,
         memory: settings.cluster.quota.mem_mb * BYTES_PER_MB,
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -9,8 +9,8 @@
 use crate::{election, http, peers};
 
 impl Node {
-    /// Runs the node on its two listeners until `stop` is cancelled, and waits for all
-    /// its tasks.
+    /// Serves both listeners and runs the background tasks until `stop` is cancelled, then
+    /// waits for all tasks to end.
     pub async fn run(
         self: Arc<Self>,
         public: TcpListener,
@@ -30,7 +30,8 @@
         tasks.wait().await;
     }
 
-    /// Spawns the tasks that need no listener.
+    /// Spawns the background tasks, without listeners and links to other controllers. Tests
+    /// that simulate the network call this directly.
     pub fn spawn_background_tasks(self: &Arc<Self>, stop: &CancellationToken) -> TaskTracker {
         let tasks = TaskTracker::new();
         tasks.spawn(self.writer.clone().run(stop.clone()));
--- a/src/node/state_health.rs
+++ b/src/node/state_health.rs
@@ -1,4 +1,4 @@
-//! Whether the state service answers this node.
+//! Reachability of the state service, as this node observes it.
 
 use std::sync::Mutex;
 
@@ -6,7 +6,8 @@
 
 use crate::state::lock;
 
-/// The outcome of the latest read, by which the state service counts as reachable.
+/// The outcome of the latest read, which decides whether the state service counts as
+/// reachable.
 pub(super) struct StateServiceHealth {
     latest: Mutex<LatestRead>,
 }
@@ -18,23 +19,24 @@
 }
 
 impl StateServiceHealth {
-    /// No request was made yet: the service counts as not answering.
+    /// Creates the state of a process before its first read: the state service counts as
+    /// unreachable.
     pub(super) fn new() -> Self {
         Self { latest: Mutex::new(LatestRead { ended_at: Instant::now(), answered: false }) }
     }
 
-    /// Records that a read was answered just now.
+    /// Records that a read was answered now.
     pub(super) fn record_answer(&self) {
         *lock(&self.latest) = LatestRead { ended_at: Instant::now(), answered: true };
     }
 
-    /// Records that a read failed just now.
+    /// Records that a read failed now.
     pub(super) fn record_failure(&self) {
         *lock(&self.latest) = LatestRead { ended_at: Instant::now(), answered: false };
     }
 
-    /// Whether the latest read was answered, and that within this time.
-    pub(super) fn is_ok(&self, within: Duration) -> bool {
+    /// Whether the latest read succeeded and ended less than `within` ago.
+    pub(super) fn answered_within(&self, within: Duration) -> bool {
         let latest = *lock(&self.latest);
         latest.answered && latest.ended_at.elapsed() < within
     }
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -1,8 +1,8 @@
-//! Background tasks that end when the process does.
+//! Cancellation of background tasks.
 
 use tokio_util::sync::CancellationToken;
 
-/// Runs a task until `stop` is cancelled.
+/// Runs `task` to its end, or drops it when `stop` is cancelled.
 pub(super) async fn until_cancelled(stop: CancellationToken, task: impl Future<Output = ()>) {
     tokio::select! {
         () = task => {}
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -48,7 +48,7 @@
         let is_elected = lock(&self.watch_cache).leader.is_some();
         heartbeat.token > 0
             && !leads
-            && self.state_ok()
+            && self.state_service_reachable()
             && (!is_elected || self.leader_for(heartbeat).is_none())
     }
 
@@ -117,7 +117,7 @@
         heartbeat: &WorkerHeartbeat,
         now: Instant,
     ) -> Option<HeartbeatReply> {
-        let may_renew = !self.state_ok()
+        let may_renew = !self.state_service_reachable()
             && now < self.follower_renewal_deadline()
             && heartbeat.token > 0
             && !self.leads()
@@ -127,7 +127,7 @@
             return None;
         }
         let probe_interval = self.settings.worker_lease() / 2;
-        if !self.follower_renewals.admit(&heartbeat.machine, now, probe_interval) {
+        if !self.follower_renewals.admit_renewal(&heartbeat.machine, now, probe_interval) {
             return None;
         }
         let commands = self.stop_cancelled_tasks(heartbeat);
