--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -92,7 +92,7 @@
 /// One tick. None if the term is over.
 fn tick(node: &Node, version: u64) -> Option<Decisions> {
     let now = Instant::now();
-    let paused = node.is_in_doubt();
+    let lease_uncertain = node.lease_may_have_expired();
     let sole_renewer_since = node.peers.sole_renewer_since(now);
     let knows_cancellations = node.knows_cancellations(now, node.settings.leader_lease());
     let spare_writes = node.writer.available_writes();
@@ -102,9 +102,9 @@
         if small_pages {
             leader.allow_small_pages();
         }
-        leader.allow_starts(!paused && knows_cancellations);
+        leader.allow_starts(!lease_uncertain && knows_cancellations);
         let state_service =
-            if paused { StateService::Unavailable } else { StateService::Available };
+            if lease_uncertain { StateService::Unavailable } else { StateService::Available };
         leader.tick(now, state_service, sole_renewer_since);
         leader.record_tick_duration(now, now.elapsed());
         let commits = if leader.has_writes() {
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! What this node sends the other controllers, and what it learns from them.
+//! Messages to and from the other controllers, and the state derived from them.
 
 use tokio::{sync::watch, time::Instant};
 use tracing::warn;
@@ -36,7 +36,7 @@
 }
 
 impl Node {
-    /// The message for another controller now.
+    /// Builds the next message to another controller.
     pub fn message(&self, receiver: &str) -> Message {
         let lost = self.has_lost_workers();
         let heartbeat = self.controller_heartbeat(receiver);
@@ -44,31 +44,34 @@
         Message { worker_contact: WorkerContact { lost }, ..message }
     }
 
-    /// Whether this node leads and receives hardly any worker heartbeats.
+    /// Whether this node is the leader and most workers have been silent for too long.
     fn has_lost_workers(&self) -> bool {
         let term = lock(&self.term);
         let leader = term.as_ref().and_then(|term| term.leader.as_ref());
         leader.is_some_and(|leader| leader.is_isolated_from_workers(Instant::now()))
     }
 
-    /// Records that a worker heartbeat was rejected, or answered in a leader's stead. A
-    /// leader that lost its workers waits for just this to give way, and their leases
-    /// run meanwhile: the first one is reported at once.
+    /// Records that a worker heartbeat was rejected, or that the worker's lease was renewed
+    /// by this node as a follower.
+    ///
+    /// A leader that lost its workers resigns only when another controller reports such a
+    /// heartbeat, and the workers' leases run out meanwhile. So the first one within the
+    /// reporting window is reported to the other controllers immediately.
     pub(super) fn record_rejected_heartbeat(&self) {
-        let was_reported = self.rejects_heartbeats();
+        let was_reported = self.rejected_heartbeat_recently();
         self.rejected_heartbeats.record_local();
         if !was_reported {
             self.peers.request_immediate_heartbeats();
         }
     }
 
-    /// The heartbeat for another controller now.
+    /// Builds the next heartbeat to another controller.
     pub fn controller_heartbeat(&self, receiver: &str) -> ControllerHeartbeat {
         let OutgoingHeartbeat { id, acknowledged } = self.peers.next_heartbeat(receiver);
-        let (leads, state_ok) = (self.leads(), self.state_service_reachable());
+        let (leads, state_ok) = (self.is_leader(), self.state_service_reachable());
         let watch_cache = lock(&self.watch_cache);
-        // A watch cache that was never read holds nothing of what a former process of
-        // this member confirmed.
+        // Before the records are loaded, the watch cache has none of the cancellations that
+        // an earlier process of this member confirmed, so a notice could be incomplete.
         let cancellations = acknowledged
             .filter(|_| watch_cache.loaded)
             .map(|acknowledged| self.cancellation_notice(receiver, acknowledged, &watch_cache));
@@ -79,15 +82,16 @@
             leads,
             token: watch_cache.token.value,
             state_ok,
-            // The same to every member: counted once for whoever received it first, it
-            // never reached the leader that needed it.
-            rejected_heartbeats: self.rejects_heartbeats(),
+            // Every member gets the same value. If a rejection were reported only to the
+            // member that is sent the next heartbeat, the leader might never learn of it.
+            rejected_heartbeats: self.rejected_heartbeat_recently(),
             revision: watch_cache.revision,
             cancellations,
         }
     }
 
-    /// The cancellations that a leader may not know, as many as it can receive.
+    /// The cancellations that the receiver, a leader, may not know: those after the revision
+    /// of its acknowledged heartbeat, limited to the number that the receiver can decode.
     fn cancellation_notice(
         &self,
         receiver: &str,
@@ -95,45 +99,54 @@
         watch_cache: &WatchCache,
     ) -> CancellationNotice {
         let since = acknowledged.revision;
-        // A frame that is longer than the receiver's limit would be lost as a whole.
-        let receivable = max_cancellations_per_frame(self.peers.frame_limit(receiver));
-        let max = self.settings.noticed_cancellations().min(receivable);
+        // The receiver drops a frame that exceeds its length limit, with the whole message.
+        let max_per_frame = max_cancellations_per_frame(self.peers.frame_limit(receiver));
+        let max = self.settings.noticed_cancellations().min(max_per_frame);
         watch_cache.cancelled_since(since, max)
     }
 
-    /// Whether this node rejected a worker heartbeat lately.
-    fn rejects_heartbeats(&self) -> bool {
+    /// Whether this node rejected a worker heartbeat within the last two heartbeat
+    /// intervals.
+    fn rejected_heartbeat_recently(&self) -> bool {
         self.rejected_heartbeats.any_local(self.settings.heartbeat_interval() * 2)
     }
 
-    /// Whether workers send their heartbeats to another controller, but not to this one.
+    /// Whether workers sent heartbeats to another controller within the last two heartbeat
+    /// intervals, but none to this one.
     pub fn workers_reach_only_others(&self) -> bool {
-        let lately = self.settings.heartbeat_interval() * 2;
-        !self.rejects_heartbeats()
-            && self.peers.any_recent(lately, |heartbeat| heartbeat.rejected_heartbeats)
-    }
-
-    /// Whether the controller that workers try after this one is silent. If such a
-    /// leader loses its workers, they wait for two time-outs in a row before they
-    /// come to a controller that answers, which is about all of their lease. A
-    /// process that just started knows nothing of it: where all start at once
-    /// nobody should wait.
+        let window = self.settings.heartbeat_interval() * 2;
+        !self.rejected_heartbeat_recently()
+            && self.peers.any_recent(window, |heartbeat| heartbeat.rejected_heartbeats)
+    }
+
+    /// Whether the controller that workers try after this one has become silent.
+    ///
+    /// If this node leads and loses its workers, they wait for two time-outs in a row, here
+    /// and at the silent controller, before they reach one that answers. That takes nearly
+    /// all of their lease. False if this process has received no heartbeat of that
+    /// controller yet: when all controllers start at the same time, none should delay its
+    /// candidacy.
     pub fn next_controller_is_silent(&self) -> bool {
-        let own = self.settings.member.as_str();
-        // Workers go through the controllers in the order of their names.
-        let after_own = self.other_members().filter(|name| *name > own).min();
-        let next = after_own.or_else(|| self.other_members().min());
-        let lately = self.settings.leader_lease() / 2;
-        next.is_some_and(|next| self.peers.fell_silent(next, lately))
-    }
-
-    /// Lets a leader know through the state service that workers live, if no
-    /// controller heartbeat can: connections between the controllers may be refused
-    /// while the leader loses its workers.
+        let this_member = self.settings.member.as_str();
+        // Workers try the controllers in the order of their names, and the first one again
+        // after the last.
+        let following = self.other_members().filter(|name| *name > this_member).min();
+        let next = following.or_else(|| self.other_members().min());
+        let window = self.settings.leader_lease() / 2;
+        next.is_some_and(|next| self.peers.fell_silent(next, window))
+    }
+
+    /// Announces through the state service that this node rejected worker heartbeats, if it
+    /// receives no heartbeats of a leader. The links between the controllers may fail at the
+    /// same time as the leader loses its workers, and the leader must still learn that the
+    /// workers live.
     pub async fn announce_rejected_heartbeats(&self) {
-        let lately = self.settings.leader_lease();
-        let reaches_leader = self.peers.any_recent(lately, |heartbeat| heartbeat.leads);
-        if reaches_leader || !self.rejects_heartbeats() || !self.state_service_reachable() {
+        let window = self.settings.leader_lease();
+        let receives_leader_heartbeats = self.peers.any_recent(window, |heartbeat| heartbeat.leads);
+        if receives_leader_heartbeats
+            || !self.rejected_heartbeat_recently()
+            || !self.state_service_reachable()
+        {
             return;
         }
         if let Ok(value) = store::value(&self.settings.member) {
@@ -142,7 +155,7 @@
         }
     }
 
-    /// Processes another controller's message.
+    /// Processes a message from another controller.
     pub fn on_message(&self, message: Message) {
         let member = &message.heartbeat.member;
         self.peers.record_features(member, message.features);
@@ -153,17 +166,19 @@
 
     fn on_controller_heartbeat(&self, heartbeat: ControllerHeartbeat) {
         self.step_down_if_superseded(&heartbeat);
-        let leads = self.leads();
+        let is_leader = self.is_leader();
         let workers_live = heartbeat.rejected_heartbeats;
         self.apply_cancellation_notice(heartbeat.cancellations.as_ref());
         let revision = lock(&self.watch_cache).revision;
         self.peers.record_heartbeat(heartbeat, revision);
-        // Whether to resign is decided now, not with the next renewal.
-        if leads && workers_live {
+        // Wakes the election task: it decides now whether to resign, instead of at the next
+        // lease renewal.
+        if is_leader && workers_live {
             self.leadership_changed.notify_one();
         }
     }
 
+    /// Ends this node's term if the sender knows a fencing token of a later term.
     fn step_down_if_superseded(&self, heartbeat: &ControllerHeartbeat) {
         let mut term = lock(&self.term);
         if term.as_ref().is_some_and(|t| t.tokens.last() < heartbeat.token) {
@@ -177,8 +192,8 @@
         }
     }
 
-    /// Applies what another controller may have confirmed to users: those ends are
-    /// durable, though the state service may not let this node see them.
+    /// Applies cancellations that another controller may have confirmed to users. The end
+    /// records are durable even while this node can't read them from the state service.
     fn apply_cancellation_notice(&self, notice: Option<&CancellationNotice>) {
         let mut changes = Vec::new();
         for job in notice.into_iter().flat_map(|notice| &notice.jobs) {
--- a/src/node/term.rs
+++ b/src/node/term.rs
@@ -1,4 +1,4 @@
-//! One term of leadership, as its holder keeps it.
+//! The state of one term of leadership on the node that leads.
 
 use std::collections::HashMap;
 
@@ -7,21 +7,23 @@
 
 use crate::{controller::Leader, fencing::TermTokens, protocol::MachineId};
 
-/// The leader's part of a node, while it leads.
+/// The state that a node has only during its term as the leader.
 pub(super) struct Term {
-    /// The version of the leader record. It identifies the term.
+    /// The version of the leader record, which identifies the term.
     pub(super) version: u64,
-    /// The fencing tokens of the term.
+    /// The range of fencing tokens of the term.
     pub(super) tokens: TermTokens,
-    /// Built once the watch cache is as new as the leadership.
+    /// The leader. It is built once the watch cache has every write of earlier leaders.
     pub(super) leader: Option<Leader>,
-    /// When the latest successful renewal of the leader lease was requested.
+    /// When the latest successful renewal of the leader lease was requested, or when the term
+    /// began.
     renewal_requested_at: Instant,
-    /// When each worker was last sent to probe for another leader, since the last
-    /// renewal.
+    /// When each worker was last redirected to probe for another leader, since the latest
+    /// renewal of the leader lease.
     probes_sent_at: HashMap<MachineId, Instant>,
-    /// Workers' leases are not renewed, since cancellations may be unknown.
-    withholds_renewals: bool,
+    /// Whether workers' leases are not renewed at present, because other controllers may have
+    /// confirmed cancellations that this node doesn't know.
+    renewals_withheld: bool,
 }
 
 impl Term {
@@ -33,26 +35,27 @@
             leader: None,
             renewal_requested_at: Instant::now(),
             probes_sent_at: HashMap::new(),
-            withholds_renewals: false,
+            renewals_withheld: false,
         }
     }
 
-    /// The leader lease was renewed by a request that was made at this moment: nobody
-    /// else led until then.
+    /// Records that the leader lease was renewed by a request made at `requested_at`: no
+    /// other controller led before that time.
     pub(super) fn record_renewal(&mut self, requested_at: Instant) {
         self.renewal_requested_at = requested_at;
         self.probes_sent_at.clear();
     }
 
     /// Whether the leader lease may have expired, so that another controller may lead.
-    pub(super) fn is_in_doubt(&self, now: Instant, leader_lease: Duration) -> bool {
+    pub(super) fn lease_may_have_expired(&self, now: Instant, leader_lease: Duration) -> bool {
         now.saturating_duration_since(self.renewal_requested_at) > leader_lease
     }
 
-    /// Whether to send a worker to probe for another leader, while the term is in
-    /// doubt: a worker that stays with this one would never learn of the other. Once
-    /// in an interval; if nobody else leads, the worker is back well within its lease.
-    pub(super) fn sends_probe(
+    /// Whether to redirect a worker now so that it probes for another leader, while the
+    /// leader lease may have expired. A worker that stays with this node would never learn of
+    /// the other leader. True at most once per `interval` for each worker. If there is no
+    /// other leader, the worker returns well within its lease.
+    pub(super) fn start_probe_if_due(
         &mut self,
         machine: &MachineId,
         now: Instant,
@@ -67,14 +70,14 @@
         is_due
     }
 
-    /// Records whether workers' leases are renewed at present.
-    pub(super) fn set_withholds_renewals(&mut self, withholds: bool) {
-        if withholds && !self.withholds_renewals {
+    /// Sets whether renewals of workers' leases are withheld, and logs when that begins.
+    pub(super) fn set_renewals_withheld(&mut self, withheld: bool) {
+        if withheld && !self.renewals_withheld {
             warn!(
                 token = self.tokens.first(),
-                "lease renewals withheld: cancellations may be unknown for too long"
+                "worker lease renewals withheld: cancellations may have been unknown for too long"
             );
         }
-        self.withholds_renewals = withholds;
+        self.renewals_withheld = withheld;
     }
 }
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -1,5 +1,5 @@
-//! Worker heartbeats: answered as the leader, or in its stead while nobody can
-//! lead, and the answers to direct commands.
+//! Responses to worker heartbeats, as the leader or, while no leader can be elected, as a
+//! follower; and the outcomes of direct commands.
 
 use tokio::time::{Duration, Instant};
 
@@ -12,90 +12,96 @@
     state::lock,
 };
 
-/// For so many heartbeat intervals a worker waits here for a leader. Its own
-/// time-out is longer.
-const SUCCESSOR_WAIT_INTERVALS: u32 = 2;
+/// How long a worker's heartbeat may wait here for a new leader, in heartbeat intervals. The
+/// worker's own time-out is longer.
+const SUCCESSOR_WAIT_HEARTBEAT_INTERVALS: u32 = 2;
 
-/// How often in a heartbeat interval this node checks whether there is a leader.
-const SUCCESSOR_CHECKS_PER_INTERVAL: u32 = 16;
+/// How many times per heartbeat interval this node checks for a new leader meanwhile.
+const SUCCESSOR_CHECKS_PER_HEARTBEAT_INTERVAL: u32 = 16;
 
 impl Node {
-    /// Answers a heartbeat. A worker that lost its leader and comes while there is
-    /// no other yet waits a while for one: redirected, it may come to a controller
-    /// that is silent and wait there for a whole time-out, which with the first
-    /// one is about all of its lease.
+    /// Answers a heartbeat, after a wait if the worker lost its leader and a new one is
+    /// expected soon. A redirect without a known leader could send the worker to a
+    /// controller that doesn't answer. It would wait there for a second whole time-out, and
+    /// both time-outs together take nearly all of its lease.
     pub async fn answer_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
         let interval = self.settings.heartbeat_interval();
-        let until = Instant::now() + interval * SUCCESSOR_WAIT_INTERVALS;
+        let deadline = Instant::now() + interval * SUCCESSOR_WAIT_HEARTBEAT_INTERVALS;
         loop {
             let reply = self.answer_heartbeat_now(heartbeat);
             let is_without_leader = reply == HeartbeatReply::Redirect(None);
-            let waits = is_without_leader && self.expects_successor(heartbeat);
-            if !waits || Instant::now() >= until {
+            let should_wait = is_without_leader && self.expects_successor(heartbeat);
+            if !should_wait || Instant::now() >= deadline {
                 return reply;
             }
-            while self.expects_successor(heartbeat) && Instant::now() < until {
-                tokio::time::sleep(interval / SUCCESSOR_CHECKS_PER_INTERVAL).await;
+            while self.expects_successor(heartbeat) && Instant::now() < deadline {
+                tokio::time::sleep(interval / SUCCESSOR_CHECKS_PER_HEARTBEAT_INTERVAL).await;
             }
         }
     }
 
-    /// Whether there is no leader for this worker, but soon may be: nobody leads,
-    /// or the leader reports that it lost its workers. Not while the state service is
-    /// away, for then nobody can be elected.
+    /// Whether there is no leader for this worker but one may be elected soon: there is no
+    /// leader record, or the leader reports that it lost its workers. False while the state
+    /// service is unreachable, since no leader can be elected then.
     fn expects_successor(&self, heartbeat: &WorkerHeartbeat) -> bool {
-        let leads = self.leads();
-        let is_elected = lock(&self.watch_cache).leader.is_some();
+        let is_leader = self.is_leader();
+        let has_leader_record = lock(&self.watch_cache).leader.is_some();
         heartbeat.token > 0
-            && !leads
+            && !is_leader
             && self.state_service_reachable()
-            && (!is_elected || self.leader_for(heartbeat).is_none())
+            && (!has_leader_record || self.redirect_target(heartbeat).is_none())
     }
 
-    /// Answers a heartbeat now.
+    /// Answers a heartbeat without a wait.
     pub fn answer_heartbeat_now(&self, heartbeat: &WorkerHeartbeat) -> HeartbeatReply {
-        if let Some(reply) = self.heartbeat_as_leader(heartbeat) {
+        if let Some(reply) = self.answer_as_leader(heartbeat) {
             return reply;
         }
         self.record_rejected_heartbeat();
         self.renew_as_follower(heartbeat, Instant::now())
-            .unwrap_or_else(|| HeartbeatReply::Redirect(self.leader_for(heartbeat)))
+            .unwrap_or_else(|| HeartbeatReply::Redirect(self.redirect_target(heartbeat)))
     }
 
-    /// The leader to which a worker is redirected, if that is of use to it.
-    fn leader_for(&self, heartbeat: &WorkerHeartbeat) -> Option<String> {
+    /// The name of the leader to redirect a worker to. None if no other controller leads, or
+    /// if the worker probably can't reach the leader.
+    fn redirect_target(&self, heartbeat: &WorkerHeartbeat) -> Option<String> {
         let watch_cache = lock(&self.watch_cache);
         let record = &watch_cache.leader.as_ref()?.value;
-        // A worker that knows this leader and comes here could not reach it. Redirected
-        // to one that itself reports hardly any worker heartbeats, it would wait
-        // for a whole time-out there while its lease runs out. It tries the next
-        // controller, and finds the successor.
+        // A worker that knows this leader's token and comes here could not reach the leader.
+        // If the leader itself reports that it receives hardly any worker heartbeats, a
+        // redirect there would cost a whole time-out of the worker's lease. Without a
+        // redirect target the worker tries the next controllers, and finds the successor.
         let knows_leader = heartbeat.token >= record.token;
-        let lately = self.settings.leader_lease();
+        let window = self.settings.leader_lease();
         let is_unreachable =
-            knows_leader && self.peers.reported_lost_workers(&record.member, lately);
-        let is_other = record.member != self.settings.member;
-        (!is_unreachable && is_other).then(|| record.member.clone())
+            knows_leader && self.peers.reported_lost_workers(&record.member, window);
+        let is_other_member = record.member != self.settings.member;
+        (!is_unreachable && is_other_member).then(|| record.member.clone())
     }
 
-    fn heartbeat_as_leader(&self, heartbeat: &WorkerHeartbeat) -> Option<HeartbeatReply> {
+    /// Answers a heartbeat as the leader. None if this node is not the leader or its leader
+    /// is not built yet.
+    fn answer_as_leader(&self, heartbeat: &WorkerHeartbeat) -> Option<HeartbeatReply> {
         let now = Instant::now();
         let mut term = lock(&self.term);
-        let held = term.as_mut()?;
-        let in_doubt = held.is_in_doubt(now, self.settings.leader_lease());
-        // A leader that was suspended, or that others may have replaced, keeps
+        let current_term = term.as_mut()?;
+        let lease_may_have_expired =
+            current_term.lease_may_have_expired(now, self.settings.leader_lease());
+        // A leader whose process was suspended, or that may have been replaced, keeps running
         // tasks alive but starts none.
-        let may_start = !in_doubt && self.knows_cancellations(now, self.settings.leader_lease());
-        held.leader.as_mut()?.allow_starts(may_start);
+        let may_start =
+            !lease_may_have_expired && self.knows_cancellations(now, self.settings.leader_lease());
+        current_term.leader.as_mut()?.allow_starts(may_start);
         let probe_interval = self.settings.worker_lease() / 2;
-        let probes = in_doubt && held.sends_probe(&heartbeat.machine, now, probe_interval);
-        let withholds_renewals = !self.may_renew_as_leader(now);
-        held.set_withholds_renewals(withholds_renewals);
-        let leader = held.leader.as_mut()?;
-        // Withheld renewals redirect all workers in one second; a redirected heartbeat
-        // still counts as received, since a leader that seemed to have lost its workers
-        // would resign, in an outage in favour of nobody.
-        let reply = if probes || withholds_renewals {
+        let is_probing = lease_may_have_expired
+            && current_term.start_probe_if_due(&heartbeat.machine, now, probe_interval);
+        let renewals_withheld = !self.may_renew_as_leader(now);
+        current_term.set_renewals_withheld(renewals_withheld);
+        let leader = current_term.leader.as_mut()?;
+        // While renewals are withheld, all workers are redirected within about a second. A
+        // redirected heartbeat still counts as received: otherwise the leader would seem to
+        // have lost its workers and resign, and in an outage no successor can be elected.
+        let reply = if is_probing || renewals_withheld {
             leader.on_redirected_heartbeat(heartbeat, now).map(|()| HeartbeatReply::Redirect(None))
         } else {
             let answered = leader.on_heartbeat(heartbeat, now);
@@ -111,7 +117,8 @@
         }))
     }
 
-    /// Answers a worker while nobody can lead, see `lease_renewal`.
+    /// Renews a worker's lease as a follower while no leader can be elected, as described in
+    /// `lease_renewal`. None if this node may not renew it now.
     fn renew_as_follower(
         &self,
         heartbeat: &WorkerHeartbeat,
@@ -120,7 +127,7 @@
         let may_renew = !self.state_service_reachable()
             && now < self.follower_renewal_deadline()
             && heartbeat.token > 0
-            && !self.leads()
+            && !self.is_leader()
             && self.peers.may_renew(now);
         if !may_renew {
             self.follower_renewals.clear();
@@ -134,20 +141,20 @@
         Some(HeartbeatReply::Commands { token: heartbeat.token, commands })
     }
 
-    /// Until when this node may renew leases as a follower: beyond it, cancellations
-    /// that it doesn't know could outlive `cancel_s`.
+    /// Until when this node may renew leases as a follower. After that, tasks of cancelled
+    /// jobs that this node doesn't know as cancelled could run for longer than `cancel_s`.
     fn follower_renewal_deadline(&self) -> Instant {
         let limit = self.settings.renewal_limit();
         match self.peers.last_read_at() {
             Some(at) => at + limit,
-            // This process knows nothing of the time before it: half of the
-            // limit is left for that.
+            // Cancellations from before the start of this process are unknown to it. Half of
+            // the limit is allowed for their age.
             None => self.started_at + limit / 2,
         }
     }
 
-    /// Commands that stop the tasks of jobs that are known to be cancelled: that is
-    /// right under any token.
+    /// Commands that stop a worker's tasks of jobs that are known to be cancelled. Stopping
+    /// them is safe under any fencing token, since a cancellation is final.
     fn stop_cancelled_tasks(&self, heartbeat: &WorkerHeartbeat) -> Vec<TaskCommand> {
         let watch_cache = lock(&self.watch_cache);
         let is_cancelled = |task: &&TaskStatus| {
@@ -156,38 +163,38 @@
             task.state != TaskState::Exited
                 && end.is_some_and(|end| end.state == JobState::Cancelled)
         };
-        let stop = |task: &TaskStatus| TaskCommand {
+        let stop_command = |task: &TaskStatus| TaskCommand {
             op: CommandKind::Stop,
             task: task.task.clone(),
             attempt: task.attempt,
             grace_s: Some(0.0),
         };
-        heartbeat.tasks.iter().filter(is_cancelled).map(stop).collect()
+        heartbeat.tasks.iter().filter(is_cancelled).map(stop_command).collect()
     }
 
-    /// Whether a leader may renew workers' leases: not if another controller
-    /// may have confirmed cancellations to users that this one doesn't know and
-    /// that could then outlive `cancel_s`. While its own lease lasts a leader
-    /// always may, whatever the settings allow.
+    /// Whether this node, as the leader, may renew workers' leases. False if another
+    /// controller may have confirmed cancellations that this node doesn't know, so long ago
+    /// that their tasks could run for longer than `cancel_s`. The limit is at least a leader
+    /// lease, whatever the settings give: a leader may always renew during its own lease.
     fn may_renew_as_leader(&self, now: Instant) -> bool {
         let limit = self.settings.renewal_limit().max(self.settings.leader_lease());
         self.knows_cancellations(now, limit)
     }
 
-    /// Whether all cancellations that may have been confirmed to users are known, but
-    /// for those within the last `limit`.
+    /// Whether every cancellation that may have been confirmed to a user before the last
+    /// `limit` is known here.
     pub(super) fn knows_cancellations(&self, now: Instant, limit: Duration) -> bool {
         let known_until = self.cancellations_known_until();
         self.settings.members.is_empty() || known_until.is_some_and(|at| now < at + limit)
     }
 
-    /// The moment up to which every cancellation that may have been confirmed is known
-    /// here.
+    /// The time up to which every cancellation that any controller may have confirmed to a
+    /// user is known here.
     pub(super) fn cancellations_known_until(&self) -> Option<Instant> {
         self.peers.cancellations_known_until(self.other_members())
     }
 
-    /// Processes what became of direct commands.
+    /// Processes the outcome of direct commands.
     pub(super) fn on_direct_outcome(
         &self,
         version: u64,
