--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -1,4 +1,4 @@
-//! A leader's work during its term: it carries out what the leader decides.
+//! Execution of a leader's decisions during its term.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use tracing::{debug, error, info, warn};
 
 use super::{
-    cloud_loop::{return_machines, run_cloud_loop, scale_out},
+    cloud_loop::{provision_machines, return_machines, run_cloud_loop},
     instance::Node,
     tasks::until_cancelled,
 };
@@ -19,11 +19,11 @@
     store::Page,
 };
 
-/// The leader's summary is logged once in so many heartbeat intervals.
-const SUMMARY_INTERVALS: u32 = 10;
+/// The time between two logged summaries of the leader, in heartbeat intervals.
+const SUMMARY_HEARTBEAT_INTERVALS: u32 = 10;
 
-/// Does a leader's work until the term ends or `stop` is cancelled, and waits for all
-/// that it set off.
+/// Runs the leader until the term ends or `stop` is cancelled, and then waits for all actions
+/// that it spawned.
 pub(super) async fn run_term(node: Arc<Node>, version: u64, stop: CancellationToken) {
     let actions = TaskTracker::new();
     tokio::select! {
@@ -34,6 +34,7 @@
     actions.wait().await;
 }
 
+/// Builds the leader and ticks until the term ends.
 async fn run_leader(
     node: &Arc<Node>,
     version: u64,
@@ -41,7 +42,8 @@
     stop: &CancellationToken,
 ) {
     let heartbeat_interval = node.settings.heartbeat_interval();
-    // The watch cache must hold every write of the former leaders.
+    // The leader is built from the watch cache, which must have every write of earlier
+    // leaders.
     while node.refresh().await.is_err() {
         tokio::time::sleep(heartbeat_interval / 8).await;
     }
@@ -49,38 +51,39 @@
         return;
     }
     actions.spawn(until_cancelled(stop.clone(), run_cloud_loop(node.clone(), version)));
-    let mut summarised_at = Instant::now();
+    let mut last_summary_at = Instant::now();
     let mut next_tick = Instant::now();
     loop {
         let _ = tokio::time::timeout_at(next_tick, node.tick_requested.notified()).await;
         let Some(decisions) = tick(node, version) else { return };
         next_tick = decisions.next_tick;
         spawn_actions(node, version, decisions, actions, stop);
-        if summarised_at + heartbeat_interval * SUMMARY_INTERVALS < Instant::now() {
-            summarised_at = Instant::now();
+        if last_summary_at + heartbeat_interval * SUMMARY_HEARTBEAT_INTERVALS < Instant::now() {
+            last_summary_at = Instant::now();
             log_summary(node, version);
         }
-        // Whatever comes within this time is handled together.
+        // Events that arrive within this time are handled by one tick.
         tokio::time::sleep(heartbeat_interval / 100).await;
     }
 }
 
-/// Builds the leader from the watch cache. False if its term is over.
+/// Builds the leader from the watch cache. Returns false if its term has ended.
 fn start_leader(node: &Node, version: u64) -> bool {
     let watch_cache = lock(&node.watch_cache);
     let mut term = lock(&node.term);
-    let Some(held) = term.as_mut().filter(|t| t.version == version) else { return false };
+    let Some(current_term) = term.as_mut().filter(|t| t.version == version) else { return false };
     let now = Instant::now();
-    let mut leader = Leader::new(node.settings.clone(), version, held.tokens, &watch_cache, now);
+    let mut leader =
+        Leader::new(node.settings.clone(), version, current_term.tokens, &watch_cache, now);
     for (id, at) in lock(&node.confirmed_since).iter() {
         leader.record_confirmed_end(id, *at);
     }
-    info!(token = held.tokens.first(), "{}", leader.summary(now));
-    held.leader = Some(leader);
+    info!(token = current_term.tokens.first(), "{}", leader.summary(now));
+    current_term.leader = Some(leader);
     true
 }
 
-/// What a tick of the leader decided, and when the next one is due.
+/// The actions that a tick of the leader decided, and when the next tick is due.
 struct Decisions {
     commits: Vec<Commit>,
     direct_requests: Vec<DirectRequest>,
@@ -89,7 +92,7 @@
     next_tick: Instant,
 }
 
-/// One tick. None if the term is over.
+/// Ticks the leader once. Returns None if the term has ended.
 fn tick(node: &Node, version: u64) -> Option<Decisions> {
     let now = Instant::now();
     let lease_uncertain = node.lease_may_have_expired();
@@ -131,7 +134,7 @@
     stop: &CancellationToken,
 ) {
     for commit in decisions.commits {
-        let action = commit_until_certain(node.clone(), version, commit);
+        let action = commit_until_resolved(node.clone(), version, commit);
         actions.spawn(until_cancelled(stop.clone(), action));
     }
     for request in decisions.direct_requests {
@@ -139,7 +142,7 @@
         actions.spawn(until_cancelled(stop.clone(), action));
     }
     for request in decisions.provision_requests {
-        let action = scale_out(node.clone(), version, request);
+        let action = provision_machines(node.clone(), version, request);
         actions.spawn(until_cancelled(stop.clone(), action));
     }
     if !decisions.returned_machines.is_empty() {
@@ -148,7 +151,7 @@
     }
 }
 
-/// Logs how the leader is doing, for the operator.
+/// Logs a summary of the leader's state for the operator.
 fn log_summary(node: &Node, version: u64) {
     node.with_leader(version, |leader| {
         info!("{}", leader.summary(Instant::now()));
@@ -158,15 +161,16 @@
     });
 }
 
-/// What became of a commit.
+/// The outcome of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CommitOutcome {
     Committed,
     NotCommitted,
 }
 
-/// Commits until it is certain what became of the writes.
-async fn commit_until_certain(node: Arc<Node>, version: u64, commit: Commit) {
+/// Commits writes, with retries, until it is certain whether they were carried out, and
+/// reports the outcome to the leader.
+async fn commit_until_resolved(node: Arc<Node>, version: u64, commit: Commit) {
     let retry_interval = node.settings.state_timeout() / 4;
     let outcome = loop {
         let result = node.writer.commit(commit.conditions.clone(), commit.writes.clone()).await;
@@ -177,26 +181,28 @@
             }
             Err(StateError::Refused(_)) => tokio::time::sleep(retry_interval).await,
             Err(StateError::Rejected(reason)) => {
-                // Tried again only after a while, in case its content is
-                // another by then. A rejection is no sign that another controller leads.
+                // The state service rejects the same content every time. The leader gets the
+                // outcome only after a delay, since its next write may have other content
+                // by then. A rejection doesn't mean that another controller leads.
                 error!(%reason, kind = ?commit.kind, "write rejected by the state service");
                 tokio::time::sleep(node.settings.worker_lease()).await;
                 break CommitOutcome::NotCommitted;
             }
             Err(error) => {
-                debug!(%error, kind = ?commit.kind, "write failed or doubtful");
+                debug!(%error, kind = ?commit.kind, "write failed or its outcome is unknown");
                 while node.refresh().await.is_err() {
                     tokio::time::sleep(retry_interval).await;
                 }
-                break outcome_in_records(&node, &commit.kind);
+                break outcome_from_watch_cache(&node, &commit.kind);
             }
         }
     };
     record_outcome(&node, version, commit.kind, outcome);
 }
 
-/// Whether the refreshed watch cache shows what the write was to bring about.
-fn outcome_in_records(node: &Node, kind: &CommitKind) -> CommitOutcome {
+/// The outcome of a write, by whether the refreshed watch cache has its result. A write of
+/// machine types counts as not committed, so that the leader writes them again.
+fn outcome_from_watch_cache(node: &Node, kind: &CommitKind) -> CommitOutcome {
     let watch_cache = lock(&node.watch_cache);
     let is_committed = match kind {
         CommitKind::Page { job, page, content } => watch_cache
@@ -204,13 +210,14 @@
             .get(job)
             .and_then(|pages| pages.get(page))
             .and_then(|entry| serde_json::from_str::<Page>(entry.raw.get()).ok())
-            .is_some_and(|held| held == *content),
+            .is_some_and(|stored| stored == *content),
         CommitKind::End { job } => !watch_cache.jobs.contains_key(job),
         CommitKind::Types => false,
     };
     if is_committed { CommitOutcome::Committed } else { CommitOutcome::NotCommitted }
 }
 
+/// Reports the outcome of a commit to the leader.
 fn record_outcome(node: &Node, version: u64, kind: CommitKind, outcome: CommitOutcome) {
     let watch_cache = lock(&node.watch_cache);
     let now = Instant::now();
@@ -221,7 +228,7 @@
     node.tick_requested.notify_one();
 }
 
-/// Sends commands to a worker's own address.
+/// Sends commands directly to a worker's address and reports the outcome to the leader.
 async fn send_direct_commands(node: Arc<Node>, version: u64, request: DirectRequest) {
     let answer = node.workers.command(&request.address, request.commands.clone()).await;
     let outcome = match &answer {
@@ -230,7 +237,7 @@
         Err(_) => DirectOutcome::Unknown,
     };
     if let Err(error) = &answer {
-        debug!(machine = %request.machine, %error, "direct commands unanswered");
+        debug!(machine = %request.machine, %error, "direct commands to worker failed");
     }
     node.on_direct_outcome(version, &request, outcome);
 }
