--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -1,15 +1,17 @@
-//! Internal jobs: those that another part of this process submits and cancels itself.
+//! Internal jobs: jobs that another component of this process submits and cancels itself,
+//! such as the jobs of model replicas.
 //!
-//! Each has a marker among that part's records, written in the transaction that
-//! accepts the job, so that an internal job is not confused with a user's job of the
-//! same id. Both transactions are conditioned on the record that the part decided on:
-//! whoever was replaced meanwhile is refused by the state service.
+//! Each internal job has a marker key among that component's records. The marker is written
+//! in the transaction that accepts the job, so that an internal job is not confused with a
+//! user's job of the same id. The transactions for submission and cancellation are both
+//! conditioned on the record that the component's decision rests on (the fence): if another
+//! controller has taken over the component's work meanwhile, the state service rejects them.
 
 use tracing::info;
 
 use super::{
     instance::Node,
-    users::{cancellation, cancellation_conditions, is_final},
+    users::{cancellation_conditions, cancellation_write, is_final},
 };
 use crate::{
     protocol::{Condition, JobSpec, Write},
@@ -18,57 +20,59 @@
     store,
 };
 
-/// What became of the submission or the cancellation of an internal job.
+/// The outcome of the submission or cancellation of an internal job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InternalJobReply {
-    /// It is carried out, by this call or by one before it.
+    /// The request is carried out, by this call or by an earlier one.
     Done,
-    /// Another job has this id.
+    /// Another job, one without this marker, has this id.
     IdTaken,
-    /// The record that it was decided on has changed.
+    /// The record that the decision rests on has changed.
     Stale,
     /// The job can never run, and why.
     Impossible(String),
 }
 
 impl Node {
-    /// Submits an internal job. `fence`: the record that the decision rests on.
-    /// `marker`: the key that marks the job as internal.
+    /// Submits an internal job. `fence`: the key and version of the record that the decision
+    /// rests on. `marker`: the key that marks the job as internal.
     pub async fn submit_internal_job(
         &self,
         spec: &JobSpec,
         fence: &Condition,
         marker: &str,
     ) -> Result<InternalJobReply, Unavailable> {
-        if let Some(reason) = self.infeasibility(spec)? {
+        if let Some(reason) = self.infeasibility_reason(spec)? {
             return Ok(InternalJobReply::Impossible(reason));
         }
-        let (Ok(job), Ok(mark)) = (store::value(spec), store::value(&self.settings.member)) else {
+        let (Ok(job), Ok(marker_value)) = (store::value(spec), store::value(&self.settings.member))
+        else {
             return Ok(InternalJobReply::Impossible("can't be stored".into()));
         };
         let mut conditions = self.acceptance_conditions(spec).conditions;
         conditions.push(fence.clone());
-        let accept = Write::Put { key: store::job_key(&spec.id), value: job, lease: None };
-        let marked = Write::Put { key: marker.to_owned(), value: mark, lease: None };
-        match self.writer.commit(conditions, vec![accept.clone(), marked]).await {
+        let job_write = Write::Put { key: store::job_key(&spec.id), value: job, lease: None };
+        let marker_write = Write::Put { key: marker.to_owned(), value: marker_value, lease: None };
+        match self.writer.commit(conditions, vec![job_write.clone(), marker_write]).await {
             Ok(revision) => {
-                self.apply_committed(&[accept], revision);
+                self.apply_committed(&[job_write], revision);
                 info!(job = %spec.id, class = %spec.class, "internal job accepted");
                 Ok(InternalJobReply::Done)
             }
-            Err(StateError::Conflict(keys)) => self.conflict_reason(&keys, fence, marker).await,
+            Err(StateError::Conflict(keys)) => self.reply_to_conflict(&keys, fence, marker).await,
             Err(StateError::Rejected(reason)) => Ok(InternalJobReply::Impossible(reason)),
             Err(_) => Err(Unavailable::State),
         }
     }
 
-    async fn conflict_reason(
+    /// The reply to a submission whose transaction conflicted on `keys`.
+    async fn reply_to_conflict(
         &self,
         keys: &[String],
         fence: &Condition,
         marker: &str,
     ) -> Result<InternalJobReply, Unavailable> {
-        // An earlier attempt may have been carried out without an answer.
+        // An earlier attempt may have been carried out although its answer was lost.
         if self.marker_version(marker).await?.is_some() {
             return Ok(InternalJobReply::Done);
         }
@@ -79,8 +83,8 @@
         })
     }
 
-    /// Cancels an internal job, if there is one: a job without a marker is a
-    /// user's, and stays.
+    /// Cancels an internal job. A job without a marker is a user's job and is not cancelled;
+    /// the reply is `Done`, since there is no internal job of this id.
     pub async fn cancel_internal_job(
         &self,
         id: &str,
@@ -98,29 +102,32 @@
             let status = watch_cache.status(id).filter(|status| !is_final(status));
             status.zip(watch_cache.jobs.get(id).map(|job| job.version))
         };
-        let mut ends = Vec::new();
+        let mut end_writes = Vec::new();
         if let Some((status, version)) = unfinished {
-            let Ok(end) = cancellation(id, status.done) else { return Err(Unavailable::State) };
+            let Ok(end) = cancellation_write(id, status.done) else {
+                return Err(Unavailable::State);
+            };
             conditions.extend(cancellation_conditions(id, version));
-            ends.push(end);
+            end_writes.push(end);
         }
-        let mut writes = ends.clone();
+        let mut writes = end_writes.clone();
         writes.push(Write::Delete { key: marker.to_owned() });
         match self.writer.commit(conditions, writes).await {
             Ok(revision) => {
-                self.apply_committed(&ends, revision);
+                self.apply_committed(&end_writes, revision);
                 info!(job = id, "internal job cancelled");
                 Ok(InternalJobReply::Done)
             }
             Err(StateError::Conflict(keys)) if keys.contains(&fence.key) => {
                 Ok(InternalJobReply::Stale)
             }
-            // It ended by itself, or an earlier attempt was carried out: the caller retries.
+            // The job ended by itself, an earlier attempt was carried out, or the write failed.
+            // The caller retries.
             Err(_) => Err(Unavailable::State),
         }
     }
 
-    /// The version of a marker, as the state service has it now.
+    /// The version of a marker, read from the state service. None if there is no marker.
     async fn marker_version(&self, marker: &str) -> Result<Option<u64>, Unavailable> {
         self.request_budget.take_leaving(1.0, Reserve::Quarter).await;
         let page = self.state.list(marker, "").await.map_err(|_| Unavailable::State)?;
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -1,4 +1,5 @@
-//! Submissions: checked, written once, and answered the same when repeated.
+//! Submissions of jobs: validation, one conditional write, and idempotent answers to
+//! repeated submissions.
 
 use serde_json::value::RawValue;
 use tokio::time::Instant;
@@ -6,7 +7,7 @@
 
 use super::{
     instance::Node,
-    users::{absent, is_final},
+    users::{is_final, key_absent},
 };
 use crate::{
     protocol::{Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Shape, Write},
@@ -16,22 +17,23 @@
     store,
 };
 
-/// How often an acceptance is tried whose dependencies end meanwhile.
+/// The maximum number of attempts to accept a job. An attempt fails if a dependency ends
+/// between the check and the write.
 const MAX_ACCEPT_ATTEMPTS: u32 = 4;
 
-const TOO_LONG: &str = "its description is too long to be stored";
+const DESCRIPTION_TOO_LONG: &str = "its description is too long to be stored";
 
 /// The conditions under which a job is accepted.
 pub(super) struct AcceptanceConditions {
     pub(super) conditions: Vec<Condition>,
-    /// Whether they cover all that the job depends on: a cancellation of such a job
-    /// that is committed first must be seen.
-    pub(super) cover_dependencies: bool,
+    /// Whether the conditions cover all unfinished dependencies of the job. If not, a
+    /// dependency may have been cancelled before the write, and with it this job.
+    pub(super) covers_all_dependencies: bool,
 }
 
 impl Node {
-    /// Answers a submission. It is idempotent: a repeated submission gets the status
-    /// of the job that the first one created. `body`: the specification in JSON.
+    /// Answers a submission. Submissions are idempotent: a repeated one gets the status of
+    /// the job that the first one created. `body`: the job specification in JSON.
     pub async fn submit(&self, body: &[u8]) -> Result<UserReply, Unavailable> {
         let received_at = Instant::now();
         let spec = match JobSpec::parse(body) {
@@ -41,21 +43,21 @@
         if let Some(known) = self.known_submission(&spec.id).await? {
             return Ok(known);
         }
-        if let Some(refusal) = self.refusal(&spec).await? {
-            return self.refuse(&spec.id, refusal).await;
+        if let Some(rejection) = self.rejection(&spec).await? {
+            return self.reject(&spec.id, rejection).await;
         }
         let Ok(value) = store::value(&spec) else {
             return Ok(UserReply::Malformed("can't be stored".into()));
         };
         if value.get().len() > self.settings.state_limits().value_bytes {
-            let refusal = UserReply::Malformed(TOO_LONG.into());
-            return self.refuse(&spec.id, refusal).await;
+            let rejection = UserReply::Malformed(DESCRIPTION_TOO_LONG.into());
+            return self.reject(&spec.id, rejection).await;
         }
         self.accept(&spec, value, received_at).await
     }
 
-    /// Answers a submission that can't be parsed. An accepted job stays accepted,
-    /// whatever a repetition looks like.
+    /// Answers a submission that can't be parsed. If a job with its id was accepted before,
+    /// the answer is that job's status: a malformed repetition doesn't undo an acceptance.
     async fn answer_malformed(
         &self,
         body: &[u8],
@@ -68,7 +70,8 @@
         })
     }
 
-    /// The answer to a submission whose job the watch cache knows.
+    /// The answer to a submission whose job is in the watch cache already. None for a new
+    /// job.
     async fn known_submission(&self, id: &str) -> Result<Option<UserReply>, Unavailable> {
         let known = lock(&self.watch_cache).status(id);
         match known {
@@ -78,24 +81,24 @@
         }
     }
 
-    /// Why a valid submission is not accepted, if so.
-    async fn refusal(&self, spec: &JobSpec) -> Result<Option<UserReply>, Unavailable> {
-        if let Some(reason) = self.infeasibility(spec)? {
+    /// The reply that rejects a valid specification, if the job can't be accepted.
+    async fn rejection(&self, spec: &JobSpec) -> Result<Option<UserReply>, Unavailable> {
+        if let Some(reason) = self.infeasibility_reason(spec)? {
             return Ok(Some(UserReply::Impossible(reason)));
         }
-        self.unusable_dependency(spec).await
+        self.dependency_rejection(spec).await
     }
 
-    /// Refuses a submission, unless the job was accepted elsewhere: then it
-    /// must never be called impossible or malformed.
-    async fn refuse(&self, id: &str, refusal: UserReply) -> Result<UserReply, Unavailable> {
+    /// Rejects a submission, unless another controller has accepted the job: an accepted job
+    /// must never be reported as impossible or malformed.
+    async fn reject(&self, id: &str, rejection: UserReply) -> Result<UserReply, Unavailable> {
         self.refresh().await?;
         let known = lock(&self.watch_cache).status(id);
-        Ok(known.map_or(refusal, UserReply::Known))
+        Ok(known.map_or(rejection, UserReply::Known))
     }
 
-    /// Writes the record of a job. Its creation is conditioned on the job's absence, so
-    /// a job is accepted once.
+    /// Writes the record of a job. The write is conditioned on the absence of the record, so
+    /// that a job is accepted only once.
     async fn accept(
         &self,
         spec: &JobSpec,
@@ -105,7 +108,7 @@
         let writes = vec![Write::Put { key: store::job_key(&spec.id), value, lease: None }];
         let checked_ms = received_at.elapsed().as_millis();
         for _ in 0..MAX_ACCEPT_ATTEMPTS {
-            let AcceptanceConditions { conditions, cover_dependencies } =
+            let AcceptanceConditions { conditions, covers_all_dependencies } =
                 self.acceptance_conditions(spec);
             match self.writer.commit(conditions, writes.clone()).await {
                 Ok(revision) => {
@@ -115,15 +118,15 @@
                         job = %spec.id, class = %spec.class, team = %spec.team,
                         tasks = spec.tasks, checked_ms, took_ms, "job accepted"
                     );
-                    return self.answer_accepted(spec, cover_dependencies).await;
+                    return self.answer_accepted(spec, covers_all_dependencies).await;
                 }
                 Err(StateError::Refused(_)) => return Err(Unavailable::State),
                 Err(StateError::Rejected(_)) => {
-                    let refusal = UserReply::Malformed(TOO_LONG.into());
-                    return self.refuse(&spec.id, refusal).await;
+                    let rejection = UserReply::Malformed(DESCRIPTION_TOO_LONG.into());
+                    return self.reject(&spec.id, rejection).await;
                 }
                 Err(error) => {
-                    if let Some(reply) = self.answer_doubtful(&spec.id, &error).await? {
+                    if let Some(reply) = self.answer_uncertain_write(&spec.id, &error).await? {
                         return Ok(reply);
                     }
                 }
@@ -132,32 +135,33 @@
         Err(Unavailable::State)
     }
 
-    /// Answers a submission whose write failed or may have been carried out. None if it
-    /// is to be tried again.
-    async fn answer_doubtful(
+    /// Answers a submission whose write failed or has an unknown outcome. None if the write
+    /// is to be retried.
+    async fn answer_uncertain_write(
         &self,
         id: &str,
         error: &StateError,
     ) -> Result<Option<UserReply>, Unavailable> {
-        // Somebody may have created the job, maybe an earlier attempt of this node.
+        // Another controller or an earlier attempt of this node may have created the job.
         let reply = self.status(id).await?;
         if reply != UserReply::Unknown {
             return Ok(Some(reply));
         }
-        // A conflict, and no such job: a dependency has ended meanwhile. Unsure, and no
-        // such job: it may still appear; the user's retry will show.
+        // After a conflict the absence of the job means that a dependency has ended
+        // meanwhile. After an unknown outcome the write may still be carried out; the user's
+        // retry gets the result.
         if matches!(error, StateError::Conflict(_)) { Ok(None) } else { Err(Unavailable::State) }
     }
 
-    /// Answers for a job that was accepted just now. It may be cancelled already, with
-    /// one that it depends on. `covers_dependencies`: the write was conditioned on all
-    /// of those.
+    /// Answers for a newly accepted job. The job may be cancelled already, together with a
+    /// job that it depends on. `covers_dependencies`: whether the write was conditioned on
+    /// all unfinished dependencies, which rules out a cancellation before the write.
     async fn answer_accepted(
         &self,
         spec: &JobSpec,
-        covers_dependencies: bool,
+        covers_all_dependencies: bool,
     ) -> Result<UserReply, Unavailable> {
-        if !covers_dependencies {
+        if !covers_all_dependencies {
             self.refresh().await?;
         }
         let cancelled = lock(&self.watch_cache).status(&spec.id).filter(is_final);
@@ -166,9 +170,10 @@
         Ok(UserReply::Created(JobStatus { id, state, done: 0, running: 0 }))
     }
 
-    /// Why a job can't depend on those that it names, if so. That one was never
-    /// accepted is decided on a read no older than the question.
-    async fn unusable_dependency(&self, spec: &JobSpec) -> Result<Option<UserReply>, Unavailable> {
+    /// The reply that rejects a job for its dependencies, if one of them was never accepted
+    /// or is a service. A dependency counts as never accepted only after a read of the state
+    /// service that was made after this call.
+    async fn dependency_rejection(&self, spec: &JobSpec) -> Result<Option<UserReply>, Unavailable> {
         if lock(&self.watch_cache).first_unknown(&spec.dependencies).is_some() {
             self.refresh().await?;
         }
@@ -188,33 +193,38 @@
         }))
     }
 
-    /// The conditions under which a job is accepted: it doesn't exist, and as many of
-    /// its dependencies as a transaction has room for have not ended.
+    /// The conditions under which a job is accepted: the job doesn't exist, and its
+    /// unfinished dependencies have not ended, as many of them as the transaction's limit
+    /// allows conditions for.
     pub(super) fn acceptance_conditions(&self, spec: &JobSpec) -> AcceptanceConditions {
         let mut conditions =
-            vec![absent(store::job_key(&spec.id)), absent(store::end_key(&spec.id))];
+            vec![key_absent(store::job_key(&spec.id)), key_absent(store::end_key(&spec.id))];
         let watch_cache = lock(&self.watch_cache);
         let mut unfinished =
             spec.dependencies.iter().filter(|id| !watch_cache.ended_jobs.contains(id));
-        let room = self.settings.state_limits().transaction_conditions() - conditions.len();
-        let covered = unfinished.by_ref().take(room);
-        conditions.extend(covered.map(|id| absent(store::end_key(id))));
-        let cover_dependencies = unfinished.next().is_none();
-        AcceptanceConditions { conditions, cover_dependencies }
+        let available_conditions =
+            self.settings.state_limits().transaction_conditions() - conditions.len();
+        let covered = unfinished.by_ref().take(available_conditions);
+        conditions.extend(covered.map(|id| key_absent(store::end_key(id))));
+        let covers_all_dependencies = unfinished.next().is_none();
+        AcceptanceConditions { conditions, covers_all_dependencies }
     }
 
-    /// Why a job can never run, if so.
-    pub(super) fn infeasibility(&self, spec: &JobSpec) -> Result<Option<String>, Unavailable> {
+    /// The reason why a job can never run, if there is one.
+    pub(super) fn infeasibility_reason(
+        &self,
+        spec: &JobSpec,
+    ) -> Result<Option<String>, Unavailable> {
         let Some(team) = self.settings.team(&spec.team) else {
             return Ok(Some("no such team".into()));
         };
         let types = lock(&self.watch_cache).machine_types.clone().ok_or(Unavailable::Types)?.value;
-        let zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
-        if !types.iter().any(|t| is_eligible(spec, t, false) && zone(t)) {
+        let is_in_zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
+        if !types.iter().any(|t| is_eligible(spec, t, false) && is_in_zone(t)) {
             return Ok(Some("a task fits no allowed machine type".into()));
         }
-        let needed = if spec.shape == Shape::Array { 1 } else { spec.tasks };
-        if team_room(Some(team), &TeamUse::default(), spec) < needed {
+        let min_tasks = if spec.shape == Shape::Array { 1 } else { spec.tasks };
+        if team_room(Some(team), &TeamUse::default(), spec) < min_tasks {
             return Ok(Some("needs more than its team's limit".into()));
         }
         Ok(None)
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -10,12 +10,13 @@
     store::{self, JobEnd},
 };
 
-/// The version that a condition names for a key that must not exist.
-const ABSENT: u64 = 0;
+/// The version in a condition that requires a key not to exist.
+const ABSENT_KEY_VERSION: u64 = 0;
 
 impl Node {
-    /// The status of a job. A final state may come from the watch cache; anything else
-    /// only from one that reached a revision read after the question.
+    /// The status of a job. A final state is answered from the watch cache as it is. Any
+    /// other state is answered only after the watch cache has reached a revision that was
+    /// read after this call.
     pub async fn status(&self, id: &str) -> Result<UserReply, Unavailable> {
         if !is_job_id(id) {
             return Ok(UserReply::Unknown);
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Cancels a job, unless it has ended already. The reply has its final state.
+    /// Cancels a job, unless the job has ended already. The reply has its final state.
     pub async fn cancel(&self, id: &str) -> Result<UserReply, Unavailable> {
         let status = match self.status(id).await? {
             UserReply::Known(status) if !is_final(&status) => status,
@@ -42,7 +43,7 @@
         let Some(version) = lock(&self.watch_cache).jobs.get(id).map(|j| j.version) else {
             return Err(Unavailable::State);
         };
-        let Ok(end) = cancellation(id, status.done) else { return Err(Unavailable::State) };
+        let Ok(end) = cancellation_write(id, status.done) else { return Err(Unavailable::State) };
         let conditions = cancellation_conditions(id, version);
         let writes = vec![end];
         match self.writer.commit(conditions, writes.clone()).await {
@@ -53,7 +54,8 @@
                 known.map(UserReply::Known).ok_or(Unavailable::State)
             }
             Err(StateError::Refused(_)) => Err(Unavailable::State),
-            // It may have ended otherwise, or this write may still be carried out.
+            // The job may have ended for another reason, or this write may still be carried
+            // out.
             Err(_) => match self.status(id).await? {
                 UserReply::Known(status) if is_final(&status) => Ok(UserReply::Known(status)),
                 _ => Err(Unavailable::State),
@@ -63,23 +65,23 @@
 }
 
 /// The condition that a key doesn't exist.
-pub(super) fn absent(key: String) -> Condition {
-    Condition { key, version: ABSENT }
+pub(super) fn key_absent(key: String) -> Condition {
+    Condition { key, version: ABSENT_KEY_VERSION }
 }
 
-/// The conditions under which a job is cancelled: it has not ended, and its record is
-/// that of this version.
+/// The conditions under which a job is cancelled: the job has no end record, and its job
+/// record still has this version.
 pub(super) fn cancellation_conditions(id: &str, version: u64) -> Vec<Condition> {
-    vec![absent(store::end_key(id)), Condition { key: store::job_key(id), version }]
+    vec![key_absent(store::end_key(id)), Condition { key: store::job_key(id), version }]
 }
 
-/// The write that cancels a job of which so many tasks are done.
-pub(super) fn cancellation(id: &str, done: u32) -> Result<Write, serde_json::Error> {
+/// The write that cancels a job. `done`: the number of its tasks that are done.
+pub(super) fn cancellation_write(id: &str, done: u32) -> Result<Write, serde_json::Error> {
     let end = JobEnd { state: JobState::Cancelled, done };
     Ok(Write::Put { key: store::end_key(id), value: store::value(&end)?, lease: None })
 }
 
-/// Whether a job in this state stays in it.
+/// Whether the state of the job can no longer change.
 pub(super) fn is_final(status: &JobStatus) -> bool {
     matches!(status.state, JobState::Done | JobState::Cancelled)
 }
