--- a/src/node/follower_renewals.rs
+++ b/src/node/follower_renewals.rs
@@ -6,7 +6,8 @@
 
 use crate::{protocol::MachineId, state::lock};
 
-/// For each worker, when this node began to renew its lease without a redirect since.
+/// For each worker, the start of the current series of renewals by this node that no redirect
+/// has interrupted.
 #[derive(Default)]
 pub(super) struct FollowerRenewals {
     renewing_since: Mutex<HashMap<MachineId, Instant>>,
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -31,9 +31,9 @@
 pub struct Node {
     /// The settings, fixed when the process starts.
     pub settings: Arc<Settings>,
-    /// The client of the state service.
+    /// The client for the state service.
     pub state: Arc<dyn StateApi>,
-    /// The client of the cloud's API.
+    /// The client for the cloud's API.
     pub cloud: Arc<dyn CloudApi>,
     /// The client for direct commands to workers, at the workers' addresses.
     pub workers: Arc<dyn WorkerApi>,
@@ -85,8 +85,8 @@
         let request_budget =
             Arc::new(Budget::new(settings.follower_share(settings.state_limits().requests_per_s)));
         let writer = Arc::new(state::writer(state.clone(), &settings, request_budget.clone()));
-        // Users accept a response time of about a second. Half of a heartbeat interval
-        // scales with the durations in the settings.
+        // Users accept a response time of about a second. The target is half of a heartbeat
+        // interval, so that it scales with the durations in the settings.
         let target_latency = settings.heartbeat_interval() / 2;
         let max_concurrent_requests = settings.cluster.quota.fd_limit as usize / 4;
         let incarnation = rng.random();
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -164,6 +164,7 @@
         self.on_controller_heartbeat(message.heartbeat);
     }
 
+    /// Processes a heartbeat from another controller.
     fn on_controller_heartbeat(&self, heartbeat: ControllerHeartbeat) {
         self.step_down_if_superseded(&heartbeat);
         let is_leader = self.is_leader();
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -154,8 +154,9 @@
     }
 
     /// Answers for a newly accepted job. The job may be cancelled already, together with a
-    /// job that it depends on. `covers_dependencies`: whether the write was conditioned on
-    /// all unfinished dependencies, which rules out a cancellation before the write.
+    /// job that it depends on. `covers_all_dependencies`: whether the write was
+    /// conditioned on all unfinished dependencies, which rules out a cancellation before the
+    /// write.
     async fn answer_accepted(
         &self,
         spec: &JobSpec,
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -98,7 +98,7 @@
         let renewals_withheld = !self.may_renew_as_leader(now);
         current_term.set_renewals_withheld(renewals_withheld);
         let leader = current_term.leader.as_mut()?;
-        // While renewals are withheld, all workers are redirected within about a second. A
+        // When renewals are withheld, all workers are redirected within one second. A
         // redirected heartbeat still counts as received: otherwise the leader would seem to
         // have lost its workers and resign, and in an outage no successor can be elected.
         let reply = if is_probing || renewals_withheld {
@@ -118,7 +118,7 @@
     }
 
     /// Renews a worker's lease as a follower while no leader can be elected, as described in
-    /// `lease_renewal`. None if this node may not renew it now.
+    /// `lease_renewal`. None if this node may not renew the lease now.
     fn renew_as_follower(
         &self,
         heartbeat: &WorkerHeartbeat,
@@ -181,8 +181,8 @@
         self.knows_cancellations(now, limit)
     }
 
-    /// Whether every cancellation that may have been confirmed to a user before the last
-    /// `limit` is known here.
+    /// Whether every cancellation that may have been confirmed to a user more than `limit`
+    /// ago is known here.
     pub(super) fn knows_cancellations(&self, now: Instant, limit: Duration) -> bool {
         let known_until = self.cancellations_known_until();
         self.settings.members.is_empty() || known_until.is_some_and(|at| now < at + limit)
