--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -102,7 +102,7 @@
             machine = %id, zone = %machine.zone, spot = machine.spot, reason = reason.as_str(),
             silent_s = machine.silence(now).as_secs_f64(), "machine return requested"
         );
-        self.provisioning.delete([id.clone()]);
+        self.provisioning.request_deletion([id.clone()]);
     }
 
     /// Requests machines.
@@ -160,7 +160,7 @@
 
     /// The cloud has no more machines of the requested kind.
     fn record_exhausted(&mut self, request: &ProvisionRequest, now: Instant) {
-        let Some(machine_type) = self.types.number(&request.machine_type) else { return };
+        let Some(machine_type) = self.types.index_of(&request.machine_type) else { return };
         let Some(zone) = self.settings.zone_index(&request.zone) else { return };
         let boot_s = self.types.boot_s(&request.machine_type);
         let until = now + Duration::from_secs_f64(boot_s / EXHAUSTED_WAIT_BOOT_PARTS);
@@ -189,7 +189,7 @@
 
     /// A deletion got no answer: it is requested again.
     pub fn on_deletion_failed(&mut self, machines: Vec<MachineId>) {
-        self.provisioning.delete(machines);
+        self.provisioning.request_deletion(machines);
     }
 
     /// The cloud listed its machines.
@@ -206,7 +206,7 @@
                 self.record_change();
             }
         }
-        self.fleet.record_list(list, now);
+        self.fleet.record_listed_machines(list, now);
     }
 
     /// The cloud named its machine types.
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -161,11 +161,11 @@
         match outcome {
             // Another machine may have its address by now.
             DirectOutcome::Answered(heartbeat) if heartbeat.machine == request.machine => {
-                machine.open_starts.settle(request.id);
+                machine.open_starts.close(request.id);
                 self.take_heartbeat(heartbeat, HeartbeatSource::DirectResponse, now).map(|_| ())
             }
             DirectOutcome::NotDelivered => {
-                machine.open_starts.settle(request.id);
+                machine.open_starts.close(request.id);
                 Ok(())
             }
             DirectOutcome::Answered(_) | DirectOutcome::Unknown => {
--- a/src/controller/headroom.rs
+++ b/src/controller/headroom.rs
@@ -110,7 +110,7 @@
     /// The share of a machine that its tasks leave. None if its type or a task's job is
     /// unknown.
     fn free_share(&self, machine: &Machine) -> Option<f64> {
-        let kind = self.types.named(&machine.machine_type)?;
+        let kind = self.types.by_name(&machine.machine_type)?;
         let mut used = Resources::default();
         for key in &machine.bound {
             let job = self.jobs.get(&key.job)?;
--- a/src/controller/incarnations.rs
+++ b/src/controller/incarnations.rs
@@ -25,13 +25,13 @@
             .iter()
             .filter(|(_, machine)| machine.lease_expired(now, lease, sole_renewer_since))
             .map(|(id, machine)| (id.clone(), machine, self.latest_incarnation(machine)))
-            .filter(|(_, machine, incarnation)| *incarnation > machine.dead_incarnation)
+            .filter(|(_, machine, incarnation)| *incarnation > machine.last_ended_incarnation)
             .map(|(id, _, incarnation)| (id, incarnation))
             .collect();
         for (id, incarnation) in expired {
             info!(machine = %id, incarnation, "worker lease expired");
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                machine.dead_incarnation = incarnation;
+                machine.last_ended_incarnation = incarnation;
             }
             self.end_incarnations_before(&id, incarnation + 1, now);
         }
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether nothing is left to run: it has ended, or all tasks are done.
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         self.ended.is_some() || self.remaining() == 0
     }
 
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -69,18 +69,18 @@
     }
 
     /// The type with a name.
-    pub(super) fn named(&self, name: &str) -> Option<&MachineType> {
+    pub(super) fn by_name(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| &*t.name == name)
     }
 
     /// The number of the type with a name.
-    pub(super) fn number(&self, name: &str) -> Option<usize> {
+    pub(super) fn index_of(&self, name: &str) -> Option<usize> {
         self.types.iter().position(|t| &*t.name == name)
     }
 
     /// The usual boot time of a type, in seconds.
     pub(super) fn boot_s(&self, name: &str) -> f64 {
-        self.named(name).map_or(DEFAULT_BOOT_S, |t| t.boot_s)
+        self.by_name(name).map_or(DEFAULT_BOOT_S, |t| t.boot_s)
     }
 
     /// The share of a machine that a task takes, on the type where that is least, and at
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -49,7 +49,7 @@
 /// The longest machine name and the highest incarnation that a new binding may
 /// have.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct LongestNames {
+pub(super) struct BindingSizeBounds {
     machine_bytes: usize,
     incarnation: u64,
 }
@@ -125,11 +125,11 @@
 
     /// Those of `pending` whose placements their pages have room for, in values of up to
     /// `value_bytes`.
-    pub(super) fn fitting_their_pages(
+    pub(super) fn tasks_fitting_pages(
         &self,
         pending: Vec<u32>,
         value_bytes: usize,
-        names: LongestNames,
+        names: BindingSizeBounds,
     ) -> Vec<u32> {
         let tasks = self.page_tasks.min(self.spec.tasks) as usize;
         if tasks * LARGEST_BINDING_BYTES <= value_bytes {
@@ -192,27 +192,27 @@
     }
 
     /// The longest names that new bindings may have.
-    pub(super) fn longest_names(&self) -> LongestNames {
+    pub(super) fn binding_size_bounds(&self) -> BindingSizeBounds {
         let machines = &self.fleet.machines;
         let incarnations = machines.values().map(|m| m.latest_heartbeat.incarnation);
-        LongestNames {
+        BindingSizeBounds {
             machine_bytes: machines.keys().map(|id| id.len()).max().unwrap_or(0),
             incarnation: incarnations.max().unwrap_or(0),
         }
     }
 
     /// Records that the page of a task has to be written.
-    pub(super) fn mark_page(&mut self, key: &TaskKey) {
+    pub(super) fn mark_page_changed(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         self.writes.mark_changed(PageKey { job: key.job.clone(), page: job.page_of(key.task) });
     }
 
     /// Whether what is known of a task is not durable yet.
-    pub(super) fn is_unwritten(&self, key: &TaskKey) -> bool {
+    pub(super) fn has_unwritten_changes(&self, key: &TaskKey) -> bool {
         let page_tasks =
             self.jobs.get(&key.job).map_or(self.settings.page_tasks(), |job| job.page_tasks);
         let page = PageKey { job: key.job.clone(), page: key.task / page_tasks };
-        self.writes.is_unwritten(&page)
+        self.writes.has_unwritten_changes(&page)
     }
 
     /// The record of a page, unless an older version filled it beyond what a
--- a/src/controller/pending_writes.rs
+++ b/src/controller/pending_writes.rs
@@ -46,7 +46,7 @@
     }
 
     /// A page has to be written, again or for its width; its placements are the same.
-    pub(super) fn mark_due(&mut self, page: PageKey) {
+    pub(super) fn mark_dirty(&mut self, page: PageKey) {
         self.dirty.insert(page);
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// The write of a page is decided on now.
-    pub(super) fn clear_due(&mut self, page: &PageKey) {
+    pub(super) fn clear_dirty(&mut self, page: &PageKey) {
         self.dirty.remove(page);
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Whether the record of a page may not hold all that is known.
-    pub(super) fn is_unwritten(&self, page: &PageKey) -> bool {
+    pub(super) fn has_unwritten_changes(&self, page: &PageKey) -> bool {
         self.dirty.contains(page) || self.in_flight.contains(page) || self.oversized.contains(page)
     }
 
@@ -112,12 +112,12 @@
     }
 
     /// A job may be over: its end is checked when writes are next taken.
-    pub(super) fn check_end_of(&mut self, job: JobId) {
+    pub(super) fn schedule_end_check(&mut self, job: JobId) {
         self.ending.insert(job);
     }
 
     /// The jobs whose end has to be checked.
-    pub(super) fn take_ending(&mut self) -> BTreeSet<JobId> {
+    pub(super) fn take_end_checks(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.ending)
     }
 
--- a/src/controller/pending_writes/tests.rs
+++ b/src/controller/pending_writes/tests.rs
@@ -8,9 +8,9 @@
 fn a_page_is_in_flight_only_once_and_then_due_again() {
     let mut writes = PendingWrites::default();
     writes.mark_changed(page("a", 0));
-    writes.clear_due(&page("a", 0));
+    writes.clear_dirty(&page("a", 0));
     writes.begin(page("a", 0));
-    assert!(writes.is_unwritten(&page("a", 0)) && writes.is_job_in_flight(&"a".into()));
+    assert!(writes.has_unwritten_changes(&page("a", 0)) && writes.is_job_in_flight(&"a".into()));
     writes.mark_changed(page("a", 0));
     assert_eq!(writes.due().count(), 0, "one write at a time");
     writes.finish(&page("a", 0));
@@ -22,11 +22,11 @@
     let mut writes = PendingWrites::default();
     let task = TaskKey { job: "a".into(), task: 3 };
     writes.mark_oversized(page("a", 0), [task.clone()].into_iter());
-    assert!(writes.is_unwritten(&page("a", 0)));
+    assert!(writes.has_unwritten_changes(&page("a", 0)));
     assert!(writes.take_tasks_to_stop().contains(&task));
     writes.mark_changed(page("a", 0));
-    writes.clear_due(&page("a", 0));
-    assert!(!writes.is_unwritten(&page("a", 0)));
+    writes.clear_dirty(&page("a", 0));
+    assert!(!writes.has_unwritten_changes(&page("a", 0)));
 }
 
 #[test]
--- a/src/controller/planner.rs
+++ b/src/controller/planner.rs
@@ -70,7 +70,7 @@
             info!(job = %id, from = job.width, to = width, "array width changed");
             job.width = width;
             // The first page holds the width.
-            self.writes.mark_due(PageKey { job: id, page: 0 });
+            self.writes.mark_dirty(PageKey { job: id, page: 0 });
         }
     }
 
@@ -90,7 +90,7 @@
             let same_job = previous_job.as_ref() == Some(&key.job);
             if self.bind_task(&key, &machine, same_job) {
                 self.record_image_use(&key, &machine);
-                self.mark_page(&key);
+                self.mark_page_changed(&key);
                 previous_job = Some(key.job);
             }
         }
@@ -126,7 +126,7 @@
         let Some(machine) = self.fleet.machines.get_mut(machine_id) else { return };
         let Some(job) = self.jobs.get(&key.job) else { return };
         let cache_gb =
-            self.types.named(&machine.machine_type).map_or(f64::INFINITY, |t| t.cache_gb);
+            self.types.by_name(&machine.machine_type).map_or(f64::INFINITY, |t| t.cache_gb);
         let (jobs, bound) = (&self.jobs, &machine.bound);
         let is_used = |image: &Arc<str>| {
             let mut here = bound.iter().filter_map(|key| jobs.get(&key.job));
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -71,7 +71,7 @@
     }
 
     /// Machines are to be returned.
-    pub(super) fn delete(&mut self, machines: impl IntoIterator<Item = MachineId>) {
+    pub(super) fn request_deletion(&mut self, machines: impl IntoIterator<Item = MachineId>) {
         self.deletions.extend(machines);
     }
 
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -263,7 +263,7 @@
         // While it is listed, a late start command has no effect.
         let machine = self.fleet.machines.get(machine);
         let may_still_start = machine.is_some_and(|m| m.open_starts.contains(key, status.attempt));
-        !finishing && !may_still_start && !self.is_unwritten(key)
+        !finishing && !may_still_start && !self.has_unwritten_changes(key)
     }
 }
 
--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -40,8 +40,8 @@
             self.restore_page(id, &mut job, page);
         }
         job.stop_partial_gang(now);
-        if job.is_over() {
-            self.writes.check_end_of(id.clone());
+        if job.is_finished() {
+            self.writes.schedule_end_check(id.clone());
         }
         self.jobs.insert(id.clone(), job);
         self.record_change();
@@ -100,7 +100,7 @@
         for binding in job.bound.values() {
             self.direct_calls.push(binding.machine.clone());
         }
-        self.writes.check_end_of(id.clone());
+        self.writes.schedule_end_check(id.clone());
         self.record_change();
         self.timers.request_round();
     }
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{Duration, Instant};
 
-use super::{Leader, binding::Binding, job::Job, pages::LongestNames, pass_timers::PassKind};
+use super::{Leader, binding::Binding, job::Job, pages::BindingSizeBounds, pass_timers::PassKind};
 use crate::{
     fleet::Machine,
     protocol::{JobSpec, MachineId, MachineType, Shape},
@@ -47,7 +47,7 @@
     }
 
     fn machine_view(&self, id: &MachineId, machine: &Machine, now: Instant) -> Option<MachineView> {
-        let type_number = self.types.number(&machine.machine_type)?;
+        let type_number = self.types.index_of(&machine.machine_type)?;
         let machine_type = self.types.get(type_number)?;
         let zone = self.settings.zone_index(&machine.zone)?;
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
@@ -94,7 +94,7 @@
     fn job_views(&self, machines: &[MachineView], now: Instant) -> Vec<JobView> {
         let positions: HashMap<&MachineId, usize> =
             machines.iter().enumerate().map(|(at, m)| (&m.id, at)).collect();
-        let names = self.longest_names();
+        let names = self.binding_size_bounds();
         self.jobs
             .by_arrival()
             .filter(|job| job.is_active() && job.remaining() > 0)
@@ -106,13 +106,13 @@
         &self,
         job: &Job,
         positions: &HashMap<&MachineId, usize>,
-        names: LongestNames,
+        names: BindingSizeBounds,
         now: Instant,
     ) -> JobView {
         let pending = job.pending(self.starts_in_a_pass(&job.spec));
         let wanted = pending.len();
         let pending =
-            job.fitting_their_pages(pending, self.settings.state_limits().value_bytes, names);
+            job.tasks_fitting_pages(pending, self.settings.state_limits().value_bytes, names);
         // Half a gang is no use to anybody.
         let crowded = job.spec.shape == Shape::Gang && pending.len() < wanted;
         let bound = job.bound.iter();
--- a/src/controller/summary.rs
+++ b/src/controller/summary.rs
@@ -78,7 +78,7 @@
         figures.ready += u32::from(ready);
         figures.idle += u32::from(machine.bound.is_empty());
         let gpus = if machine.spot { &mut figures.spot } else { &mut figures.ordinary };
-        gpus.total += self.types.named(&machine.machine_type).map_or(0.0, |t| t.gpus);
+        gpus.total += self.types.by_name(&machine.machine_type).map_or(0.0, |t| t.gpus);
         for job in machine.bound.iter().filter_map(|key| self.jobs.get(&key.job)) {
             gpus.used += job.spec.gpus;
             if job.spec.spot && !machine.spot {
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -125,10 +125,10 @@
             // when all tasks of this one are gone.
             job.stop_all(StopRequest { requested_at: now, grace_s: job.grace_s() });
         }
-        if job.is_over() {
-            self.writes.check_end_of(key.job.clone());
+        if job.is_finished() {
+            self.writes.schedule_end_check(key.job.clone());
         }
-        self.mark_page(key);
+        self.mark_page_changed(key);
         self.record_change();
         self.timers.request_round();
     }
--- a/src/controller/write_outcomes.rs
+++ b/src/controller/write_outcomes.rs
@@ -38,8 +38,8 @@
                 }
             }
         }
-        if job.is_over() {
-            self.writes.check_end_of(id.clone());
+        if job.is_finished() {
+            self.writes.schedule_end_check(id.clone());
         }
     }
 
@@ -51,7 +51,7 @@
         }
         if watch_cache.jobs.contains_key(id) {
             // More pages than one transaction drops.
-            self.writes.check_end_of(id.clone());
+            self.writes.schedule_end_check(id.clone());
         } else {
             info!(job = %id, "job ended");
             self.jobs.remove(id);
@@ -66,8 +66,8 @@
                 let page = PageKey { job, page };
                 self.writes.finish(&page);
                 // If the job is over by now, its end replaces the page.
-                self.writes.check_end_of(page.job.clone());
-                self.writes.mark_due(page);
+                self.writes.schedule_end_check(page.job.clone());
+                self.writes.mark_dirty(page);
             }
             CommitKind::End { job: id } => {
                 self.writes.finish_cancellation(&id);
@@ -77,7 +77,7 @@
                     if watch_cache.ended_jobs.contains(&id) {
                         job.ended.get_or_insert(KnownEnd::learned(now));
                     }
-                    self.writes.check_end_of(id);
+                    self.writes.schedule_end_check(id);
                 }
             }
             CommitKind::Types => self.types.mark_unstored(),
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -65,11 +65,11 @@
     fn end_commits(&mut self, leads: &Condition, watch_cache: &WatchCache) -> Vec<Commit> {
         let max_cancellations = self.settings.state_limits().transaction_writes;
         let mut commits = Vec::new();
-        for id in self.writes.take_ending() {
+        for id in self.writes.take_end_checks() {
             if watch_cache.dependencies.is_cancelled(&id)
                 && !self.writes.begin_cancellation(&id, max_cancellations)
             {
-                self.writes.check_end_of(id);
+                self.writes.schedule_end_check(id);
             } else if let Some(commit) = self.end_commit(&id, leads, watch_cache) {
                 commits.push(commit);
             } else if self.jobs.get(&id).is_none_or(|job| !job.end_in_flight) {
@@ -123,7 +123,7 @@
         leads: &Condition,
         watch_cache: &WatchCache,
     ) -> Option<Commit> {
-        self.writes.clear_due(&key);
+        self.writes.clear_dirty(&key);
         let job = self.jobs.get(&key.job)?;
         // An ended job's pages only matter while tasks are bound.
         if (job.ended.is_some() && job.bound.is_empty()) || job.remaining() == 0 {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -79,7 +79,7 @@
 
     /// Records what the cloud lists. A list lags, so it proves nothing about
     /// machines it lacks; it only adds those not known yet.
-    pub fn record_list(&mut self, list: &[ListedMachine], now: Instant) {
+    pub fn record_listed_machines(&mut self, list: &[ListedMachine], now: Instant) {
         for listed in list {
             if self.deleted_machines.contains_key(&listed.id) {
                 continue;
@@ -154,8 +154,8 @@
     /// Whether a machine that lost its incarnation is kept, since its zone is cut
     /// off: it will be back sooner than another could boot.
     pub fn is_awaiting_reconnection(&self, machine: &Machine) -> bool {
-        machine.dead_incarnation > 0
-            && machine.latest_heartbeat.incarnation <= machine.dead_incarnation
+        machine.last_ended_incarnation > 0
+            && machine.latest_heartbeat.incarnation <= machine.last_ended_incarnation
             && self.partitioned_zones.contains(&machine.zone)
     }
 
--- a/src/fleet/freshness.rs
+++ b/src/fleet/freshness.rs
@@ -30,7 +30,8 @@
     ) -> Freshness {
         let sequence =
             HeartbeatSequence { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence };
-        if sequence <= self.latest_heartbeat || heartbeat.incarnation <= self.dead_incarnation {
+        if sequence <= self.latest_heartbeat || heartbeat.incarnation <= self.last_ended_incarnation
+        {
             return Freshness::Stale;
         }
         let new_incarnation = heartbeat.incarnation > self.latest_heartbeat.incarnation;
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -51,7 +51,7 @@
     /// When it was last redirected to look for another leader.
     pub redirected_at: Option<Instant>,
     /// No task of this incarnation or an earlier one can be on the machine.
-    pub dead_incarnation: u64,
+    pub last_ended_incarnation: u64,
     /// The tasks that records bind to it.
     pub bound: BTreeSet<TaskKey>,
     /// Direct start commands of this incarnation that may still be carried out.
@@ -93,7 +93,7 @@
             last_contact: None,
             last_heartbeat: None,
             redirected_at: None,
-            dead_incarnation: 0,
+            last_ended_incarnation: 0,
             bound: BTreeSet::new(),
             open_starts: OpenStarts::default(),
             commands_in_flight: false,
@@ -123,7 +123,7 @@
     /// Whether its worker never reported, to this leader or, as far as that knows, to a
     /// former one.
     pub fn never_reported(&self) -> bool {
-        !self.has_reported() && self.dead_incarnation == 0
+        !self.has_reported() && self.last_ended_incarnation == 0
     }
 
     /// Whether its worker was at work before: it reported, or tasks are bound to it.
@@ -148,7 +148,7 @@
         self.acknowledged_term
             && !self.deleting
             && self.reclaim_at.is_none()
-            && self.latest_heartbeat.incarnation > self.dead_incarnation
+            && self.latest_heartbeat.incarnation > self.last_ended_incarnation
             && self.last_heartbeat.is_some_and(|at| now < at + alive_within)
     }
 
--- a/src/fleet/open_starts.rs
+++ b/src/fleet/open_starts.rs
@@ -49,7 +49,7 @@
     }
 
     /// Closes a request that was carried out or refused, or never left.
-    pub fn settle(&mut self, request: u64) {
+    pub fn close(&mut self, request: u64) {
         let starts = self.requests.remove(&request).map(|sent| sent.starts);
         for start in starts.into_iter().flatten() {
             if let Entry::Occupied(mut requests) = self.starts.entry(start) {
@@ -67,7 +67,7 @@
         let lower = self.requests.iter().filter(|(_, sent)| sent.token < token);
         let void: Vec<u64> = lower.map(|(request, _)| *request).collect();
         for request in void {
-            self.settle(request);
+            self.close(request);
         }
     }
 
--- a/src/fleet/open_starts/tests.rs
+++ b/src/fleet/open_starts/tests.rs
@@ -13,9 +13,9 @@
     let mut open = OpenStarts::default();
     open.record_sent(1, 5, vec![start(0)]);
     open.record_sent(2, 5, vec![start(0), start(1)]);
-    open.settle(1);
+    open.close(1);
     assert!(!open.is_open(1) && open.contains(&key(0), 1), "the other request has it too");
-    open.settle(2);
+    open.close(2);
     assert!(open.is_empty() && !open.contains_job("j-000001"));
 }
 
