--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,10 +1,15 @@
-//! Machines as the leader knows them: incarnations, heartbeats, silence, faults.
+//! The leader's record of the fleet: the worker incarnation, heartbeats, loss of contact
+//! and faults of each machine.
 //!
-//! The hard question here is when a task is certainly terminated on a machine. Only
-//! these count as proof: a heartbeat of a newer (incarnation, sequence) at the leader's
-//! own token that lacks the task; a later incarnation; a deletion that the cloud
-//! answered; or the worker's lease, counted from the leader's last answer and from when
-//! surely no other controller answers (`lease_renewal.rs`).
+//! A task counts as terminated on a machine only with one of these proofs:
+//!
+//! - a heartbeat with a newer (incarnation, sequence) and a token of the leader's term that
+//!   does not list the task;
+//! - a heartbeat of a later incarnation;
+//! - a confirmation by the cloud that the machine was deleted;
+//! - the expiry of the worker's lease, counted from the leader's last response to the worker
+//!   or from the time since which no other controller can have renewed the lease, whichever
+//!   is later (`lease_renewal`).
 
 mod freshness;
 mod image_cache;
@@ -36,7 +41,7 @@
 pub use task_key::TaskKey;
 pub use termination::TerminationProof;
 
-/// The oldest age of a booting machine that is taken from a list, in seconds.
+/// The upper limit on the age of a booting machine as listed by the cloud, in seconds.
 const MAX_LISTED_AGE_S: f64 = 1e6;
 
 /// A machine to return to the cloud.
@@ -48,18 +53,20 @@
     pub reason: ReturnReason,
 }
 
-/// All machines that the leader knows.
+/// All machines known to the leader.
 #[derive(Default)]
 pub struct Fleet {
-    /// The machines that are not known to be deleted.
+    /// The machines whose deletion the cloud has not confirmed.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Deleted for certain; lists and late heartbeats may still name them.
+    /// The machines whose deletion the cloud has confirmed, with the time of the confirmation.
+    /// Outdated lists and late heartbeats may still name them.
     pub deleted_machines: HashMap<MachineId, Instant>,
     partitioned_zones: PartitionedZones,
 }
 
 impl Fleet {
-    /// Records a heartbeat and returns how new it is. `lease`: that of workers.
+    /// Records a heartbeat and returns how new it is. `lease`: the duration of a worker's
+    /// lease.
     pub fn record_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -77,8 +84,8 @@
         machine.record_heartbeat(heartbeat, tokens, lease, now)
     }
 
-    /// Records what the cloud lists. A list lags, so it proves nothing about
-    /// machines it lacks; it only adds those not known yet.
+    /// Records the cloud's machine list: adds machines that are not known yet and updates
+    /// the listed states. Lists lag behind, so a machine missing from one is not removed.
     pub fn record_listed_machines(&mut self, list: &[ListedMachine], now: Instant) {
         for listed in list {
             if self.deleted_machines.contains_key(&listed.id) {
@@ -95,22 +102,24 @@
         }
     }
 
-    /// Whether most machines that were up before are silent at once: then the
-    /// fault is more likely on this side. A new leader counts those too that the
-    /// records say were at work.
+    /// Whether the leader has had no contact for longer than `limit` with most of the
+    /// machines that were running. The fault is then more likely in the leader or its network
+    /// than in the machines. A new leader also counts machines that have tasks bound in the
+    /// records.
     pub fn is_mostly_silent(&self, now: Instant, limit: Duration) -> bool {
         let mut silence = Silence::default();
-        for machine in self.machines.values().filter(|m| m.was_up() && !m.deleting) {
-            // A worker that a leader in doubt redirected may be back only after asking
-            // every other controller.
-            let redirected = machine.redirected_at.is_some_and(|at| now < at + limit * 2);
+        for machine in self.machines.values().filter(|m| m.was_running() && !m.deleting) {
+            // A leader that doubts its leadership redirects workers. Such a worker may return
+            // only after it has contacted every other controller.
+            let redirected =
+                machine.redirected_at.is_some_and(|redirected_at| now < redirected_at + limit * 2);
             silence.count(machine.silence(now) > limit && !redirected);
         }
         silence.is_widespread()
     }
 
-    /// Machines that are of no use any more and should be returned, with the
-    /// reason for the operator. `boot_s`: the usual boot time of a machine type.
+    /// Returns the unusable machines that should be returned to the cloud, with the reasons
+    /// for the operator. `boot_s` returns the usual boot time of a machine type in seconds.
     pub fn machines_to_return(
         &mut self,
         settings: &Settings,
@@ -124,10 +133,10 @@
             now,
             lease,
             proof,
-            proof_is_coming: proof.is_coming(lease, now),
+            proof_expected: proof.is_expected(lease, now),
             mostly_silent: self.is_mostly_silent(now, lease),
-            patience: self.patience_with_missing_workers(lease, now),
-            partitioned: &self.partitioned_zones,
+            reconnect_timeout: self.reconnect_timeout(lease, now),
+            partitioned_zones: &self.partitioned_zones,
         };
         let mut returns = Vec::new();
         for (id, machine) in self.machines.iter().filter(|(_, m)| !m.deleting) {
@@ -139,10 +148,10 @@
         returns
     }
 
-    /// How long a worker with tasks may take to find this leader. Workers find a new
-    /// leader well within their lease. Those that did not are probably dead, unless
-    /// there are many of them.
-    fn patience_with_missing_workers(&self, lease: Duration, now: Instant) -> Duration {
+    /// How long a worker with tasks may take to contact this leader. Workers find a new leader
+    /// well within their lease, and one that does not has probably failed. If more than a
+    /// quarter of the machines are missing, a common cause is more likely, so they get longer.
+    fn reconnect_timeout(&self, lease: Duration, now: Instant) -> Duration {
         let missing = self
             .machines
             .values()
@@ -151,17 +160,18 @@
         if missing * 4 > self.machines.len() { lease * 3 / 2 } else { lease * 3 / 4 }
     }
 
-    /// Whether a machine that lost its incarnation is kept, since its zone is cut
-    /// off: it will be back sooner than another could boot.
+    /// Whether a machine whose latest incarnation has ended is kept because a network
+    /// partition cuts off its zone: it will reconnect sooner than a replacement could boot.
     pub fn is_awaiting_reconnection(&self, machine: &Machine) -> bool {
         machine.last_ended_incarnation > 0
             && machine.latest_heartbeat.incarnation <= machine.last_ended_incarnation
             && self.partitioned_zones.contains(&machine.zone)
     }
 
-    /// Forgets machines that were deleted longer ago than `keep`.
-    pub fn forget_deleted(&mut self, now: Instant, keep: Duration) {
-        self.deleted_machines.retain(|_, at| now.saturating_duration_since(*at) < keep);
+    /// Forgets machines whose deletion was confirmed at least `retention` ago.
+    pub fn forget_deleted(&mut self, now: Instant, retention: Duration) {
+        self.deleted_machines
+            .retain(|_, deleted_at| now.saturating_duration_since(*deleted_at) < retention);
     }
 }
 
--- a/src/fleet/freshness.rs
+++ b/src/fleet/freshness.rs
@@ -1,26 +1,28 @@
-//! How new a worker heartbeat is, and what a new one changes in its machine's record.
+//! The freshness of worker heartbeats, and how a new heartbeat updates the record of its
+//! machine.
 
 use tokio::time::{Duration, Instant};
 
 use super::machine::{HeartbeatSequence, Machine};
 use crate::{fencing::TermTokens, protocol::WorkerHeartbeat};
 
-/// The longest notice of a reclaim that is taken, in seconds.
+/// The upper limit on the notice of a reclaim in a heartbeat, in seconds.
 const MAX_NOTICE_S: f64 = 1e6;
 
-/// How new a heartbeat is.
+/// How new a heartbeat is compared with the recorded ones of its machine.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Newer than all before, of the same incarnation.
+    /// Newer than all recorded heartbeats, and of the same incarnation.
     Newer,
-    /// Of a later incarnation than the one known before: all earlier tasks are gone.
+    /// Of a later incarnation than all recorded heartbeats: the tasks of earlier incarnations
+    /// are terminated.
     NewIncarnation,
-    /// A late copy, or of an incarnation that is over, or of a machine deleted.
+    /// Delayed or duplicated, of an incarnation that has ended, or of a deleted machine.
     Stale,
 }
 
 impl Machine {
-    /// Takes a heartbeat into the record, unless it is stale.
+    /// Updates the record from a heartbeat, unless the heartbeat is stale.
     pub(super) fn record_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -39,7 +41,8 @@
             self.begin_incarnation(lease, now);
         }
         if self.last_contact.is_none() {
-            // The list may have guessed; the machine itself knows.
+            // The type, zone and spot flag from the cloud's list or a binding may be wrong or
+            // missing. The worker's own values take precedence.
             self.machine_type = heartbeat.machine_type.clone();
             self.zone = heartbeat.zone.clone();
             self.spot = heartbeat.spot;
@@ -47,8 +50,8 @@
         self.latest_heartbeat = sequence;
         self.last_contact = Some(now);
         self.acknowledged_term = tokens.contains(heartbeat.token);
-        // Requests with lower tokens are void from here on: either this heartbeat
-        // shows what they did, or they do nothing any more.
+        // The worker now refuses requests with lower tokens. A request that it carried out
+        // before is visible in this heartbeat.
         self.open_starts.fence(heartbeat.token);
         self.token = self.token.max(heartbeat.token);
         self.address.clone_from(&heartbeat.address);
@@ -61,8 +64,8 @@
 
     fn begin_incarnation(&mut self, lease: Duration, now: Instant) {
         if self.acknowledged_term && self.silence(now) < lease * 3 / 4 {
-            // Its lease expired although its heartbeats were answered: the
-            // answers do not reach it, and neither would commands.
+            // The lease expired although the leader answered the heartbeats: responses do not
+            // reach the worker, so commands would not either.
             let until = now + lease * (self.unacknowledged_commands + 1);
             self.record_unacknowledged_command(until);
         }
--- a/src/fleet/image_cache/tests.rs
+++ b/src/fleet/image_cache/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 #[test]
-fn images_that_no_longer_fit_are_not_counted_on() {
+fn least_recently_used_images_beyond_the_cache_size_are_evicted() {
     let mut images = ImageCache::default();
     let [a, b, c]: [Arc<str>; 3] = ["a".into(), "b".into(), "c".into()];
     images.record_use(&a, 40.0, 100.0, |_| false);
     images.record_use(&b, 40.0, 100.0, |_| false);
     images.record_use(&a, 40.0, 100.0, |_| false);
     images.record_use(&c, 40.0, 100.0, |_| false);
-    let held = |images: &ImageCache| images.names().cloned().collect::<Vec<_>>();
-    assert_eq!(held(&images), [a.clone(), c.clone()], "the longest unused goes");
+    let names = |images: &ImageCache| images.names().cloned().collect::<Vec<_>>();
+    assert_eq!(names(&images), [a.clone(), c.clone()], "the least recently used is evicted");
     images.record_use(&b, 40.0, 100.0, |image| *image == a);
-    assert_eq!(held(&images), [a, b], "an image in use stays");
+    assert_eq!(names(&images), [a, b], "an image in use is not evicted");
 }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! The record of one machine, as the leader keeps it for its term.
+//! The record of one machine, which the leader keeps in memory for its term.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -10,76 +10,81 @@
     scheduler::Resources,
 };
 
-/// A worker counts as alive while its last own heartbeat is newer than this many
-/// heartbeat intervals.
+/// A worker counts as alive for this many heartbeat intervals after the last heartbeat that
+/// it sent by itself, which excludes its responses to direct commands.
 const ALIVE_INTERVALS: u32 = 3;
 
 /// The order of a worker's heartbeats: by incarnation, then by sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatSequence {
-    /// The life of the worker's agent; it rises when the agent's lease expires.
+    /// The incarnation of the worker's agent. It rises when the agent's lease expires.
     pub incarnation: u64,
-    /// The heartbeat's number within the incarnation.
+    /// The sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
 }
 
-/// A machine of the fleet, its worker and the tasks bound to it.
+/// A machine of the fleet, with the state of its worker and the tasks bound to it.
 #[derive(Debug)]
 pub struct Machine {
-    /// The name of its machine type; empty while only the records name the machine.
+    /// The name of the machine type. Empty while the machine is known only from bindings in
+    /// the records.
     pub machine_type: Arc<str>,
-    /// The name of its zone.
+    /// The name of the zone.
     pub zone: Arc<str>,
-    /// The cloud may take it back at any time.
+    /// Whether this is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
-    /// Where its worker takes direct commands; empty while that is not known.
+    /// The address at which the worker receives direct commands. Empty while unknown.
     pub address: String,
-    /// Known since (rented, listed, or its first heartbeat).
+    /// When the machine became known: when it was provisioned or listed, or sent its first
+    /// heartbeat. For a booting machine from a list, the start of its boot.
     pub known_since: Instant,
-    /// The latest heartbeat that was taken.
+    /// The position of the latest recorded heartbeat.
     pub latest_heartbeat: HeartbeatSequence,
-    /// The worker has shown a token of this term.
+    /// Whether the latest heartbeat of the worker carried a token of this term.
     pub acknowledged_term: bool,
-    /// The highest token that the leader gave this worker, or saw there.
+    /// The highest token that the leader has assigned to this worker or received from it.
     pub token: u64,
-    /// When the leader last answered a heartbeat of this worker, or the worker a
+    /// When the leader last answered a heartbeat of the worker, or the worker last answered a
     /// direct command.
     pub last_contact: Option<Instant>,
-    /// When it last sent a heartbeat by itself: a worker that only answers direct
-    /// commands gets no lease.
+    /// When the worker last sent a heartbeat by itself. Responses to direct commands don't
+    /// count, since they don't renew the worker's lease.
     pub last_heartbeat: Option<Instant>,
-    /// When it was last redirected to look for another leader.
+    /// When the worker was last redirected to find another leader.
     pub redirected_at: Option<Instant>,
-    /// No task of this incarnation or an earlier one can be on the machine.
+    /// The latest incarnation that is known to have ended: no task of this or an earlier
+    /// incarnation can be on the machine. 0 if none is known.
     pub last_ended_incarnation: u64,
-    /// The tasks that records bind to it.
+    /// The tasks bound to the machine, including bindings whose records are still to be
+    /// committed.
     pub bound: BTreeSet<TaskKey>,
-    /// Direct start commands of this incarnation that may still be carried out.
+    /// Direct start commands that the worker's current incarnation may still carry out.
     pub open_starts: OpenStarts,
-    /// A direct request is in flight.
+    /// Whether a request with direct commands is in flight.
     pub commands_in_flight: bool,
-    /// What tasks on the machine use that the leader has not bound there.
+    /// The resources used by tasks on the machine that the leader has not bound there.
     pub unmanaged: Resources,
-    /// Images fetched here, as far as the leader placed their tasks.
+    /// The images that the machine is assumed to hold, from the tasks that were bound to it.
     pub images: ImageCache,
-    /// When the cloud will take it back, as it announced.
+    /// When the cloud will reclaim the machine, if it has given notice.
     pub reclaim_at: Option<Instant>,
-    /// It is being returned to the cloud.
+    /// Whether the machine is being returned to the cloud.
     pub deleting: bool,
-    /// It gets no tasks before then: it failed tasks, or does not acknowledge commands.
+    /// No new tasks are bound before this time, since tasks failed here or commands were not
+    /// carried out.
     pub quarantined_until: Option<Instant>,
-    /// Jobs whose tasks failed here since a task was last done.
+    /// The jobs whose tasks failed here since a task last completed here.
     pub failed_jobs: BTreeSet<JobId>,
-    /// How often in a row it did not carry out a command.
+    /// The number of consecutive commands that the worker did not carry out.
     pub unacknowledged_commands: u32,
-    /// Holds no task since.
+    /// The time since which the machine holds no task.
     pub idle_since: Option<Instant>,
-    /// Its state in the cloud's last list.
+    /// The state of the machine in the latest list from the cloud.
     pub listed_state: Option<MachineState>,
 }
 
 impl Machine {
-    /// A machine of which nothing else is known yet.
+    /// Creates the record of a machine whose worker has not reported yet.
     pub fn new(machine_type: Arc<str>, zone: Arc<str>, spot: bool, now: Instant) -> Self {
         Self {
             machine_type,
@@ -109,75 +114,80 @@
         }
     }
 
-    /// A machine that only a record names. Its type is learned from the cloud's list or its
-    /// first heartbeat.
+    /// Creates the record of a machine that is known only from a binding in the records. Its
+    /// type is learned from the cloud's list or from its first heartbeat.
     pub fn of_unknown_type(zone: Arc<str>, now: Instant) -> Self {
         Self::new(Arc::from(""), zone, false, now)
     }
 
-    /// Whether its worker was in contact with the leader within this term.
+    /// Whether the worker has been in contact with the leader in this term.
     pub fn has_reported(&self) -> bool {
         self.last_contact.is_some()
     }
 
-    /// Whether its worker never reported, to this leader or, as far as that knows, to a
-    /// former one.
+    /// Whether the worker has never reported to this leader, nor is known to have reported to
+    /// a former one.
     pub fn never_reported(&self) -> bool {
         !self.has_reported() && self.last_ended_incarnation == 0
     }
 
-    /// Whether its worker was at work before: it reported, or tasks are bound to it.
-    pub fn was_up(&self) -> bool {
+    /// Whether the machine is known to have been running: its worker has reported, or tasks
+    /// are bound to it.
+    pub fn was_running(&self) -> bool {
         !self.never_reported() || !self.bound.is_empty()
     }
 
-    /// How long the leader has had no contact with it (since it was known, if never).
+    /// How long the leader has had no contact with the worker, counted from when the machine
+    /// became known if there was none.
     pub fn silence(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_contact.unwrap_or(self.known_since))
     }
 
-    /// Whether new tasks may be bound to it.
+    /// Whether new tasks may be bound to the machine.
     pub fn is_ready(&self, now: Instant, heartbeat_interval: Duration) -> bool {
         self.is_usable(now, heartbeat_interval)
             && self.quarantined_until.is_none_or(|until| until <= now)
     }
 
-    /// Whether its worker is alive and under the leader's command.
+    /// Whether the worker is alive and has acknowledged this term, and the machine is neither
+    /// being returned nor reclaimed.
     pub fn is_usable(&self, now: Instant, heartbeat_interval: Duration) -> bool {
         let alive_within = heartbeat_interval * ALIVE_INTERVALS;
         self.acknowledged_term
             && !self.deleting
             && self.reclaim_at.is_none()
             && self.latest_heartbeat.incarnation > self.last_ended_incarnation
-            && self.last_heartbeat.is_some_and(|at| now < at + alive_within)
+            && self.last_heartbeat.is_some_and(|received_at| now < received_at + alive_within)
     }
 
-    /// The incarnation that tasks on it belong to, as its heartbeats or else the
-    /// records say.
+    /// Returns the worker's current incarnation. Without a heartbeat in this term that is the
+    /// highest of the `recorded` incarnations of its bindings.
     pub fn incarnation(&self, recorded: impl Iterator<Item = u64>) -> u64 {
         let latest = self.latest_heartbeat.incarnation;
         if latest > 0 { latest } else { recorded.max().unwrap_or(0) }
     }
 
-    /// Proof of termination by lease: the worker ended its incarnation by itself, since
-    /// nobody renewed its lease for that long. `sole_renewer_since`: since when only the
-    /// leader does, within its term. It need not have been in contact with the worker.
+    /// Whether the worker's lease has certainly expired, which proves that its tasks are
+    /// terminated: the worker ends its incarnation by itself when its lease is not renewed.
+    /// `sole_renewer_since`: the time since which only this leader can have renewed leases.
+    /// The leader need not have been in contact with the worker.
     pub fn lease_expired(
         &self,
         now: Instant,
         lease: Duration,
         sole_renewer_since: Option<Instant>,
     ) -> bool {
-        sole_renewer_since
-            .is_some_and(|sole| now > self.last_contact.map_or(sole, |at| at.max(sole)) + lease)
+        sole_renewer_since.is_some_and(|since| {
+            now > self.last_contact.map_or(since, |contact_at| contact_at.max(since)) + lease
+        })
     }
 
-    /// Gives it no tasks until then.
+    /// Excludes the machine from new tasks until the given time.
     pub fn quarantine(&mut self, until: Instant) {
         self.quarantined_until = Some(until);
     }
 
-    /// A command was not carried out: the machine gets no tasks for a while.
+    /// Records that a command was not carried out, and quarantines the machine.
     pub fn record_unacknowledged_command(&mut self, until: Instant) {
         self.unacknowledged_commands += 1;
         self.quarantine(until);
--- a/src/fleet/machine_return.rs
+++ b/src/fleet/machine_return.rs
@@ -1,4 +1,4 @@
-//! Which machines are of no use any more and are returned to the cloud, and why.
+//! The policy that decides which unusable machines are returned to the cloud, and why.
 
 use std::fmt;
 
@@ -7,42 +7,42 @@
 use super::{machine::Machine, partitioned_zones::PartitionedZones, termination::TerminationProof};
 use crate::protocol::MachineState;
 
-/// A machine whose tasks of this many jobs failed is returned once it is empty.
+/// A machine on which tasks of this many jobs failed is returned once it holds no task.
 const MAX_FAILED_JOBS: usize = 2;
 
-/// A machine that did not carry out this many commands in a row is returned.
+/// A machine that did not carry out this many consecutive commands is returned.
 const MAX_UNACKNOWLEDGED_COMMANDS: u32 = 3;
 
-/// Why a machine is returned to the cloud; its `Display` is the text for the operator.
+/// Why a machine is returned to the cloud. `Display` writes the text for the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnReason {
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// It has not started for far longer than its type takes.
+    /// The machine has not booted within a multiple of the usual boot time of its type.
     NeverBooted,
-    /// The leader has had no contact with it for too long.
+    /// The leader has had no contact with the worker for too long.
     Silent,
-    /// Tasks of several jobs failed on it.
+    /// Tasks of several jobs failed on the machine.
     FailsTasks,
-    /// It does not carry out commands.
+    /// The worker does not carry out commands.
     IgnoresCommands,
-    /// It has held no task for too long.
+    /// The machine has held no task for too long.
     Idle,
-    /// A cancelled task on it can't be stopped in time.
+    /// A cancelled task on the machine can't be stopped in time.
     UnstoppableTask,
 }
 
 impl ReturnReason {
-    /// The text for the operator.
+    /// Returns the text for the operator.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Failed => "it failed",
-            Self::NeverBooted => "it never booted",
-            Self::Silent => "it is silent",
-            Self::FailsTasks => "it fails what it runs",
-            Self::IgnoresCommands => "it does not carry out orders",
-            Self::Idle => "it is idle",
-            Self::UnstoppableTask => "a cancelled task can't be stopped",
+            Self::Failed => "the cloud lists it as failed",
+            Self::NeverBooted => "boot timed out",
+            Self::Silent => "no contact with its worker",
+            Self::FailsTasks => "tasks of several jobs failed on it",
+            Self::IgnoresCommands => "its worker does not carry out commands",
+            Self::Idle => "idle",
+            Self::UnstoppableTask => "a cancelled task can't be stopped in time",
         }
     }
 }
@@ -53,24 +53,26 @@
     }
 }
 
-/// What decides, for the whole fleet at one moment, which machines are returned.
+/// The state of the whole fleet at one moment on which the decisions depend.
 pub(super) struct ReturnPolicy<'a> {
     pub(super) now: Instant,
-    /// The lease of workers.
+    /// The duration of a worker's lease.
     pub(super) lease: Duration,
     pub(super) proof: TerminationProof,
-    /// The proof will be had within a lease.
-    pub(super) proof_is_coming: bool,
-    /// Most of the fleet is silent, so the fault is more likely on this side.
+    /// Whether the proof of termination by lease will be available within one lease, also for
+    /// workers that this leader was never in contact with.
+    pub(super) proof_expected: bool,
+    /// Whether most of the fleet is silent, so that the fault is more likely in the leader or
+    /// its network.
     pub(super) mostly_silent: bool,
-    /// How long a worker with tasks may take to find this leader.
-    pub(super) patience: Duration,
-    pub(super) partitioned: &'a PartitionedZones,
+    /// How long a worker with tasks may take to contact this leader.
+    pub(super) reconnect_timeout: Duration,
+    pub(super) partitioned_zones: &'a PartitionedZones,
 }
 
 impl ReturnPolicy<'_> {
-    /// Why a machine should be returned, if it should. `boot`: the usual boot time of
-    /// its type.
+    /// Returns why a machine should be returned, or None if it should be kept. `boot`: the
+    /// usual boot time of its type.
     pub(super) fn reason(&self, machine: &Machine, boot: Duration) -> Option<ReturnReason> {
         if self.has_failed(machine) {
             return Some(ReturnReason::Failed);
@@ -79,7 +81,7 @@
             return self.never_booted(machine, boot).then_some(ReturnReason::NeverBooted);
         }
         if self.is_silent(machine) {
-            return (!self.may_reconnect(machine)).then_some(ReturnReason::Silent);
+            return (!self.is_kept_for_reconnection(machine)).then_some(ReturnReason::Silent);
         }
         if machine.failed_jobs.len() >= MAX_FAILED_JOBS && machine.bound.is_empty() {
             return Some(ReturnReason::FailsTasks);
@@ -92,37 +94,40 @@
         machine.listed_state == Some(MachineState::Failed) && machine.silence(self.now) > self.lease
     }
 
-    /// Some machines take several times as long to boot; a few never do.
+    /// Whether a booting machine is given up. Boots can take considerably longer than usual,
+    /// and a few machines never boot.
     fn never_booted(&self, machine: &Machine, boot: Duration) -> bool {
         let silence = machine.silence(self.now);
         silence > boot * 5 / 2 && silence > self.lease * 2
     }
 
-    /// Whether a machine is silent for longer than anything but a deletion could settle.
+    /// Whether a machine has been silent for so long that it should be returned.
     ///
-    /// Tasks may still be bound to it if its worker was never seen at this token, or if
-    /// others may have answered it: only a deletion proves that they are gone. If its
-    /// lease will prove it a little later, that is waited for: a machine that was only
-    /// cut off is back sooner than another boots.
+    /// If tasks are bound to the machine and its worker has not acknowledged this term, or
+    /// other controllers may have renewed its lease, only a deletion proves that the tasks are
+    /// terminated, so the machine is returned early. If lease expiry will prove it within one
+    /// lease, the machine is kept until then, since a machine that was only cut off reconnects
+    /// sooner than a replacement boots.
     fn is_silent(&self, machine: &Machine) -> bool {
         let silence = machine.silence(self.now);
         let holds_tasks = !machine.bound.is_empty();
         let missed_this_leader = holds_tasks
             && !machine.acknowledged_term
-            && !self.proof_is_coming
-            && silence > self.patience;
+            && !self.proof_expected
+            && silence > self.reconnect_timeout;
         let unprovable = holds_tasks && !self.proof.provable && silence > self.lease;
         silence > self.lease * 3 || missed_this_leader || unprovable
     }
 
-    /// Whether a silent machine is kept for now, since many are silent with it.
-    fn may_reconnect(&self, machine: &Machine) -> bool {
-        (self.mostly_silent || self.partitioned.contains(&machine.zone))
+    /// Whether a silent machine is kept for now because most of the fleet or of its zone is
+    /// silent too, so that it may reconnect.
+    fn is_kept_for_reconnection(&self, machine: &Machine) -> bool {
+        (self.mostly_silent || self.partitioned_zones.contains(&machine.zone))
             && machine.silence(self.now) < self.lease * 6
     }
 }
 
-/// Whether nothing shows that the machine has ever started.
+/// Whether there is no sign yet that the machine has booted.
 fn is_booting(machine: &Machine) -> bool {
     machine.never_reported()
         && machine.listed_state != Some(MachineState::Running)
--- a/src/fleet/machine_return/tests.rs
+++ b/src/fleet/machine_return/tests.rs
@@ -8,7 +8,7 @@
     Machine::new("t".into(), "z".into(), false, now)
 }
 
-/// A machine whose worker has reported at this leader's token just now.
+/// Returns a machine whose worker reported with a token of this term at `now`.
 fn reporting(now: Instant) -> Machine {
     Machine {
         last_contact: Some(now),
@@ -23,23 +23,25 @@
     machine
 }
 
+/// The state of the fleet when a decision is made.
 struct Situation {
+    /// The time since the machine's last contact.
     after: Duration,
     mostly_silent: bool,
     provable: bool,
 }
 
-/// What is decided on a machine that is as at `now` for so long.
+/// Returns the decision on a machine that has not changed since `now`.
 fn reason(machine: &Machine, now: Instant, situation: Situation) -> Option<ReturnReason> {
     let proof = TerminationProof { provable: situation.provable, sole_renewer_since: Some(now) };
     let policy = ReturnPolicy {
         now: now + situation.after,
         lease: LEASE,
         proof,
-        proof_is_coming: proof.is_coming(LEASE, now + situation.after),
+        proof_expected: proof.is_expected(LEASE, now + situation.after),
         mostly_silent: situation.mostly_silent,
-        patience: LEASE * 3 / 4,
-        partitioned: &PartitionedZones::default(),
+        reconnect_timeout: LEASE * 3 / 4,
+        partitioned_zones: &PartitionedZones::default(),
     };
     policy.reason(machine, BOOT)
 }
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn a_boot_is_given_up_after_two_and_a_half_times_its_usual_time() {
+fn booting_machine_is_returned_after_two_and_a_half_boot_times() {
     let now = Instant::now();
     assert_eq!(reason(&machine(now), now, after(50)), None);
     assert_eq!(reason(&machine(now), now, after(51)), Some(ReturnReason::NeverBooted));
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn a_silent_machine_goes_after_three_leases_or_six_if_most_are_silent() {
+fn silent_machine_is_returned_after_three_leases_or_six_if_most_are_silent() {
     let now = Instant::now();
     assert_eq!(reason(&reporting(now), now, after(30)), None);
     assert_eq!(reason(&reporting(now), now, after(31)), Some(ReturnReason::Silent));
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn a_silent_machine_with_tasks_goes_sooner_without_proof() {
+fn silent_machine_with_tasks_is_returned_early_if_termination_is_unprovable() {
     let now = Instant::now();
     let machine = holding_a_task(reporting(now));
     assert_eq!(reason(&machine, now, after(11)), None);
@@ -77,14 +79,14 @@
 }
 
 #[test]
-fn a_machine_in_doubt_goes_once_it_failed_jobs_or_ignored_commands() {
+fn machine_is_returned_after_failing_two_jobs_or_ignoring_three_commands() {
     let now = Instant::now();
     let mut failing = reporting(now);
     failing.failed_jobs.insert("j-000001".into());
     assert_eq!(reason(&failing, now, after(0)), None);
     failing.failed_jobs.insert("j-000002".into());
     assert_eq!(reason(&failing, now, after(0)), Some(ReturnReason::FailsTasks));
-    assert_eq!(reason(&holding_a_task(failing), now, after(0)), None, "not while it holds one");
+    assert_eq!(reason(&holding_a_task(failing), now, after(0)), None, "not while it holds a task");
     let ignoring = Machine { unacknowledged_commands: 3, ..reporting(now) };
     assert_eq!(reason(&ignoring, now, after(0)), Some(ReturnReason::IgnoresCommands));
 }
--- a/src/fleet/open_starts.rs
+++ b/src/fleet/open_starts.rs
@@ -1,12 +1,13 @@
-//! Direct start commands without an answer, which a worker may still carry out.
+//! Unanswered direct start commands, which a worker may still carry out.
 //!
-//! A request without an answer may still be carried out for as long as token and
-//! incarnation match, and a worker that has forgotten an attempt starts it again. So
-//! this module owns one invariant: **a start that was sent directly stays open until its
-//! own request is answered, the worker shows a higher token than the request has, or the
-//! worker's incarnation ends.** While it is open, the task's absence proves nothing, its
-//! exit is not forgotten, and no other attempt of the task is placed on that machine. An
-//! answer to another request, even one that carries the same start, settles nothing of it.
+//! A worker may carry out an unanswered request for as long as the token and the incarnation
+//! of the request match its own, and it starts an attempt again that it has forgotten. This
+//! module maintains one invariant: **a direct start stays open until the request that carried
+//! it is answered, the worker reports a higher token than that of the request, or the
+//! worker's incarnation ends.** While a start is open, the absence of the task from a
+//! heartbeat is no proof of termination, the worker is not told to forget the task's exit, and
+//! no other attempt of the task is placed on that machine. An answer to another request does
+//! not close the start, even if both requests carry the same start.
 
 use std::collections::{BTreeMap, HashMap, hash_map::Entry};
 
@@ -17,42 +18,41 @@
 pub struct TaskAttempt {
     /// The task.
     pub key: TaskKey,
-    /// The number of the attempt; it only rises within a job.
+    /// The attempt number, which never decreases within a job.
     pub attempt: u64,
 }
 
-/// The starts of one request, and the token that it was sent with.
+/// The start commands of one request, and the token that the request carries.
 #[derive(Debug)]
 struct SentStarts {
     token: u64,
     starts: Vec<TaskAttempt>,
 }
 
-/// Requests with starts that no answer has come for, of a worker's present
-/// incarnation.
+/// The unanswered requests with start commands to the current incarnation of one worker.
 #[derive(Debug, Default)]
 pub struct OpenStarts {
     requests: BTreeMap<u64, SentStarts>,
-    /// In how many of them each start is.
-    starts: HashMap<TaskAttempt, u32>,
+    /// The number of open requests that carry each start.
+    request_counts: HashMap<TaskAttempt, u32>,
 }
 
 impl OpenStarts {
-    /// Records that a request with these starts leaves now.
+    /// Records that a request with these starts is sent now.
     pub fn record_sent(&mut self, request: u64, token: u64, starts: Vec<TaskAttempt>) {
         for start in &starts {
-            *self.starts.entry(start.clone()).or_default() += 1;
+            *self.request_counts.entry(start.clone()).or_default() += 1;
         }
         if !starts.is_empty() {
             self.requests.insert(request, SentStarts { token, starts });
         }
     }
 
-    /// Closes a request that was carried out or refused, or never left.
+    /// Closes a request that was carried out or refused, or was never delivered.
     pub fn close(&mut self, request: u64) {
         let starts = self.requests.remove(&request).map(|sent| sent.starts);
         for start in starts.into_iter().flatten() {
-            if let Entry::Occupied(mut requests) = self.starts.entry(start) {
+            if let Entry::Occupied(mut requests) = self.request_counts.entry(start) {
                 *requests.get_mut() -= 1;
                 if *requests.get() == 0 {
                     requests.remove();
@@ -61,51 +61,52 @@
         }
     }
 
-    /// The worker has seen this token, and takes no commands with a lower one: closes
-    /// the requests that carry one.
+    /// Closes the requests with a lower token than `token`, which the worker has seen: it
+    /// refuses them from now on.
     pub fn fence(&mut self, token: u64) {
         let lower = self.requests.iter().filter(|(_, sent)| sent.token < token);
-        let void: Vec<u64> = lower.map(|(request, _)| *request).collect();
-        for request in void {
+        let refused: Vec<u64> = lower.map(|(request, _)| *request).collect();
+        for request in refused {
             self.close(request);
         }
     }
 
-    /// Whether a request has starts and no answer yet.
+    /// Whether a request carries starts and is still unanswered.
     pub fn is_open(&self, request: u64) -> bool {
         self.requests.contains_key(&request)
     }
 
-    /// Commands name an incarnation, and are void in the next one: closes all.
+    /// Closes all requests, since a new incarnation of the worker refuses commands that were
+    /// addressed to the previous one.
     pub fn end_incarnation(&mut self) {
         self.requests.clear();
-        self.starts.clear();
+        self.request_counts.clear();
     }
 
-    /// Whether an attempt may still be started by a request in flight.
+    /// Whether an open request may still start an attempt.
     pub fn contains(&self, key: &TaskKey, attempt: u64) -> bool {
-        !self.starts.is_empty()
-            && self.starts.contains_key(&TaskAttempt { key: key.clone(), attempt })
+        !self.request_counts.is_empty()
+            && self.request_counts.contains_key(&TaskAttempt { key: key.clone(), attempt })
     }
 
-    /// Whether any attempt of a task may still be started.
+    /// Whether an open request may still start any attempt of a task.
     pub fn contains_task(&self, key: &TaskKey) -> bool {
-        self.starts.keys().any(|open| open.key == *key)
+        self.request_counts.keys().any(|open| open.key == *key)
     }
 
-    /// Whether any task of a job may still be started.
+    /// Whether an open request may still start any task of a job.
     pub fn contains_job(&self, job: &str) -> bool {
-        self.starts.keys().any(|open| *open.key.job == *job)
+        self.request_counts.keys().any(|open| *open.key.job == *job)
     }
 
     /// The number of attempts that may still be started.
     pub fn len(&self) -> usize {
-        self.starts.len()
+        self.request_counts.len()
     }
 
     /// Whether no start is open.
     pub fn is_empty(&self) -> bool {
-        self.starts.is_empty()
+        self.request_counts.is_empty()
     }
 }
 
--- a/src/fleet/open_starts/tests.rs
+++ b/src/fleet/open_starts/tests.rs
@@ -9,18 +9,21 @@
 }
 
 #[test]
-fn a_start_is_open_until_every_request_with_it_is_settled() {
+fn start_stays_open_until_all_its_requests_are_closed() {
     let mut open = OpenStarts::default();
     open.record_sent(1, 5, vec![start(0)]);
     open.record_sent(2, 5, vec![start(0), start(1)]);
     open.close(1);
-    assert!(!open.is_open(1) && open.contains(&key(0), 1), "the other request has it too");
+    assert!(
+        !open.is_open(1) && open.contains(&key(0), 1),
+        "the other request carries the same start"
+    );
     open.close(2);
     assert!(open.is_empty() && !open.contains_job("j-000001"));
 }
 
 #[test]
-fn a_higher_token_settles_the_requests_with_lower_ones() {
+fn fence_closes_requests_with_lower_tokens() {
     let mut open = OpenStarts::default();
     open.record_sent(1, 5, vec![start(0)]);
     open.record_sent(2, 6, vec![start(1)]);
@@ -31,7 +34,7 @@
 }
 
 #[test]
-fn only_the_attempt_that_was_sent_is_open() {
+fn only_the_sent_attempt_is_open() {
     let mut open = OpenStarts::default();
     open.record_sent(1, 5, vec![start(0)]);
     assert!(!open.contains(&key(0), 2));
--- a/src/fleet/partitioned_zones.rs
+++ b/src/fleet/partitioned_zones.rs
@@ -1,4 +1,4 @@
-//! Zones that a network partition cuts off from the leader.
+//! Detection of zones that a network partition cuts off from the leader.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -6,17 +6,17 @@
 
 use super::{machine::Machine, silence::Silence};
 
-/// Zones most of whose machines are silent: they are cut off and will be back.
-/// Returning all of their machines would cost a boot of each, which takes longer than
-/// most partitions.
+/// The zones that are taken as partitioned because the leader has lost contact with most of
+/// their machines. Their machines are kept: replacing them all would take a boot each, which
+/// is longer than most partitions last.
 #[derive(Default)]
 pub(super) struct PartitionedZones {
-    /// When each was last seen to be cut off.
-    last_seen: HashMap<Arc<str>, Instant>,
+    /// When most machines of each zone were last observed to be silent.
+    last_observed: HashMap<Arc<str>, Instant>,
 }
 
 impl PartitionedZones {
-    /// Takes in which machines are silent now.
+    /// Updates the zones from the machines that are silent now.
     pub(super) fn update<'a>(
         &mut self,
         machines: impl Iterator<Item = &'a Machine>,
@@ -24,18 +24,19 @@
         now: Instant,
     ) {
         let mut zones: HashMap<Arc<str>, Silence> = HashMap::new();
-        for machine in machines.filter(|m| m.was_up() && !m.deleting) {
+        for machine in machines.filter(|m| m.was_running() && !m.deleting) {
             let silent = machine.silence(now) > lease / 2;
             zones.entry(machine.zone.clone()).or_default().count(silent);
         }
         zones.retain(|_, silence| silence.is_widespread());
-        // Machines come back one by one, so the last get as long again.
-        self.last_seen.retain(|_, at| now < *at + lease);
-        self.last_seen.extend(zones.into_keys().map(|zone| (zone, now)));
+        // Machines reconnect one by one, so a zone counts as partitioned for one more lease
+        // after contact with most of its machines is restored.
+        self.last_observed.retain(|_, observed_at| now < *observed_at + lease);
+        self.last_observed.extend(zones.into_keys().map(|zone| (zone, now)));
     }
 
-    /// Whether a zone is cut off.
+    /// Whether a zone counts as partitioned.
     pub(super) fn contains(&self, zone: &str) -> bool {
-        self.last_seen.contains_key(zone)
+        self.last_observed.contains_key(zone)
     }
 }
--- a/src/fleet/task_key.rs
+++ b/src/fleet/task_key.rs
@@ -1,27 +1,28 @@
-//! The identity of a task within the fleet, and its name on the wire.
+//! The identity of a task across all jobs, and its name on the wire.
 
 use std::fmt;
 
 use crate::protocol::JobId;
 
-/// A job and the number of one of its tasks; ordered by job, then by number.
+/// The id of a job and the index of one of its tasks. Ordered by job, then by index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
     /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's number within its job, from 0.
+    /// The index of the task within its job, from 0.
     pub task: u32,
 }
 
 impl TaskKey {
-    /// Reads a task's name on the wire, such as `j-000412/3`. None if it is not of that form.
+    /// Parses the name of a task on the wire, such as `j-000412/3`. Returns None if the name
+    /// does not have that form.
     pub fn parse(name: &str) -> Option<Self> {
         let (job, task) = name.split_once('/')?;
         Some(Self { job: job.into(), task: task.parse().ok()? })
     }
 }
 
-/// The task's name on the wire.
+/// Writes the name of the task on the wire.
 impl fmt::Display for TaskKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.job, self.task)
