--- a/src/controller/job_table.rs
+++ b/src/controller/job_table.rs
@@ -1,11 +1,11 @@
-//! All jobs that the leader knows, also in the order of their arrival.
+//! The table of all jobs known to the leader, with an index by order of arrival.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::job::Job;
 use crate::protocol::JobId;
 
-/// The jobs of a leader. Invariant: each is in the order of arrival exactly once.
+/// The jobs known to the leader. Invariant: `arrivals` holds each job exactly once.
 #[derive(Default)]
 pub(super) struct JobTable {
     jobs: HashMap<JobId, Job>,
@@ -13,13 +13,12 @@
 }
 
 impl JobTable {
-    /// Adds a job that is not in the table yet.
+    /// Inserts a job that is not in the table yet.
     pub(super) fn insert(&mut self, id: JobId, job: Job) {
         self.arrivals.insert((job.arrival, id.clone()));
         self.jobs.insert(id, job);
     }
 
-    /// Removes a job.
     pub(super) fn remove(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.remove(id) {
             self.arrivals.remove(&(job.arrival, id.clone()));
@@ -38,17 +37,17 @@
         self.jobs.get_mut(id)
     }
 
-    /// All jobs, in no order.
+    /// Returns all jobs in unspecified order.
     pub(super) fn values(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// All jobs, in no order.
+    /// Returns all jobs in unspecified order.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Job> {
         self.jobs.values_mut()
     }
 
-    /// All jobs in the order of their arrival.
+    /// Returns all jobs in order of arrival.
     pub(super) fn by_arrival(&self) -> impl Iterator<Item = &Job> {
         self.arrivals.iter().filter_map(|(_, id)| self.jobs.get(id))
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,23 +1,34 @@
-//! The leader: a state machine that takes heartbeats, changes of the records and
-//! answers of the cloud, and returns commands, writes and provisioning requests.
+//! The leader: a state machine whose inputs are worker heartbeats, changes of the records and
+//! responses of the cloud, and whose outputs are commands, writes and provisioning requests.
 //!
-//! It does no I/O. What it decides becomes real in this order: the page record
-//! with a binding is committed first, and only then does the start command leave;
-//! an exit is committed first, and only then does the worker forget it.
+//! The leader does no I/O. Its decisions take effect in a fixed order: a start command is sent
+//! only after the page record with the binding is committed, and a worker is told to forget an
+//! exit only after the exit is committed.
 //!
-//! Its state is divided by invariant: `job` and `binding` hold one job, `job_table` all
-//! of them, `pending_writes` what has to be written, `provisioning` what the cloud is
-//! asked for, `direct_calls` the requests to workers, `quota_use` what teams use,
-//! `pass_timers` when work is due, `machine_types` the cloud's types.
+//! Modules that hold the state, one for each invariant:
 //!
-//! Its steps are divided by what causes them: `records` takes changes of the records,
-//! `reconciliation` heartbeats (deciding by `task_verdict`), `task_exits` and
-//! `incarnations` act on what is over, `direct_commands` sends commands to workers'
-//! own addresses, `tick` does what time brings, `planner` makes scheduling passes,
-//! `autoscaler` and `headroom` scale the fleet, `cancellations` sees to it that cancelled
-//! tasks go in time, `writes`,
-//! `write_outcomes` and `pages` make decisions durable, `lending` says what may
-//! be reclaimed, `summary` tells the operator how it goes.
+//! - `job` and `binding`: one job and the placements of its tasks
+//! - `job_table`: all jobs
+//! - `pending_writes`: records to be written and writes in flight
+//! - `provisioning`: requests to the cloud
+//! - `direct_calls`: requests to workers
+//! - `quota_use`: resources used by each team
+//! - `pass_timers`: when sweeps and scheduling passes are due
+//! - `machine_types`: the cloud's machine types
+//!
+//! Modules that act on the state, one for each kind of trigger:
+//!
+//! - `records`: changes of the records
+//! - `reconciliation`: worker heartbeats, with the decisions in `task_verdict`
+//! - `task_exits` and `incarnations`: ended tasks and ended worker incarnations
+//! - `direct_commands`: commands sent to workers' own addresses
+//! - `tick`: work that is due as time passes
+//! - `planner`: scheduling passes
+//! - `autoscaler` and `headroom`: the size of the fleet
+//! - `cancellations`: termination of cancelled tasks within their time limit
+//! - `writes`, `write_outcomes` and `pages`: durable records of the decisions
+//! - `lending`: machines that may be reclaimed for other teams' jobs
+//! - `summary`: the log line that describes the leader's state
 
 mod autoscaler;
 mod binding;
@@ -79,34 +90,35 @@
     pub tokens: TermTokens,
     /// The version of the leader record, on which all writes are conditioned.
     pub leader_record_version: u64,
-    /// When the term began here.
+    /// When this controller began the term.
     started: Instant,
-    /// Since when the state service has answered without a break.
+    /// The time since which the state service has been available without interruption. None
+    /// while it is unavailable.
     state_available_since: Option<Instant>,
-    /// Whether work may be started, see `allow_starts`.
+    /// Whether start commands may be sent, see `allow_starts`.
     starts_allowed: bool,
-    /// Which pages all members can read, see `pages`.
+    /// The page layout that all members support, see `pages`.
     page_layout: PageLayout,
-    /// The shortage of connections was reported to the operator.
+    /// Whether `take_connection_shortage` has returned true in this term.
     connection_shortage_reported: bool,
     types: MachineTypes,
     jobs: JobTable,
     fleet: Fleet,
     quota_use: QuotaUse,
-    /// Machines that are kept for one job each, since they are reclaimed for it.
+    /// Machines that are reclaimed for one job each and reserved for it.
     reservations: BTreeMap<MachineId, Reservation>,
     writes: PendingWrites,
     provisioning: Provisioning,
     spot_loads: SpotLoadHistory,
     direct_calls: DirectCalls,
     timers: PassTimers,
-    /// What the leader has done so far.
+    /// Counters of the work done in this term.
     pub counters: WorkCounters,
 }
 
 impl Leader {
-    /// Rebuilds the leader's state from the records. The watch cache must be as new as the
-    /// leadership itself, so that no former leader's write is missing.
+    /// Rebuilds the leader's state from the records. The watch cache must include the write
+    /// that began this term, so that no write of a former leader is missing.
     pub fn new(
         settings: Arc<Settings>,
         leader_record_version: u64,
@@ -142,20 +154,20 @@
         leader
     }
 
-    /// Something changed that the next pass has to consider.
+    /// Records a change of the state that the next scheduling pass has to consider.
     fn record_change(&mut self) {
         self.timers.record_change();
     }
 
-    /// Whether work may be started from now on: not while the leadership is in
-    /// doubt or cancellations may be unknown. Renewing a worker's lease needs
-    /// less, since the lease bounds what it keeps alive.
+    /// Sets whether start commands may be sent from now on. They may not while the leadership
+    /// is in doubt or cancellations may be unknown. Renewing a worker's lease has weaker
+    /// conditions, since tasks that should not run are terminated when the lease expires.
     pub fn allow_starts(&mut self, allowed: bool) {
         self.starts_allowed = allowed;
     }
 
-    /// Whether there are more machines than connections for their heartbeats. True once
-    /// a term.
+    /// Whether there are more machines than connections for their heartbeats. Returns true at
+    /// most once in a term, so that the shortage is reported once.
     pub fn take_connection_shortage(&mut self) -> bool {
         let shortage = self.fleet.machines.len() > self.settings.public_sockets();
         shortage && !std::mem::replace(&mut self.connection_shortage_reported, true)
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether a page holds placements whose start waits for its record.
-    pub(super) fn awaits_record(&self, page: u32) -> bool {
+    pub(super) fn has_new_placements(&self, page: u32) -> bool {
         let range = self.tasks_of_page(page);
         self.bound.range(range).any(|(_, b)| !b.durable)
     }
--- a/src/controller/pending_writes.rs
+++ b/src/controller/pending_writes.rs
@@ -1,11 +1,11 @@
-//! Which records are to be written, and which writes are in flight.
+//! The records that have to be written, and the writes in flight.
 
 use std::{collections::BTreeSet, ops::RangeInclusive};
 
 use crate::{fleet::TaskKey, protocol::JobId};
 
-/// The identity of a page, the record of the placements of a range of a job's tasks;
-/// ordered by job, then by number.
+/// The identity of a page, the record of the placements and progress of a range of a job's
+/// tasks. Ordered by job, then by page number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PageKey {
     pub(super) job: JobId,
@@ -13,44 +13,48 @@
 }
 
 impl PageKey {
-    /// The keys of all pages that a job may have.
+    /// Returns the range of the keys of all pages that a job may have.
     fn all_of(job: &JobId) -> RangeInclusive<Self> {
         let key = |page| Self { job: job.clone(), page };
         key(0)..=key(u32::MAX)
     }
 }
 
-/// Writes that are due or in flight. Invariant: a page is in flight only once at a time,
-/// so what it says of a task is never overtaken by an older version.
+/// Writes that are due or in flight. Invariant: at most one write of a page is in flight, so
+/// an older version of a page never overwrites a newer one.
 #[derive(Default)]
 pub(super) struct PendingWrites {
     /// Pages that have to be written.
     dirty: BTreeSet<PageKey>,
-    /// Pages that are being written.
+    /// Pages with a write in flight.
     in_flight: BTreeSet<PageKey>,
-    /// Pages that are too large to be written, until a task leaves them.
+    /// Pages that are too large to be written until one of their tasks terminates.
     oversized: BTreeSet<PageKey>,
-    /// Tasks to stop so that such a page can be written.
+    /// Tasks to stop so that oversized pages can be written.
     tasks_to_stop: BTreeSet<TaskKey>,
-    /// Jobs that may be over: their end, or the dropping of their records, is checked.
-    ending: BTreeSet<JobId>,
-    /// Jobs cancelled with another one whose own end records are in flight.
-    cancelling: BTreeSet<JobId>,
+    /// Jobs that may have finished, for which it has to be checked whether an end record or the
+    /// deletion of their records is due.
+    end_checks: BTreeSet<JobId>,
+    /// Jobs that were cancelled with a job they depend on and whose end records are in flight.
+    cancellations_in_flight: BTreeSet<JobId>,
 }
 
 impl PendingWrites {
-    /// The content of a page changed.
+    /// Records that the content of a page has changed, so that the page has to be written. An
+    /// oversized page may fit now.
     pub(super) fn mark_changed(&mut self, page: PageKey) {
         self.oversized.remove(&page);
         self.dirty.insert(page);
     }
 
-    /// A page has to be written, again or for its width; its placements are the same.
+    /// Records that a page has to be written although its placements are unchanged: its last
+    /// write failed, or the job's width changed.
     pub(super) fn mark_dirty(&mut self, page: PageKey) {
         self.dirty.insert(page);
     }
 
-    /// The page can't be written until a task leaves it; these are stopped for that.
+    /// Records that a page can't be written before one of its tasks terminates, and the tasks
+    /// to stop for that.
     pub(super) fn mark_oversized(
         &mut self,
         page: PageKey,
@@ -60,28 +64,29 @@
         self.tasks_to_stop.extend(tasks_to_stop);
     }
 
-    /// The tasks to stop so that oversized pages can be written.
+    /// Takes the tasks to stop so that oversized pages can be written.
     pub(super) fn take_tasks_to_stop(&mut self) -> BTreeSet<TaskKey> {
         std::mem::take(&mut self.tasks_to_stop)
     }
 
-    /// The write of a page is decided on now.
+    /// Records that a page no longer has to be written, since its write is being prepared or
+    /// is not needed.
     pub(super) fn clear_dirty(&mut self, page: &PageKey) {
         self.dirty.remove(page);
     }
 
-    /// The write of a page begins.
-    pub(super) fn begin(&mut self, page: PageKey) {
+    /// Records that a write of a page is in flight.
+    pub(super) fn begin_write(&mut self, page: PageKey) {
         self.in_flight.insert(page);
     }
 
-    /// The write of a page is over, whatever its outcome.
-    pub(super) fn finish(&mut self, page: &PageKey) {
+    /// Records that the write of a page has ended, with any outcome.
+    pub(super) fn finish_write(&mut self, page: &PageKey) {
         self.in_flight.remove(page);
     }
 
-    /// A job's records are gone: none of its pages has to be written any more,
-    /// and workers may forget its exits.
+    /// Forgets the pages of a job whose records are deleted. None of them has to be written any
+    /// more, and workers may forget the job's exits.
     pub(super) fn forget_job(&mut self, job: &JobId) {
         for pages in [&mut self.dirty, &mut self.oversized] {
             let of_job: Vec<PageKey> = pages.range(PageKey::all_of(job)).cloned().collect();
@@ -91,55 +96,55 @@
         }
     }
 
-    /// Whether the record of a page may not hold all that is known.
+    /// Whether the record of a page may be older than the leader's state.
     pub(super) fn has_unwritten_changes(&self, page: &PageKey) -> bool {
         self.dirty.contains(page) || self.in_flight.contains(page) || self.oversized.contains(page)
     }
 
-    /// Whether a page of a job is in flight.
-    pub(super) fn is_job_in_flight(&self, job: &JobId) -> bool {
+    /// Whether a write of any page of a job is in flight.
+    pub(super) fn has_page_in_flight(&self, job: &JobId) -> bool {
         self.in_flight.range(PageKey::all_of(job)).next().is_some()
     }
 
-    /// The number of pages in flight.
+    /// Returns the number of pages with a write in flight.
     pub(super) fn pages_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// The pages that have to be written and are not in flight, in order.
+    /// Returns the pages that have to be written and have no write in flight, in order.
     pub(super) fn due(&self) -> impl Iterator<Item = &PageKey> {
         self.dirty.iter().filter(|page| !self.in_flight.contains(*page))
     }
 
-    /// A job may be over: its end is checked when writes are next taken.
+    /// Schedules a check whether a job has finished, made when transactions are next taken.
     pub(super) fn schedule_end_check(&mut self, job: JobId) {
-        self.ending.insert(job);
+        self.end_checks.insert(job);
     }
 
-    /// The jobs whose end has to be checked.
+    /// Takes the jobs whose end has to be checked.
     pub(super) fn take_end_checks(&mut self) -> BTreeSet<JobId> {
-        std::mem::take(&mut self.ending)
+        std::mem::take(&mut self.end_checks)
     }
 
-    /// Whether the end of a job that is cancelled with another one may be written now.
-    /// Its users are told without that record, so thousands of these must not hold up
-    /// other writes: at most `limit` are in flight.
+    /// Whether the end record of a job that was cancelled with a job it depends on may be
+    /// written now; if so, it counts as in flight. At most `limit` of these are in flight:
+    /// users see the cancellation without them, so thousands must not delay other writes.
     pub(super) fn begin_cancellation(&mut self, job: &JobId, limit: usize) -> bool {
-        let allowed = self.cancelling.len() < limit;
+        let allowed = self.cancellations_in_flight.len() < limit;
         if allowed {
-            self.cancelling.insert(job.clone());
+            self.cancellations_in_flight.insert(job.clone());
         }
         allowed
     }
 
-    /// The end of a cancelled job is no longer in flight.
+    /// Records that the end record of a cancelled job is no longer in flight.
     pub(super) fn finish_cancellation(&mut self, job: &JobId) {
-        self.cancelling.remove(job);
+        self.cancellations_in_flight.remove(job);
     }
 
-    /// Whether anything may have to be written.
+    /// Whether no page has to be written and no job's end has to be checked.
     pub(super) fn is_empty(&self) -> bool {
-        self.dirty.is_empty() && self.ending.is_empty()
+        self.dirty.is_empty() && self.end_checks.is_empty()
     }
 }
 
--- a/src/controller/pending_writes/tests.rs
+++ b/src/controller/pending_writes/tests.rs
@@ -5,20 +5,20 @@
 }
 
 #[test]
-fn a_page_is_in_flight_only_once_and_then_due_again() {
+fn page_changed_during_its_write_is_due_only_after_the_write() {
     let mut writes = PendingWrites::default();
     writes.mark_changed(page("a", 0));
     writes.clear_dirty(&page("a", 0));
-    writes.begin(page("a", 0));
-    assert!(writes.has_unwritten_changes(&page("a", 0)) && writes.is_job_in_flight(&"a".into()));
+    writes.begin_write(page("a", 0));
+    assert!(writes.has_unwritten_changes(&page("a", 0)) && writes.has_page_in_flight(&"a".into()));
     writes.mark_changed(page("a", 0));
     assert_eq!(writes.due().count(), 0, "one write at a time");
-    writes.finish(&page("a", 0));
+    writes.finish_write(&page("a", 0));
     assert_eq!(writes.due().collect::<Vec<_>>(), [&page("a", 0)]);
 }
 
 #[test]
-fn an_oversized_page_counts_as_unwritten_until_it_changes() {
+fn oversized_page_has_unwritten_changes_until_it_changes_and_is_written() {
     let mut writes = PendingWrites::default();
     let task = TaskKey { job: "a".into(), task: 3 };
     writes.mark_oversized(page("a", 0), [task.clone()].into_iter());
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn forgetting_a_job_leaves_the_pages_of_others() {
+fn forget_job_keeps_pages_of_other_jobs() {
     let mut writes = PendingWrites::default();
     for job in ["a", "b", "c"] {
         writes.mark_changed(page(job, 0));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn cancellations_in_flight_are_limited() {
+fn begin_cancellation_limits_cancellations_in_flight() {
     let mut writes = PendingWrites::default();
     assert!(writes.begin_cancellation(&"a".into(), 1));
     assert!(!writes.begin_cancellation(&"b".into(), 1));
--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -1,4 +1,5 @@
-//! Changes of the records: new jobs with their placements, ends, and dependencies.
+//! Changes of the records: new jobs and their placements, ended jobs, and changed
+//! dependencies.
 
 use tokio::time::Instant;
 use tracing::{error, info};
@@ -11,13 +12,13 @@
 };
 
 impl Leader {
-    /// Takes the changes of the watch cache.
+    /// Applies changes of the watch cache to the leader's state.
     pub fn on_changes(&mut self, changes: &[Change], watch_cache: &WatchCache, now: Instant) {
         for change in changes {
             match change {
                 Change::Arrived(id) => self.add_job(id, watch_cache, now),
                 Change::Ready(id) | Change::PriorityChanged(id) => {
-                    self.follow_dependencies(id, watch_cache, now);
+                    self.update_dependencies(id, watch_cache, now);
                 }
                 Change::Ended(id) => self.record_end(id, now),
                 Change::Leader | Change::HeartbeatsRejected => {}
@@ -25,14 +26,14 @@
         }
     }
 
-    /// Adds a job with what its records say.
+    /// Adds a job, with the placements and the progress from its records.
     pub(super) fn add_job(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
         if !watch_cache.jobs.contains_key(id) {
             return;
         }
         if self.jobs.contains(id) {
-            // All records were read again: what it waits for may be over.
-            self.follow_dependencies(id, watch_cache, now);
+            // All records were read again, so changes of its dependencies may have been missed.
+            self.update_dependencies(id, watch_cache, now);
             return;
         }
         let Some(mut job) = self.job_from_records(id, watch_cache, now) else { return };
@@ -48,14 +49,15 @@
         self.timers.request_round();
     }
 
-    /// A job as its records say, but for its placements and progress.
+    /// Creates a job from its records, without its placements and progress.
     fn job_from_records(&self, id: &JobId, watch_cache: &WatchCache, now: Instant) -> Option<Job> {
         let entry = watch_cache.jobs.get(id)?;
         let page_tasks = tasks_per_page(&self.settings, &entry.spec, self.page_layout);
         let mut job = Job::new(entry.spec.clone(), entry.version, page_tasks, now);
         let has_pages = watch_cache.pages.get(id).is_some_and(|pages| !pages.is_empty());
         if has_pages {
-            // Pages written before keep their layout.
+            // Existing pages keep their layout. `restore_page` replaces this size if the pages
+            // name another one.
             job.page_tasks = self.settings.page_tasks();
         }
         let dependencies = &watch_cache.dependencies;
@@ -66,7 +68,7 @@
         Some(job)
     }
 
-    /// Takes the placements and the progress of one page over into its job.
+    /// Restores the placements and the progress that one page records.
     fn restore_page(&mut self, id: &JobId, job: &mut Job, numbered: NumberedPage) {
         let NumberedPage { number, page } = numbered;
         job.pages.insert(number);
@@ -87,13 +89,14 @@
             Machine::of_unknown_type(zone.unwrap_or_default(), job.known_since)
         });
         machine.bound.insert(TaskKey { job: id.clone(), task: bound.task });
-        // What a former leader fetched there is known by what runs.
+        // The images that the machine fetched under a former leader are inferred from its bound
+        // tasks. Their images are all in use, so none is evicted.
         machine.images.record_use(&job.spec.image, job.spec.image_gb, f64::INFINITY, |_| true);
         job.bound.insert(bound.task, Binding::from_record(bound));
         self.quota_use.add(&job.spec);
     }
 
-    /// A job's end is in the records: its tasks have to be stopped.
+    /// Records that a job's end record exists, so that the job's tasks are stopped.
     fn record_end(&mut self, id: &JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.ended.get_or_insert(KnownEnd::learned(now));
@@ -105,15 +108,15 @@
         self.timers.request_round();
     }
 
-    /// Takes over what the watch cache says of a job's dependencies and dependants.
-    fn follow_dependencies(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
+    /// Updates the job's priority and whether it awaits dependencies from the watch cache.
+    fn update_dependencies(&mut self, id: &JobId, watch_cache: &WatchCache, now: Instant) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.priority = watch_cache.dependencies.effective_priority(id).unwrap_or(job.priority);
-        let waits = watch_cache.dependencies.is_waiting(id);
-        let waited = std::mem::replace(&mut job.awaits_dependencies, waits);
-        if waited && !waits {
+        let awaits = watch_cache.dependencies.is_waiting(id);
+        let awaited = std::mem::replace(&mut job.awaits_dependencies, awaits);
+        if awaited && !awaits {
             info!(job = %id, "job dependencies done");
-            // Waits are counted from here.
+            // The job's waiting time counts from when its dependencies were done.
             job.known_since = now;
             self.timers.request_round();
             self.record_change();
@@ -121,12 +124,13 @@
     }
 }
 
+/// A page and its number within the job.
 struct NumberedPage {
     number: u32,
     page: Page,
 }
 
-/// A job's pages in order, without those that can't be read.
+/// Returns the pages of a job in order, and skips unreadable ones.
 fn readable_pages<'a>(
     id: &'a JobId,
     watch_cache: &'a WatchCache,
@@ -135,7 +139,7 @@
     entries.filter_map(move |(&number, entry)| match serde_json::from_str(entry.raw.get()) {
         Ok(page) => Some(NumberedPage { number, page }),
         Err(error) => {
-            error!(job = %id, page = number, %error, "page record unreadable");
+            error!(job = %id, page = number, %error, "page record unreadable; its placements and progress are ignored");
             None
         }
     })
--- a/src/controller/write_outcomes.rs
+++ b/src/controller/write_outcomes.rs
@@ -1,4 +1,4 @@
-//! What the outcome of a write means for the leader's state.
+//! Updates of the leader's state after a write was committed or failed.
 
 use tokio::time::Instant;
 use tracing::info;
@@ -10,11 +10,11 @@
 };
 
 impl Leader {
-    /// A write is durable. The watch cache has it already.
+    /// Records that a write is durable. The watch cache must include it already.
     pub fn committed(&mut self, kind: &CommitKind, watch_cache: &WatchCache, now: Instant) {
         match kind {
             CommitKind::Page { job, page, content } => {
-                self.writes.finish(&PageKey { job: job.clone(), page: *page });
+                self.writes.finish_write(&PageKey { job: job.clone(), page: *page });
                 self.page_committed(job, content);
             }
             CommitKind::End { job } => {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The placements of a page are durable: their start commands may leave.
+    /// Marks the placements of a page as durable, so that their start commands may be sent.
     fn page_committed(&mut self, id: &JobId, content: &Page) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         for bound in &content.bound {
@@ -50,7 +50,7 @@
             job.ended.get_or_insert(KnownEnd::learned(now));
         }
         if watch_cache.jobs.contains_key(id) {
-            // More pages than one transaction drops.
+            // The job has more pages than one transaction can delete.
             self.writes.schedule_end_check(id.clone());
         } else {
             info!(job = %id, "job ended");
@@ -59,13 +59,15 @@
         }
     }
 
-    /// A write did not happen, as far as the fresh watch cache tells: it is made again.
+    /// Records that a write was not committed, as the up-to-date watch cache shows, so that
+    /// it is repeated if it is still needed.
     pub fn not_committed(&mut self, kind: CommitKind, watch_cache: &WatchCache, now: Instant) {
         match kind {
             CommitKind::Page { job, page, .. } => {
                 let page = PageKey { job, page };
-                self.writes.finish(&page);
-                // If the job is over by now, its end replaces the page.
+                self.writes.finish_write(&page);
+                // If the job has finished in the meantime, its end record makes the page
+                // unnecessary.
                 self.writes.schedule_end_check(page.job.clone());
                 self.writes.mark_dirty(page);
             }
@@ -73,7 +75,7 @@
                 self.writes.finish_cancellation(&id);
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.end_in_flight = false;
-                    // Cancelled in the meantime: the first end wins.
+                    // The job was cancelled in the meantime. The first end record is kept.
                     if watch_cache.ended_jobs.contains(&id) {
                         job.ended.get_or_insert(KnownEnd::learned(now));
                     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -135,8 +135,8 @@
             proof,
             proof_expected: proof.is_expected(lease, now),
             mostly_silent: self.is_mostly_silent(now, lease),
-            reconnect_timeout: self.reconnect_timeout(lease, now),
-            partitioned_zones: &self.partitioned_zones,
+            reconnect_timeout: self.worker_reconnect_timeout(lease, now),
+            partitioned: &self.partitioned_zones,
         };
         let mut returns = Vec::new();
         for (id, machine) in self.machines.iter().filter(|(_, m)| !m.deleting) {
@@ -151,7 +151,7 @@
     /// How long a worker with tasks may take to contact this leader. Workers find a new leader
     /// well within their lease, and one that does not has probably failed. If more than a
     /// quarter of the machines are missing, a common cause is more likely, so they get longer.
-    fn reconnect_timeout(&self, lease: Duration, now: Instant) -> Duration {
+    fn worker_reconnect_timeout(&self, lease: Duration, now: Instant) -> Duration {
         let missing = self
             .machines
             .values()
--- a/src/fleet/image_cache.rs
+++ b/src/fleet/image_cache.rs
@@ -17,13 +17,13 @@
 }
 
 impl ImageCache {
-    /// Records that a task uses an image of `size_gb` gigabytes. If the cache then exceeds
+    /// Records that a task uses an image of `image_gb` gigabytes. If the cache then exceeds
     /// `cache_gb`, images are evicted, the least recently used first. Images in use by tasks
     /// on the machine (`is_used`) are not evicted.
     pub fn record_use(
         &mut self,
         image: &Arc<str>,
-        size_gb: f64,
+        image_gb: f64,
         cache_gb: f64,
         is_used: impl Fn(&Arc<str>) -> bool,
     ) {
@@ -32,7 +32,7 @@
             return;
         }
         self.images.retain(|cached| cached.name != *image);
-        self.images.push(CachedImage { name: image.clone(), size_gb });
+        self.images.push(CachedImage { name: image.clone(), size_gb: image_gb });
         let mut excess_gb = self.images.iter().map(|cached| cached.size_gb).sum::<f64>() - cache_gb;
         self.images.retain(|cached| {
             let evicted = excess_gb > 0.0 && cached.name != *image && !is_used(&cached.name);
--- a/src/fleet/machine_return.rs
+++ b/src/fleet/machine_return.rs
@@ -67,7 +67,7 @@
     pub(super) mostly_silent: bool,
     /// How long a worker with tasks may take to contact this leader.
     pub(super) reconnect_timeout: Duration,
-    pub(super) partitioned_zones: &'a PartitionedZones,
+    pub(super) partitioned: &'a PartitionedZones,
 }
 
 impl ReturnPolicy<'_> {
@@ -122,7 +122,7 @@
     /// Whether a silent machine is kept for now because most of the fleet or of its zone is
     /// silent too, so that it may reconnect.
     fn is_kept_for_reconnection(&self, machine: &Machine) -> bool {
-        (self.mostly_silent || self.partitioned_zones.contains(&machine.zone))
+        (self.mostly_silent || self.partitioned.contains(&machine.zone))
             && machine.silence(self.now) < self.lease * 6
     }
 }
--- a/src/fleet/machine_return/tests.rs
+++ b/src/fleet/machine_return/tests.rs
@@ -41,7 +41,7 @@
         proof_expected: proof.is_expected(LEASE, now + situation.after),
         mostly_silent: situation.mostly_silent,
         reconnect_timeout: LEASE * 3 / 4,
-        partitioned_zones: &PartitionedZones::default(),
+        partitioned: &PartitionedZones::default(),
     };
     policy.reason(machine, BOOT)
 }
