--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -10,18 +10,18 @@
 /// The machine types of the cloud.
 pub(super) struct MachineTypes {
     types: Arc<Vec<MachineType>>,
-    /// The record holds these types, apart from their prices.
+    /// Whether the record holds these types, regardless of prices.
     stored: bool,
 }
 
 impl MachineTypes {
-    /// Types that were read from their record, if there is one.
+    /// Creates the types from their record, if there is one.
     pub(super) fn from_record(types: Option<Arc<Vec<MachineType>>>) -> Self {
         Self { types: types.unwrap_or_default(), stored: true }
     }
 
-    /// Replaces the types by what the cloud says now. False if it names none: then
-    /// nothing changes.
+    /// Replaces the types by those that the cloud offers now. An empty list changes nothing and
+    /// returns false.
     pub(super) fn update(&mut self, types: Vec<MachineType>) -> bool {
         if types.is_empty() {
             return false;
@@ -31,7 +31,7 @@
         true
     }
 
-    /// The types to be written, marked as written; none if the record is up to date.
+    /// Returns the types to write and marks them as stored. None if the record is up to date.
     pub(super) fn take_unstored(&mut self) -> Option<Arc<Vec<MachineType>>> {
         if self.stored || self.types.is_empty() {
             return None;
@@ -40,7 +40,7 @@
         Some(self.types.clone())
     }
 
-    /// The write of the record failed.
+    /// Records that the write of the record failed, so that it is repeated.
     pub(super) fn mark_unstored(&mut self) {
         self.stored = false;
     }
@@ -50,7 +50,7 @@
         self.stored
     }
 
-    /// All types, in the cloud's order.
+    /// Returns all types in the cloud's order.
     pub(super) fn all(&self) -> Arc<Vec<MachineType>> {
         self.types.clone()
     }
@@ -63,27 +63,27 @@
         self.types.iter()
     }
 
-    /// The type with a number.
-    pub(super) fn get(&self, number: usize) -> Option<&MachineType> {
-        self.types.get(number)
+    /// Returns the type at an index.
+    pub(super) fn get(&self, index: usize) -> Option<&MachineType> {
+        self.types.get(index)
     }
 
-    /// The type with a name.
+    /// Returns the type with a name.
     pub(super) fn by_name(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| &*t.name == name)
     }
 
-    /// The number of the type with a name.
+    /// Returns the index of the type with a name.
     pub(super) fn index_of(&self, name: &str) -> Option<usize> {
         self.types.iter().position(|t| &*t.name == name)
     }
 
-    /// The usual boot time of a type, in seconds.
+    /// Returns the usual boot time of a type, in seconds.
     pub(super) fn boot_s(&self, name: &str) -> f64 {
         self.by_name(name).map_or(DEFAULT_BOOT_S, |t| t.boot_s)
     }
 
-    /// The share of a machine that a task takes, on the type where that is least, and at
+    /// Returns the share of a machine that a task takes, as the minimum over all types and at
     /// most 1.
     pub(super) fn smallest_share(&self, need: &Resources) -> f64 {
         let shares = self.types.iter().map(|t| need.share_of(&Resources::of_type(t)));
@@ -91,7 +91,8 @@
     }
 }
 
-/// Prices move all the time; they are no reason to write.
+/// Returns the types with all prices set to 0. Prices change too often to write the record for
+/// each change.
 fn without_prices(types: &[MachineType]) -> Vec<MachineType> {
     let without_price = |t: &MachineType| MachineType { price: 0.0, spot_price: 0.0, ..t.clone() };
     types.iter().map(without_price).collect()
--- a/src/controller/state_service.rs
+++ b/src/controller/state_service.rs
@@ -1,10 +1,11 @@
-//! Whether the state service answers, as far as a leader is concerned.
+//! The availability of the state service to a leader.
 
-/// Whether records can be read and written now.
+/// Whether a leader can read and write records now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateService {
-    /// It answers.
+    /// The state service answers, and the leadership is not in doubt.
     Available,
-    /// It does not, or the leadership is in doubt: nothing new can be made durable.
+    /// The state service does not answer, or the leadership is in doubt. No new decision can be
+    /// made durable.
     Unavailable,
 }
--- a/src/controller/summary.rs
+++ b/src/controller/summary.rs
@@ -1,56 +1,57 @@
-//! How a leader is doing: what its work has cost, and one line for the operator.
+//! Counters of the leader's work, and the log line that summarizes the leader's state.
 
 use tokio::time::Instant;
 
 use super::Leader;
 use crate::fleet::Machine;
 
-/// What a leader has done so far, in operations rather than seconds.
+/// Counts of the operations that a leader has carried out in its term.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkCounters {
-    /// Heartbeats that were new.
+    /// Heartbeats reconciled, without stale ones.
     pub heartbeats: u64,
-    /// Bound or reported tasks that were reconciled for them.
+    /// Tasks compared in reconciliations, counted once as bound and once as reported.
     pub tasks_reconciled: u64,
-    /// Iterations of the leader's loop.
+    /// Ticks of the leader.
     pub ticks: u64,
-    /// Sweeps over all machines and jobs for what time alone brings.
+    /// Sweeps over all machines and jobs for actions that are due as time passes.
     pub sweeps: u64,
     /// Scheduling passes.
     pub passes: u64,
-    /// Candidate placements that were evaluated in them.
+    /// Candidate placements evaluated in scheduling passes.
     pub candidates_evaluated: u64,
 }
 
-/// GPUs of ordinary or of spot machines.
+/// The GPUs of one class of machines, ordinary or spot.
 #[derive(Default)]
-struct GpuFigures {
+struct GpuUsage {
     used: f64,
     total: f64,
 }
 
-/// The fleet in figures. Machines that have not reported only count as booting.
+/// Statistics of the fleet. Machines that have not reported in this term count as booting, and
+/// in nothing else.
 #[derive(Default)]
-struct FleetFigures {
+struct FleetStats {
     booting: u32,
     ready: u32,
     idle: u32,
-    ordinary: GpuFigures,
-    spot: GpuFigures,
-    /// GPUs of ordinary machines that work uses which could run on spot machines.
+    ordinary: GpuUsage,
+    spot: GpuUsage,
+    /// GPUs of ordinary machines used by jobs that may run on spot machines.
     misplaced_gpus: f64,
 }
 
 impl Leader {
-    /// One line for the operator.
+    /// Returns a one-line summary of the leader's state for the operator.
     pub fn summary(&self, now: Instant) -> String {
-        let FleetFigures { booting, ready, idle, ordinary, spot, misplaced_gpus } =
-            self.fleet_figures(now);
+        let FleetStats { booting, ready, idle, ordinary, spot, misplaced_gpus } =
+            self.fleet_stats(now);
         let waiting = self.jobs.values().filter(|j| j.bound.is_empty() && j.is_active()).count();
         let dependent =
             self.jobs.values().filter(|j| j.awaits_dependencies && j.ended.is_none()).count();
         format!(
-            "jobs {} (waiting {waiting}, for others {dependent}), GPUs {} of {} ordinary ({misplaced_gpus} by work for spot) and {} of {} spot, machines {} (booting {booting}, ready {ready}, idle {idle}), {:?}",
+            "jobs {} (waiting {waiting}, awaiting dependencies {dependent}), GPUs used {} of {} ordinary ({misplaced_gpus} by spot-eligible jobs) and {} of {} spot, machines {} (booting {booting}, ready {ready}, idle {idle}), {:?}",
             self.jobs.len(),
             ordinary.used,
             ordinary.total,
@@ -61,28 +62,28 @@
         )
     }
 
-    fn fleet_figures(&self, now: Instant) -> FleetFigures {
-        let mut figures = FleetFigures::default();
+    fn fleet_stats(&self, now: Instant) -> FleetStats {
+        let mut stats = FleetStats::default();
         for machine in self.fleet.machines.values() {
-            self.count_machine(machine, &mut figures, now);
+            self.count_machine(machine, &mut stats, now);
         }
-        figures
+        stats
     }
 
-    fn count_machine(&self, machine: &Machine, figures: &mut FleetFigures, now: Instant) {
+    fn count_machine(&self, machine: &Machine, stats: &mut FleetStats, now: Instant) {
         if !machine.has_reported() {
-            figures.booting += 1;
+            stats.booting += 1;
             return;
         }
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
-        figures.ready += u32::from(ready);
-        figures.idle += u32::from(machine.bound.is_empty());
-        let gpus = if machine.spot { &mut figures.spot } else { &mut figures.ordinary };
+        stats.ready += u32::from(ready);
+        stats.idle += u32::from(machine.bound.is_empty());
+        let gpus = if machine.spot { &mut stats.spot } else { &mut stats.ordinary };
         gpus.total += self.types.by_name(&machine.machine_type).map_or(0.0, |t| t.gpus);
         for job in machine.bound.iter().filter_map(|key| self.jobs.get(&key.job)) {
             gpus.used += job.spec.gpus;
             if job.spec.spot && !machine.spot {
-                figures.misplaced_gpus += job.spec.gpus;
+                stats.misplaced_gpus += job.spec.gpus;
             }
         }
     }
