--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -45,7 +45,7 @@
     pub(super) width: u32,
     /// Task failures since a task last completed.
     pub(super) failures: u32,
-    /// No task starts before this time, because of failed tasks.
+    /// No task starts before this time, since tasks failed or exited for an unknown reason.
     pub(super) backoff_until: Option<Instant>,
     /// Machines on which tasks of this job failed.
     pub(super) avoided_machines: Vec<MachineId>,
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -163,7 +163,7 @@
     }
 }
 
-/// The number of tasks that each page of a new job may cover.
+/// The numbers of tasks that the pages of a new job may cover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PageLayout {
     /// Only the common number, since controllers of the previous version may lead.
--- a/src/controller/records.rs
+++ b/src/controller/records.rs
@@ -90,7 +90,7 @@
         });
         machine.bound.insert(TaskKey { job: id.clone(), task: bound.task });
         // The images that the machine fetched under a former leader are inferred from its bound
-        // tasks. Their images are all in use, so none is evicted.
+        // tasks. All of these images are in use, so none is evicted.
         machine.images.record_use(&job.spec.image, job.spec.image_gb, f64::INFINITY, |_| true);
         job.bound.insert(bound.task, Binding::from_record(bound));
         self.quota_use.add(&job.spec);
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -98,8 +98,8 @@
         self.settings.state_limits().transaction_writes * MAX_IN_FLIGHT
     }
 
-    /// Returns the pages to write next: all that hold new placements, and up to
-    /// `spare_writes` others.
+    /// Returns the pages to write next: pages with new placements, then up to `spare_writes`
+    /// others, all within the limit on pages in flight.
     fn due_pages(&self, spare_writes: usize) -> Vec<PageKey> {
         let available = self.max_pages_in_flight().saturating_sub(self.writes.pages_in_flight());
         if available == 0 {
@@ -155,7 +155,8 @@
     }
 
     /// Returns the transaction that ends a job without bound tasks: it creates the end record
-    /// if there is none, and deletes the job's other records, or as many of them as fit.
+    /// if there is none, and deletes the job's other records, or as many of them as one
+    /// transaction may write.
     fn end_commit(
         &mut self,
         id: &JobId,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -49,7 +49,7 @@
 pub struct MachineReturn {
     /// The machine.
     pub machine: MachineId,
-    /// Why it is returned.
+    /// The reason for the return.
     pub reason: ReturnReason,
 }
 
@@ -148,7 +148,7 @@
         returns
     }
 
-    /// How long a worker with tasks may take to contact this leader. Workers find a new leader
+    /// Returns how long a worker with tasks may take to contact this leader. Workers find a new leader
     /// well within their lease, and one that does not has probably failed. If more than a
     /// quarter of the machines are missing, a common cause is more likely, so they get longer.
     fn worker_reconnect_timeout(&self, lease: Duration, now: Instant) -> Duration {
--- a/src/fleet/freshness.rs
+++ b/src/fleet/freshness.rs
@@ -9,7 +9,7 @@
 /// The upper limit on the notice of a reclaim in a heartbeat, in seconds.
 const MAX_NOTICE_S: f64 = 1e6;
 
-/// How new a heartbeat is compared with the recorded ones of its machine.
+/// The age of a heartbeat relative to the recorded heartbeats of its machine.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// Newer than all recorded heartbeats, and of the same incarnation.
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -137,8 +137,8 @@
         !self.never_reported() || !self.bound.is_empty()
     }
 
-    /// How long the leader has had no contact with the worker, counted from when the machine
-    /// became known if there was none.
+    /// Returns how long the leader has had no contact with the worker. Before the first contact
+    /// that is the time since the machine became known.
     pub fn silence(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_contact.unwrap_or(self.known_since))
     }
--- a/src/fleet/machine_return.rs
+++ b/src/fleet/machine_return.rs
@@ -13,7 +13,7 @@
 /// A machine that did not carry out this many consecutive commands is returned.
 const MAX_UNACKNOWLEDGED_COMMANDS: u32 = 3;
 
-/// Why a machine is returned to the cloud. `Display` writes the text for the operator.
+/// The reason why a machine is returned to the cloud. `Display` writes the text for the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnReason {
     /// The cloud lists the machine as failed.
--- a/src/fleet/termination.rs
+++ b/src/fleet/termination.rs
@@ -2,8 +2,8 @@
 
 use tokio::time::{Duration, Instant};
 
-/// How far the leader can prove by lease expiry that the tasks of a silent worker are
-/// terminated.
+/// The conditions under which the leader can prove by lease expiry that the tasks of a silent
+/// worker are terminated.
 #[derive(Clone, Copy, Debug)]
 pub struct TerminationProof {
     /// Whether the proof is available now or can still be expected. The latter holds for a
