--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -106,7 +106,7 @@
             machine = %id, zone = %machine.zone, spot = machine.spot, reason = reason.as_str(),
             silent_s = machine.silence(now).as_secs_f64(), "machine return requested"
         );
-        self.provisioning.delete([id.clone()]);
+        self.provisioning.request_deletion([id.clone()]);
     }
 
     /// Creates provisioning requests for the machines that the scheduler decided to add.
@@ -165,7 +165,7 @@
 
     /// Records that the cloud has no more machines of the requested kind for now.
     fn record_exhausted(&mut self, request: &ProvisionRequest, now: Instant) {
-        let Some(machine_type) = self.types.number(&request.machine_type) else { return };
+        let Some(machine_type) = self.types.index_of(&request.machine_type) else { return };
         let Some(zone) = self.settings.zone_index(&request.zone) else { return };
         let boot_s = self.types.boot_s(&request.machine_type);
         let until = now + Duration::from_secs_f64(boot_s / EXHAUSTED_WAIT_BOOT_DIVISOR);
@@ -194,7 +194,7 @@
 
     /// Requests the deletion of machines again after a deletion call without a response.
     pub fn on_deletion_failed(&mut self, machines: Vec<MachineId>) {
-        self.provisioning.delete(machines);
+        self.provisioning.request_deletion(machines);
     }
 
     /// Processes a list of the cloud's machines.
@@ -211,7 +211,7 @@
                 self.record_change();
             }
         }
-        self.fleet.record_list(list, now);
+        self.fleet.record_listed_machines(list, now);
     }
 
     /// Processes the list of the cloud's machine types.
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -168,11 +168,11 @@
             // If another machine has taken over the address, the heartbeat names that machine
             // and says nothing of this one.
             DirectOutcome::Answered(heartbeat) if heartbeat.machine == request.machine => {
-                machine.open_starts.settle(request.id);
+                machine.open_starts.close(request.id);
                 self.process_heartbeat(heartbeat, HeartbeatSource::DirectResponse, now).map(|_| ())
             }
             DirectOutcome::NotDelivered => {
-                machine.open_starts.settle(request.id);
+                machine.open_starts.close(request.id);
                 Ok(())
             }
             DirectOutcome::Answered(_) | DirectOutcome::Unknown => {
--- a/src/controller/headroom.rs
+++ b/src/controller/headroom.rs
@@ -119,7 +119,7 @@
     /// Returns the share of a machine that its tasks leave free, or None if the machine's type or
     /// the job of one of the tasks is unknown.
     fn free_share(&self, machine: &Machine) -> Option<f64> {
-        let machine_type = self.types.named(&machine.machine_type)?;
+        let machine_type = self.types.by_name(&machine.machine_type)?;
         let mut used = Resources::default();
         for key in &machine.bound {
             let job = self.jobs.get(&key.job)?;
--- a/src/controller/reconciliation.rs
+++ b/src/controller/reconciliation.rs
@@ -275,7 +275,7 @@
         // the attempt while a late command could start that attempt again.
         let machine = self.fleet.machines.get(machine);
         let may_still_start = machine.is_some_and(|m| m.open_starts.contains(key, status.attempt));
-        !finishing && !may_still_start && !self.is_unwritten(key)
+        !finishing && !may_still_start && !self.has_unwritten_changes(key)
     }
 }
 
--- a/src/controller/snapshot.rs
+++ b/src/controller/snapshot.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{Duration, Instant};
 
-use super::{Leader, binding::Binding, job::Job, pages::LongestNames, pass_timers::PassKind};
+use super::{Leader, binding::Binding, job::Job, pages::BindingSizeBounds, pass_timers::PassKind};
 use crate::{
     fleet::Machine,
     protocol::{JobSpec, MachineId, MachineType, Shape},
@@ -49,7 +49,7 @@
 
     /// Returns the scheduler's view of a machine, or None if no task can count on the machine.
     fn machine_view(&self, id: &MachineId, machine: &Machine, now: Instant) -> Option<MachineView> {
-        let type_index = self.types.number(&machine.machine_type)?;
+        let type_index = self.types.index_of(&machine.machine_type)?;
         let machine_type = self.types.get(type_index)?;
         let zone = self.settings.zone_index(&machine.zone)?;
         let ready = machine.is_ready(now, self.settings.heartbeat_interval());
@@ -102,11 +102,11 @@
     fn job_views(&self, machines: &[MachineView], now: Instant) -> Vec<JobView> {
         let machine_indexes: HashMap<&MachineId, usize> =
             machines.iter().enumerate().map(|(index, machine)| (&machine.id, index)).collect();
-        let longest_names = self.longest_names();
+        let size_bounds = self.binding_size_bounds();
         self.jobs
             .by_arrival()
             .filter(|job| job.is_active() && job.remaining() > 0)
-            .map(|job| self.job_view(job, &machine_indexes, longest_names, now))
+            .map(|job| self.job_view(job, &machine_indexes, size_bounds, now))
             .collect()
     }
 
@@ -116,16 +116,13 @@
         &self,
         job: &Job,
         machine_indexes: &HashMap<&MachineId, usize>,
-        longest_names: LongestNames,
+        size_bounds: BindingSizeBounds,
         now: Instant,
     ) -> JobView {
         let pending = job.pending(self.max_starts_per_pass(&job.spec));
         let pending_count = pending.len();
-        let pending = job.fitting_their_pages(
-            pending,
-            self.settings.state_limits().value_bytes,
-            longest_names,
-        );
+        let pending =
+            job.tasks_fitting_pages(pending, self.settings.state_limits().value_bytes, size_bounds);
         // A gang starts as a whole, so it is blocked while its pages can't hold the placements of
         // all its tasks.
         let gang_exceeds_pages = job.spec.shape == Shape::Gang && pending.len() < pending_count;
