--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -170,7 +170,8 @@
             }
             DirectOutcome::Answered(_) | DirectOutcome::Unknown => {
                 if machine.open_starts.is_open(request.id) {
-                    machine.token = machine.token.max(self.tokens.above(request.commands.token));
+                    machine.token =
+                        machine.token.max(self.tokens.next_above(request.commands.token));
                 }
                 Ok(())
             }
--- a/src/election.rs
+++ b/src/election.rs
@@ -37,7 +37,7 @@
     /// The client of the state service.
     fn state(&self) -> &dyn StateApi;
     /// The budget of requests to the state service.
-    fn requests(&self) -> &Budget;
+    fn request_budget(&self) -> &Budget;
     /// The records in memory.
     fn watch_cache(&self) -> &Mutex<WatchCache>;
     /// Notified whenever the leader record or this controller's term may have changed.
@@ -155,7 +155,7 @@
 async fn acquire<C: Candidate>(candidate: &C, version: u64) {
     let lease_duration = candidate.settings().leader_lease();
     let Versioned { version: token_version, value: token } = lock(candidate.watch_cache()).token;
-    candidate.requests().take(1.0).await;
+    candidate.request_budget().take(1.0).await;
     let lease = match candidate.state().grant_lease(lease_duration).await {
         Ok(lease) => lease,
         Err(_) => return sleep(lease_duration / 8).await,
@@ -173,7 +173,7 @@
         Condition { key: TOKEN_KEY.into(), version: token_version },
     ];
     let transaction = Transaction { conditions, writes };
-    candidate.requests().take(1.0).await;
+    candidate.request_budget().take(1.0).await;
     match candidate.state().transact(&transaction).await {
         Ok(revision) => candidate.apply_committed(&transaction.writes, revision),
         Err(error) => {
@@ -231,7 +231,7 @@
     let renewal_interval = candidate.settings().leader_lease() / 3;
     loop {
         let requested_at = Instant::now();
-        candidate.requests().take(1.0).await;
+        candidate.request_budget().take(1.0).await;
         match candidate.state().renew_lease(record.lease).await {
             Ok(()) => candidate.record_renewal(version, requested_at),
             Err(StateError::LeaseExpired) => {
--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -46,7 +46,7 @@
     }
 
     /// The next higher token of the term; its last one if there is none.
-    pub fn above(&self, token: u64) -> u64 {
+    pub fn next_above(&self, token: u64) -> u64 {
         token.saturating_add(1).clamp(self.first, self.last)
     }
 }
--- a/src/http/routes.rs
+++ b/src/http/routes.rs
@@ -15,7 +15,7 @@
 /// What answers the requests.
 pub trait RequestHandler: Send + Sync + 'static {
     /// The limit on users' requests in progress.
-    fn admission(&self) -> &Arc<AdmissionLimit>;
+    fn admission_limit(&self) -> &Arc<AdmissionLimit>;
     /// Whether the load balancer may send users' requests here.
     fn is_ready(&self) -> bool;
     /// Answers a submission. `body`: the job specification in JSON.
@@ -72,7 +72,7 @@
         );
     let status = warp::path!("work" / String).and(warp::get()).and(with_handler.clone()).then(
         |id: String, handler: Arc<H>| async move {
-            admitted(handler.admission(), handler.status(&id)).await
+            admitted(handler.admission_limit(), handler.status(&id)).await
         },
     );
     let submit = warp::path!("work")
@@ -80,13 +80,13 @@
         .and(warp::body::bytes())
         .and(with_handler.clone())
         .then(|body: Bytes, handler: Arc<H>| async move {
-            admitted(handler.admission(), handler.submit(&body)).await
+            admitted(handler.admission_limit(), handler.submit(&body)).await
         });
     let cancel = warp::path!("work" / String / "withdraw")
         .and(warp::post())
         .and(with_handler.clone())
         .then(|id: String, handler: Arc<H>| async move {
-            admitted(handler.admission(), handler.cancel(&id)).await
+            admitted(handler.admission_limit(), handler.cancel(&id)).await
         });
     let ready = warp::path!("up").and(warp::get()).and(with_handler).map(|handler: Arc<H>| {
         if handler.is_ready() {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -30,13 +30,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
     /// Connections at once.
-    pub sockets: usize,
+    pub max_connections: usize,
     /// A connection without a request for so long is closed.
     pub idle_timeout: Duration,
     /// How long the body of a request may take to arrive.
     pub body_timeout: Duration,
     /// All the bytes that the process may hold.
-    pub memory: f64,
+    pub memory_bytes: f64,
 }
 
 fn sender<B>(request: &Request<B>) -> Sender {
@@ -82,8 +82,8 @@
     listener: TcpListener,
     stop: CancellationToken,
 ) {
-    let slots = Arc::new(Semaphore::new(limits.sockets));
-    let bodies = Arc::new(BodyBudget::new(limits.memory, limits.body_timeout));
+    let slots = Arc::new(Semaphore::new(limits.max_connections));
+    let bodies = Arc::new(BodyBudget::new(limits.memory_bytes, limits.body_timeout));
     let connection_limits =
         ConnectionLimits { header_time: limits.idle_timeout, buffer: BODY_LIMIT / 4 };
     let service = warp::service(routes(handler));
@@ -93,7 +93,7 @@
         let (free, bodies) = (free.clone(), bodies.clone());
         let service = service_fn(move |request: Request<Incoming>| {
             let sender = sender(&request);
-            let sockets_scarce = free.available_permits() < limits.sockets / SCARCE;
+            let sockets_scarce = free.available_permits() < limits.max_connections / SCARCE;
             let closes = sender == Sender::Other && sockets_scarce;
             let (inner, bodies) = (inner.clone(), bodies.clone());
             async move {
--- a/src/node/candidate.rs
+++ b/src/node/candidate.rs
@@ -33,7 +33,7 @@
         &*self.state
     }
 
-    fn requests(&self) -> &Budget {
+    fn request_budget(&self) -> &Budget {
         &self.requests
     }
 
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -16,17 +16,17 @@
 /// The bounds of the public listener that the settings give.
 pub(super) fn server_limits(settings: &Settings) -> ServerLimits {
     ServerLimits {
-        sockets: settings.public_sockets(),
+        max_connections: settings.public_sockets(),
         // A worker that was silent for longer has left; what a cut left half open
         // must not hold a socket for long.
         idle_timeout: settings.worker_lease() * 2,
         body_timeout: settings.worker_lease() / 2,
-        memory: settings.cluster.quota.mem_mb * BYTES_PER_MB,
+        memory_bytes: settings.cluster.quota.mem_mb * BYTES_PER_MB,
     }
 }
 
 impl RequestHandler for Node {
-    fn admission(&self) -> &Arc<AdmissionLimit> {
+    fn admission_limit(&self) -> &Arc<AdmissionLimit> {
         &self.admission
     }
 
--- a/src/node/submission.rs
+++ b/src/node/submission.rs
@@ -174,7 +174,7 @@
         }
         let watch_cache = lock(&self.watch_cache);
         if spec.dependencies.iter().any(|id| watch_cache.unreadable_jobs.contains(id)) {
-            return Err(Unavailable::Record);
+            return Err(Unavailable::UnreadableRecord);
         }
         if let Some(id) = watch_cache.first_unknown(&spec.dependencies) {
             let reason = format!("Awaits names {id}, which was never accepted");
@@ -208,7 +208,8 @@
         let Some(team) = self.settings.team(&spec.team) else {
             return Ok(Some("no such team".into()));
         };
-        let types = lock(&self.watch_cache).machine_types.clone().ok_or(Unavailable::Types)?.value;
+        let types =
+            lock(&self.watch_cache).machine_types.clone().ok_or(Unavailable::MachineTypes)?.value;
         let zone = |t: &MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
         if !types.iter().any(|t| is_eligible(spec, t, false) && zone(t)) {
             return Ok(Some("a task fits no allowed machine type".into()));
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -28,7 +28,7 @@
         let watch_cache = lock(&self.watch_cache);
         match watch_cache.status(id) {
             Some(status) => Ok(UserReply::Known(status)),
-            None if watch_cache.unreadable_jobs.contains(id) => Err(Unavailable::Record),
+            None if watch_cache.unreadable_jobs.contains(id) => Err(Unavailable::UnreadableRecord),
             None => Ok(UserReply::Unknown),
         }
     }
--- a/src/replies.rs
+++ b/src/replies.rs
@@ -12,10 +12,10 @@
     State,
     /// No controller has stored the machine types yet.
     #[error("the machine types are not known yet")]
-    Types,
+    MachineTypes,
     /// The stored record of a job is not one that this version reads.
     #[error("the record of a job can't be read")]
-    Record,
+    UnreadableRecord,
 }
 
 /// The answer to a user's request.
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -257,10 +257,10 @@
     deployment.state.commit(Vec::new(), vec![write]).expect("written");
     seconds(1).await;
     let reply = deployment.submit(0, "j-000002", json!({"Awaits": ["j-000001"]})).await;
-    assert_eq!(reply, Err(Unavailable::Record), "neither accepted nor refused for good");
+    assert_eq!(reply, Err(Unavailable::UnreadableRecord), "neither accepted nor refused for good");
     assert_eq!(
         deployment.status(1, "j-000001").await,
-        Err(Unavailable::Record),
+        Err(Unavailable::UnreadableRecord),
         "not called unknown"
     );
     assert_eq!(deployment.starts(), 0);
