--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,6 +1,7 @@
-//! Request bodies: read whole before a request is handled, within a time, and
-//! within a budget of bytes, so that callers can't fill the memory of a small
-//! machine by sending large bodies on all connections at once.
+//! Reading of request bodies. A body is buffered completely before its request is
+//! handled. Reading is limited by a time-out and by a budget of bytes for all bodies,
+//! so that callers can't fill the memory of a small machine by sending large bodies
+//! on all connections at the same time.
 
 use std::sync::Arc;
 
@@ -15,59 +16,62 @@
 
 use crate::protocol::BODY_LIMIT;
 
-/// Bodies up to this size in bytes take nothing of the budget: the number of sockets
-/// bounds what they hold.
-const SMALL_BODY: usize = 4 * 1024;
+/// Bodies up to this size reserve nothing from the budget: the limit on connections
+/// already bounds the memory that they take.
+const MAX_UNRESERVED_BODY_BYTES: usize = 4 * 1024;
 
-/// The bodies of workers' heartbeats may take this part of the memory, and those of all
-/// other requests as much again.
-const MEMORY_PARTS: f64 = 8.0;
+/// Divides the process's memory into the budget for workers' heartbeats. The budget for
+/// all other requests has the same size.
+const MEMORY_DIVISOR: f64 = 8.0;
 
-/// Why a body was not read.
+/// The reason why a body was not read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than `BODY_LIMIT`, or the connection failed.
+    /// The body is longer than `BODY_LIMIT`, or the connection failed.
     #[error("the body can't be read")]
     Unreadable,
-    /// It did not arrive within the time-out.
+    /// The body did not arrive within the time-out.
     #[error("the body did not come in time")]
     TooSlow,
-    /// The budget of its sender is used up.
+    /// The budget for this kind of sender has too few free bytes.
     #[error("too many large bodies at once")]
-    NoRoom,
+    BudgetExhausted,
 }
 
-/// Who sends a body. Workers have a budget of their own: their leases depend on
-/// it.
+/// The kind of sender of a body. Workers have a separate budget, since their leases
+/// expire when their heartbeats are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// A worker, with a heartbeat.
+    /// A worker that sends a heartbeat.
     Worker,
-    /// A user, or the load balancer.
+    /// A user or the load balancer.
     Other,
 }
 
-/// A whole body, which holds its share of the budget until it is dropped.
+/// A completely received body. Its reservation in the budget is released on drop.
 #[derive(Debug)]
-pub struct ReadBody {
-    /// The body.
+pub struct BufferedBody {
+    /// The content of the body.
     pub bytes: Bytes,
     _reservation: Option<OwnedSemaphorePermit>,
 }
 
-/// Bytes that bodies may hold at once.
+/// Limits on the memory that the bodies of all requests in progress may take.
 pub struct BodyBudget {
+    /// Free bytes for workers' heartbeats.
     workers: Arc<Semaphore>,
+    /// Free bytes for all other requests.
     others: Arc<Semaphore>,
+    /// How long a body may take to arrive.
     timeout: Duration,
 }
 
 impl BodyBudget {
-    /// `memory`: all the bytes that the process may hold. `timeout`: how long a
-    /// body may take to arrive.
-    pub fn new(memory: f64, timeout: Duration) -> Self {
-        // One body always has room.
-        let bytes = ((memory / MEMORY_PARTS) as usize).max(BODY_LIMIT);
+    /// Creates the budgets of both kinds of senders. `memory_bytes`: the memory that the
+    /// process may use. `timeout`: how long a body may take to arrive.
+    pub fn new(memory_bytes: f64, timeout: Duration) -> Self {
+        // Each budget admits at least one body of the largest size.
+        let bytes = ((memory_bytes / MEMORY_DIVISOR) as usize).max(BODY_LIMIT);
         Self {
             workers: Arc::new(Semaphore::new(bytes)),
             others: Arc::new(Semaphore::new(bytes)),
@@ -75,26 +79,29 @@
         }
     }
 
-    /// Reads a body whole, or fails at once if there is no room for it.
+    /// Reads a complete body. Fails immediately if the budget has too few free bytes.
     ///
     /// # Errors
     /// The body is too long, did not arrive in time, or exceeds the budget.
-    pub async fn read<B>(&self, sender: Sender, body: B) -> Result<ReadBody, BodyError>
+    pub async fn read<B>(&self, sender: Sender, body: B) -> Result<BufferedBody, BodyError>
     where
         B: Body<Data = Bytes>,
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     {
-        // A body of unknown length may become as long as any.
+        // A body of unknown length reserves the largest size.
         let length = body.size_hint().exact().unwrap_or(BODY_LIMIT as u64);
         let length = usize::try_from(length).map_err(|_| BodyError::Unreadable)?;
         if length > BODY_LIMIT {
             return Err(BodyError::Unreadable);
         }
-        let reservation =
-            if length > SMALL_BODY { Some(self.reserve(sender, length)?) } else { None };
+        let reservation = if length > MAX_UNRESERVED_BODY_BYTES {
+            Some(self.reserve(sender, length)?)
+        } else {
+            None
+        };
         let body = timeout(self.timeout, collect(body, length)).await;
         let bytes = body.map_err(|_| BodyError::TooSlow)??;
-        Ok(ReadBody { bytes, _reservation: reservation })
+        Ok(BufferedBody { bytes, _reservation: reservation })
     }
 
     fn reserve(&self, sender: Sender, length: usize) -> Result<OwnedSemaphorePermit, BodyError> {
@@ -103,33 +110,38 @@
             Sender::Other => &self.others,
         };
         let length = u32::try_from(length).map_err(|_| BodyError::Unreadable)?;
-        budget.clone().try_acquire_many_owned(length).map_err(|_| BodyError::NoRoom)
+        budget.clone().try_acquire_many_owned(length).map_err(|_| BodyError::BudgetExhausted)
     }
 }
 
+/// Receives all frames of a body. `length`: the expected size, for the allocation.
 async fn collect<B>(body: B, length: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let mut body = std::pin::pin!(Limited::new(body, BODY_LIMIT));
-    let mut first: Option<Bytes> = None;
-    let mut rest = BytesMut::new();
+    let mut first_frame: Option<Bytes> = None;
+    let mut joined_frames = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| BodyError::Unreadable)?.into_data() else { continue };
-        match &first {
-            // Most bodies come in one piece, which is handed on as it is.
-            None => first = Some(data),
-            Some(begin) => {
-                if rest.is_empty() {
-                    rest.reserve(length);
-                    rest.extend_from_slice(begin);
+        match &first_frame {
+            // Most bodies arrive in a single frame, which is returned without a copy.
+            None => first_frame = Some(data),
+            Some(first) => {
+                if joined_frames.is_empty() {
+                    joined_frames.reserve(length);
+                    joined_frames.extend_from_slice(first);
                 }
-                rest.extend_from_slice(&data);
+                joined_frames.extend_from_slice(&data);
             }
         }
     }
-    Ok(if rest.is_empty() { first.unwrap_or_default() } else { rest.freeze() })
+    Ok(if joined_frames.is_empty() {
+        first_frame.unwrap_or_default()
+    } else {
+        joined_frames.freeze()
+    })
 }
 
 #[cfg(test)]
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP, both sides: the routes and the listener for users and workers, and the
-//! client.
+//! HTTP server and client: the routes and the listener for users, the load balancer
+//! and workers, and the client for calls to workers and other services.
 
 mod body;
 mod responses;
--- a/src/http/responses.rs
+++ b/src/http/responses.rs
@@ -11,7 +11,7 @@
     replies::{HeartbeatReply, Unavailable, UserReply},
 };
 
-/// What a refused caller finds in `Retry-After`, in seconds.
+/// The value of `Retry-After` in a refusal, in seconds.
 const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("1");
 
 fn json<T: serde::Serialize>(status: StatusCode, body: &T) -> Response {
@@ -23,15 +23,15 @@
     json(status, &ErrorBody { error: reason.into() })
 }
 
-/// A refusal that says when to retry. It is sent at once: holding a request back
-/// would only hide that it can't be served.
+/// A refusal with the time after which the caller may retry. Requests are refused
+/// without delay: queuing them would only hide that they can't be served.
 pub(super) fn retry_later(reason: &str) -> Response {
     let mut response = error(StatusCode::SERVICE_UNAVAILABLE, reason);
     response.headers_mut().insert(header::RETRY_AFTER, RETRY_AFTER_S);
     response
 }
 
-/// Has the connection closed after this response.
+/// Marks a response so that the connection is closed after it.
 pub(super) fn close_after(response: &mut Response) {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/src/http/routes.rs
+++ b/src/http/routes.rs
@@ -12,27 +12,27 @@
     replies::{HeartbeatReply, Unavailable, UserReply},
 };
 
-/// What answers the requests.
+/// The operations behind the routes.
 pub trait RequestHandler: Send + Sync + 'static {
     /// The limit on users' requests in progress.
     fn admission_limit(&self) -> &Arc<AdmissionLimit>;
     /// Whether the load balancer may send users' requests here.
     fn is_ready(&self) -> bool;
-    /// Answers a submission. `body`: the job specification in JSON.
+    /// Submits a job. `body`: the job specification in JSON.
     fn submit(&self, body: &[u8]) -> impl Future<Output = Result<UserReply, Unavailable>> + Send;
-    /// Answers a query for a job's status.
+    /// Returns the status of a job.
     fn status(&self, id: &str) -> impl Future<Output = Result<UserReply, Unavailable>> + Send;
-    /// Answers a cancellation.
+    /// Cancels a job.
     fn cancel(&self, id: &str) -> impl Future<Output = Result<UserReply, Unavailable>> + Send;
-    /// Answers a worker's heartbeat.
+    /// Processes a worker's heartbeat.
     fn worker_heartbeat(
         &self,
         heartbeat: &WorkerHeartbeat,
     ) -> impl Future<Output = HeartbeatReply> + Send;
 }
 
-/// Runs a user's request if the admission limit has room for it.
-async fn admitted(
+/// Runs a user's request, or refuses it while the admission limit is reached.
+async fn respond_if_admitted(
     limit: &Arc<AdmissionLimit>,
     request: impl Future<Output = Result<UserReply, Unavailable>>,
 ) -> Response {
@@ -41,14 +41,15 @@
     };
     let reply = request.await;
     match &reply {
-        // Refusals come fast and would make a slow service seem quick.
+        // Refusals are quick. Their times would make an overloaded service seem fast.
         Err(_) => permit.discard(),
         Ok(_) => permit.finish(),
     }
     user_response(reply)
 }
 
-async fn answer_heartbeat<H: RequestHandler>(handler: &H, body: &[u8]) -> Response {
+/// Parses and processes a worker's heartbeat.
+async fn heartbeat_response_for<H: RequestHandler>(handler: &H, body: &[u8]) -> Response {
     match serde_json::from_slice::<WorkerHeartbeat>(body) {
         Ok(heartbeat) => heartbeat_response(handler.worker_heartbeat(&heartbeat).await),
         Err(e) => error(StatusCode::BAD_REQUEST, e.to_string()),
@@ -67,12 +68,12 @@
         .and(warp::post())
         .and(warp::body::bytes())
         .and(with_handler.clone())
-        .then(
-            |body: Bytes, handler: Arc<H>| async move { answer_heartbeat(&*handler, &body).await },
-        );
+        .then(|body: Bytes, handler: Arc<H>| async move {
+            heartbeat_response_for(&*handler, &body).await
+        });
     let status = warp::path!("work" / String).and(warp::get()).and(with_handler.clone()).then(
         |id: String, handler: Arc<H>| async move {
-            admitted(handler.admission_limit(), handler.status(&id)).await
+            respond_if_admitted(handler.admission_limit(), handler.status(&id)).await
         },
     );
     let submit = warp::path!("work")
@@ -80,13 +81,13 @@
         .and(warp::body::bytes())
         .and(with_handler.clone())
         .then(|body: Bytes, handler: Arc<H>| async move {
-            admitted(handler.admission_limit(), handler.submit(&body)).await
+            respond_if_admitted(handler.admission_limit(), handler.submit(&body)).await
         });
     let cancel = warp::path!("work" / String / "withdraw")
         .and(warp::post())
         .and(with_handler.clone())
         .then(|id: String, handler: Arc<H>| async move {
-            admitted(handler.admission_limit(), handler.cancel(&id)).await
+            respond_if_admitted(handler.admission_limit(), handler.cancel(&id)).await
         });
     let ready = warp::path!("up").and(warp::get()).and(with_handler).map(|handler: Arc<H>| {
         if handler.is_ready() {
@@ -95,25 +96,18 @@
             retry_later("not ready")
         }
     });
-    heartbeat
-        .or(status)
-        .unify()
-        .or(submit)
-        .unify()
-        .or(ready)
-        .unify()
-        .or(cancel)
-        .unify()
-        .recover(|rejection: Rejection| async move { Ok::<_, Infallible>(rejected(&rejection)) })
+    heartbeat.or(status).unify().or(submit).unify().or(ready).unify().or(cancel).unify().recover(
+        |rejection: Rejection| async move { Ok::<_, Infallible>(rejection_response(&rejection)) },
+    )
 }
 
-fn rejected(rejection: &Rejection) -> Response {
+fn rejection_response(rejection: &Rejection) -> Response {
     if rejection.is_not_found() {
         error(StatusCode::NOT_FOUND, "no such path")
     } else if rejection.find::<warp::reject::MethodNotAllowed>().is_some() {
         error(StatusCode::METHOD_NOT_ALLOWED, "no such method here")
     } else {
-        // What is left are bodies that can't be read or are too large.
+        // The only other rejections are of bodies that can't be read or are too large.
         error(StatusCode::BAD_REQUEST, "the body can't be read")
     }
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The public listener: connections, and the bodies of their requests.
+//! The public listener, which limits the connections and reads the bodies of requests.
 
 use std::sync::Arc;
 
@@ -22,30 +22,32 @@
 };
 use crate::protocol::BODY_LIMIT;
 
-/// While fewer than one in so many of the public sockets is free, users'
-/// connections are closed after a response: workers come first.
-const SCARCE: usize = 8;
+/// Divides the maximum number of connections into the number that is kept free. While
+/// fewer are free, connections of users and of the load balancer are closed after the
+/// next response, so that workers can connect.
+const FREE_SOCKETS_DIVISOR: usize = 8;
 
-/// The bounds of the public listener.
+/// The limits of the public listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections at once.
+    /// The maximum number of open connections.
     pub max_connections: usize,
-    /// A connection without a request for so long is closed.
+    /// How long a connection may stay open without a request.
     pub idle_timeout: Duration,
     /// How long the body of a request may take to arrive.
     pub body_timeout: Duration,
-    /// All the bytes that the process may hold.
+    /// The memory that the process may use, in bytes.
     pub memory_bytes: f64,
 }
 
+/// The sender's kind, which the path determines.
 fn sender<B>(request: &Request<B>) -> Sender {
-    let worker = request.uri().path().starts_with("/agent/");
-    if worker { Sender::Worker } else { Sender::Other }
+    let is_worker = request.uri().path().starts_with("/agent/");
+    if is_worker { Sender::Worker } else { Sender::Other }
 }
 
-/// Reads the body of a request and has it answered.
-async fn answer<S>(
+/// Reads the body of a request and passes the request to the service.
+async fn handle_request<S>(
     service: &S,
     bodies: &BodyBudget,
     sender: Sender,
@@ -60,45 +62,47 @@
             let request = Request::from_parts(parts, Full::from(body.bytes.clone()));
             service.call(request).await
         }
-        Err(reason) => Ok(body_refusal(reason)),
+        Err(body_error) => Ok(body_error_response(body_error)),
     }
 }
 
-fn body_refusal(reason: BodyError) -> Response {
-    let mut refusal = match reason {
-        BodyError::Unreadable => error(StatusCode::BAD_REQUEST, reason.to_string()),
-        BodyError::TooSlow => error(StatusCode::REQUEST_TIMEOUT, reason.to_string()),
-        BodyError::NoRoom => retry_later(&reason.to_string()),
+fn body_error_response(body_error: BodyError) -> Response {
+    let mut response = match body_error {
+        BodyError::Unreadable => error(StatusCode::BAD_REQUEST, body_error.to_string()),
+        BodyError::TooSlow => error(StatusCode::REQUEST_TIMEOUT, body_error.to_string()),
+        BodyError::BudgetExhausted => retry_later(&body_error.to_string()),
     };
-    // The rest of the body may still come on this connection.
-    close_after(&mut refusal);
-    refusal
+    // The rest of the body may still arrive, so the connection can't be used for another
+    // request.
+    close_after(&mut response);
+    response
 }
 
-/// Serves connections until `stop` is cancelled, each in a task of its own.
+/// Serves connections until `stop` is cancelled, each in a separate task.
 pub async fn serve<H: RequestHandler>(
     handler: Arc<H>,
     limits: ServerLimits,
     listener: TcpListener,
     stop: CancellationToken,
 ) {
-    let slots = Arc::new(Semaphore::new(limits.max_connections));
+    let connection_slots = Arc::new(Semaphore::new(limits.max_connections));
     let bodies = Arc::new(BodyBudget::new(limits.memory_bytes, limits.body_timeout));
     let connection_limits =
         ConnectionLimits { header_time: limits.idle_timeout, buffer: BODY_LIMIT / 4 };
     let service = warp::service(routes(handler));
-    let free = slots.clone();
-    let connection = move |stream: TcpStream, stop: CancellationToken| {
+    let free_slots = connection_slots.clone();
+    let serve_stream = move |stream: TcpStream, stop: CancellationToken| {
         let inner = TowerToHyperService::new(service.clone());
-        let (free, bodies) = (free.clone(), bodies.clone());
+        let (free_slots, bodies) = (free_slots.clone(), bodies.clone());
         let service = service_fn(move |request: Request<Incoming>| {
             let sender = sender(&request);
-            let sockets_scarce = free.available_permits() < limits.max_connections / SCARCE;
-            let closes = sender == Sender::Other && sockets_scarce;
+            let sockets_are_scarce =
+                free_slots.available_permits() < limits.max_connections / FREE_SOCKETS_DIVISOR;
+            let closes_connection = sender == Sender::Other && sockets_are_scarce;
             let (inner, bodies) = (inner.clone(), bodies.clone());
             async move {
-                let mut response = answer(&inner, &bodies, sender, request).await;
-                if let (true, Ok(response)) = (closes, &mut response) {
+                let mut response = handle_request(&inner, &bodies, sender, request).await;
+                if let (true, Ok(response)) = (closes_connection, &mut response) {
                     close_after(response);
                 }
                 response
@@ -109,5 +113,5 @@
             serve_connection(stream, service, connection_limits, stop).await;
         }
     };
-    accept_each(listener, slots, stop, connection).await;
+    accept_each(listener, connection_slots, stop, serve_stream).await;
 }
