--- a/src/lease_renewal/mod.rs
+++ b/src/lease_renewal/mod.rs
@@ -1,32 +1,33 @@
-//! Renewal of workers' leases while nobody can lead.
+//! Renewal of worker leases while no controller can lead.
 //!
-//! A leader that ends within an outage of the state service has no successor
-//! until the outage ends, and worker leases are shorter than most outages. So
-//! the other controllers answer worker heartbeats meanwhile, with the fencing
-//! token that the worker knows and without commands: that renews the worker's
-//! lease and starts nothing.
+//! If a leader ends during an outage of the state service, no successor can be elected
+//! until the outage ends, and worker leases are shorter than most outages. Meanwhile the
+//! other controllers answer worker heartbeats as followers, with the fencing token that
+//! the worker already knows and with no commands except those that stop tasks of
+//! cancelled jobs. Such an answer renews the worker's lease and starts nothing.
 //!
-//! Such answers would void a leader's proof that the tasks of a silent worker
-//! are confirmed terminated (`fleet.rs`). Renewal abstentions keep both apart: a
-//! controller that receives a leader's heartbeat answers no worker heartbeat for
-//! a while, and acknowledges the leader's heartbeat in its own next one. A leader
-//! uses the proof only while the abstentions of all others have covered the whole
-//! time that the proof counts. Heartbeats may come late or not at all: the leader
-//! counts an abstention from when it *sent* the acknowledged heartbeat, and
-//! without abstentions it has no proof. Whoever acknowledges a heartbeat of this
-//! term also leads no more, since a heartbeat carries the token that supersedes
-//! it. So abstentions of all others are a proof even for workers from which this
-//! leader never received a heartbeat: the last heartbeat that anybody answered
-//! was sent before the abstentions began.
+//! A leader takes the tasks of a silent worker as terminated once the worker's lease
+//! must have expired (`fleet.rs`). Answers by followers would invalidate this proof.
+//! Renewal abstentions prevent that: a controller that receives a leader's heartbeat
+//! answers no worker heartbeat for a fixed time, and acknowledges the leader's heartbeat
+//! in its own next one. The leader uses the proof only while the abstentions of all other
+//! controllers have covered the whole period that the proof counts. Heartbeats may be
+//! late or lost: the leader counts an abstention from when it *sent* the acknowledged
+//! heartbeat, and without abstentions it has no proof. A controller that acknowledges a
+//! heartbeat of this term no longer leads an earlier term either, since the heartbeat
+//! carries a token that supersedes its own. So the abstentions of all others are a proof
+//! even for workers from which this leader never received a heartbeat: the last worker
+//! heartbeat that another controller answered was sent before the abstentions began.
 //!
-//! Whoever renews leases may not know of the latest cancellations: the state
-//! service may refuse a leader alone while another controller confirms some, and
-//! then be down for all. A leader that receives them in a notice of another
-//! controller stops their tasks, since an end that was confirmed to a user is
-//! durable. But it answers workers only while, for each other controller, all
-//! cancellations that this one may have confirmed to users are known up to a
-//! moment so short ago that leases still expire within `cancel_s`
-//! (`CancellationWatermarks`). Followers that renew stop at the same limit.
+//! A controller that renews leases may not know the latest cancellations. For example,
+//! the state service may refuse only the leader's requests while another controller
+//! confirms cancellations, and then become unavailable to all controllers. A leader that
+//! receives such cancellations in a notice from another controller stops their tasks,
+//! since an end that was confirmed to a user is durable. A leader answers workers only
+//! while it knows, for each other controller, all cancellations that the controller may
+//! have confirmed up to a recent moment (`CancellationWatermarks`). The moment must be
+//! recent enough for worker leases to expire within `cancel_s` of a later cancellation.
+//! Followers stop renewing leases at the same limit.
 
 mod abstentions;
 mod cancellation_watermarks;
