--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -9,8 +9,8 @@
 }
 
 /// Adds a job whose dependencies have not ended.
-fn add(graph: &mut DependencyGraph, job: u32, priority: Priority, needs: &[u32]) -> Effects {
-    graph.insert(&id(job), priority, &ids(needs), |_| None)
+fn add(graph: &mut DependencyGraph, job: u32, priority: Priority, dependencies: &[u32]) -> Effects {
+    graph.insert(&id(job), priority, &ids(dependencies), |_| None)
 }
 
 fn sorted(mut jobs: Vec<JobId>) -> Vec<JobId> {
@@ -18,7 +18,7 @@
     jobs
 }
 
-/// 1 <- 2, 1 <- 3, and 4 needs both.
+/// A graph in which jobs 2 and 3 depend on job 1, and job 4 depends on jobs 2 and 3.
 fn diamond() -> DependencyGraph {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, Priority::BestEffort, &[]);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_job_is_ready_when_the_last_job_that_it_needs_is_done() {
+fn job_is_ready_when_its_last_dependency_is_done() {
     let mut graph = diamond();
     assert!(
         !graph.is_waiting("j-000001")
@@ -44,42 +44,43 @@
 }
 
 #[test]
-fn a_cancellation_reaches_all_dependants_once() {
+fn cancellation_reaches_each_dependant_once() {
     let mut graph = diamond();
     graph.end(&id(1), Outcome::Done);
     let effects = graph.end(&id(2), Outcome::Cancelled);
     assert_eq!(effects.cancelled, ids(&[4]));
     assert!(graph.is_cancelled("j-000004") && !graph.is_cancelled("j-000003"));
-    // Its other dependency may still end either way.
+    // The other dependency of job 4 may still end either way.
     assert_eq!(graph.end(&id(3), Outcome::Done).ready, ids(&[]));
     assert!(graph.is_waiting("j-000004"), "a cancelled job never becomes ready");
     assert_eq!(graph.end(&id(4), Outcome::Cancelled), Effects::default());
 }
 
 #[test]
-fn a_job_that_names_a_cancelled_one_is_cancelled_with_it() {
+fn job_with_a_cancelled_dependency_is_cancelled() {
     let mut graph = DependencyGraph::default();
     let cancelled = |job: &JobId| (*job == id(1)).then_some(Outcome::Cancelled);
     let effects = graph.insert(&id(2), Priority::High, &ids(&[1]), cancelled);
     assert_eq!(effects.cancelled, ids(&[2]));
-    // Through a job that is cancelled only with another, too.
+    // Job 2 has no recorded end and is cancelled only with job 1: job 3 is cancelled too.
     let effects = graph.insert(&id(3), Priority::High, &ids(&[2]), cancelled);
     assert_eq!(effects.cancelled, ids(&[3]));
 }
 
 #[test]
-fn records_may_be_read_in_any_order() {
-    // The dependant's id sorts before that of the job which it needs.
+fn dependants_may_be_added_before_their_dependencies() {
+    // The dependant's id sorts before that of its dependency, so its record can be read
+    // first.
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, Priority::High, &[2]);
-    assert!(graph.is_waiting("j-000001"), "a job that is not known yet is not done");
+    assert!(graph.is_waiting("j-000001"), "a job that is not in the graph yet is not done");
     let cancelled = |job: &JobId| (*job == id(9)).then_some(Outcome::Cancelled);
     let effects = graph.insert(&id(2), Priority::Standard, &ids(&[9]), cancelled);
     assert_eq!(sorted(effects.cancelled), ids(&[1, 2]));
 }
 
 #[test]
-fn priority_is_inherited_through_all_stages_also_from_a_late_last_one() {
+fn priority_is_inherited_through_all_stages_and_from_late_dependants() {
     let mut graph = diamond();
     for job in ["j-000001", "j-000002", "j-000003"] {
         assert_eq!(graph.effective_priority(job), Some(Priority::High), "{job}");
@@ -87,7 +88,7 @@
     let effects = add(&mut graph, 5, Priority::Production, &[2]);
     assert_eq!(sorted(effects.priority_changed), ids(&[1, 2]));
     assert_eq!(graph.effective_priority("j-000003"), Some(Priority::High));
-    // Who is cancelled needs nothing any more.
+    // A cancelled dependant no longer raises the priority of its dependencies.
     graph.end(&id(5), Outcome::Cancelled);
     assert_eq!(graph.effective_priority("j-000001"), Some(Priority::High));
     graph.end(&id(4), Outcome::Cancelled);
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn a_dependency_that_is_done_already_does_not_hold_a_job() {
+fn job_does_not_wait_for_a_dependency_that_is_already_done() {
     let mut graph = DependencyGraph::default();
     let effects = graph.insert(&id(2), Priority::High, &ids(&[1]), |_| Some(Outcome::Done));
     assert_eq!(effects, Effects::default());
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn nothing_is_kept_of_jobs_that_ended() {
+fn ended_jobs_leave_no_nodes_or_edges() {
     let mut graph = diamond();
     for job in 1..=4 {
         graph.end(&id(job), Outcome::Done);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_job_that_the_graph_does_not_know_waits() {
+fn job_that_is_not_in_the_graph_waits() {
     let graph = diamond();
     assert!(graph.is_waiting("j-000099"));
 }
--- a/src/http/routes.rs
+++ b/src/http/routes.rs
@@ -36,7 +36,7 @@
     limit: &Arc<AdmissionLimit>,
     request: impl Future<Output = Result<UserReply, Unavailable>>,
 ) -> Response {
-    let Some(permit) = limit.enter() else {
+    let Some(permit) = limit.try_acquire() else {
         return retry_later("too many requests in progress");
     };
     let reply = request.await;
