--- a/src/election.rs
+++ b/src/election.rs
@@ -1,10 +1,10 @@
 //! Leader election: a key attached to a lease of the state service, and a counter
 //! that is never attached to one.
 //!
-//! One transaction conditioned on both takes the key and raises the counter, whose
-//! range of fencing tokens is the term's (`fencing.rs`). All writes of that leader
-//! are conditioned on the key's version, so what a superseded leader left under way
-//! fails.
+//! A single transaction, conditioned on the versions of both, writes the key and raises the
+//! counter by the range of fencing tokens of the new term (`fencing.rs`). All writes of
+//! the leader are conditioned on the key's version, so writes that a superseded leader
+//! still has in flight fail.
 
 use std::sync::{Arc, Mutex};
 
@@ -25,10 +25,10 @@
 };
 
 /// The version of a key that doesn't exist.
-const ABSENT: u64 = 0;
+const ABSENT_KEY_VERSION: u64 = 0;
 
-/// What an election needs of a candidate, which is a controller. `version` is the
-/// version of the leader record, which identifies a term.
+/// A controller as a candidate for leadership. `version` is always the version of the
+/// leader record, which identifies a term.
 pub trait Candidate: Send + Sync + 'static {
     /// The controller's settings.
     fn settings(&self) -> &Settings;
@@ -38,26 +38,28 @@
     fn state(&self) -> &dyn StateApi;
     /// The budget of requests to the state service.
     fn request_budget(&self) -> &Budget;
-    /// The records in memory.
+    /// The copy of the state service's records in memory.
     fn watch_cache(&self) -> &Mutex<WatchCache>;
     /// Notified whenever the leader record or this controller's term may have changed.
     fn leadership_changed(&self) -> &Notify;
 
-    /// A random share of `max`, so that candidates don't act at the same instant.
+    /// Returns a random duration up to `max`, so that candidates don't act at the same
+    /// instant.
     fn jitter(&self, max: Duration) -> Duration;
-    /// Applies committed writes to the watch cache.
+    /// Applies writes that were committed at this revision to the watch cache.
     fn apply_committed(&self, writes: &[Write], revision: u64);
-    /// Waits until the watch cache has reached a revision read after this call.
+    /// Waits until the watch cache has reached a revision that was read after this call.
     fn refresh(&self) -> impl Future<Output = Result<(), Unavailable>> + Send;
 
-    /// Whether workers reach other controllers, but not this one.
+    /// Whether workers reach other controllers but not this one.
     fn workers_reach_only_others(&self) -> bool;
     /// Whether the controller that workers try after this one is silent.
     fn next_controller_is_silent(&self) -> bool;
-    /// Lets an unreachable leader know through the state service that workers live.
+    /// Reports through the state service that workers are alive, if this controller
+    /// receives their heartbeats but can't reach the leader.
     fn announce_rejected_heartbeats(&self) -> impl Future<Output = ()> + Send;
 
-    /// A term begins.
+    /// Begins a term of this controller.
     fn begin_term(&self, version: u64, tokens: TermTokens);
     /// Does a leader's work until the term ends or `stop` is cancelled.
     fn run_term(
@@ -65,26 +67,29 @@
         version: u64,
         stop: CancellationToken,
     ) -> impl Future<Output = ()> + Send + 'static;
-    /// The leader lease was renewed by a request that was made at this moment.
+    /// Records that a request sent at `requested_at` renewed the leader lease.
     fn record_renewal(&self, version: u64, requested_at: Instant);
     /// Whether this controller still holds the term, as far as it knows.
     fn holds_term(&self, version: u64) -> bool;
-    /// Whether the workers live, but their heartbeats don't reach this leader.
+    /// Whether the workers are alive, but their heartbeats don't reach this leader.
     fn is_isolated_from_workers(&self, version: u64) -> bool;
-    /// The term is over.
+    /// Ends a term of this controller.
     fn end_term(&self, version: u64);
 }
 
-/// Why a term ended.
+/// The reason for the end of a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TermEnd {
+    /// The state service reported that the leader lease has expired.
     LeaseExpired,
+    /// The leader record was replaced or deleted, or this controller stepped down.
     Superseded,
+    /// The workers are alive, but their heartbeats don't reach this leader.
     IsolatedFromWorkers,
 }
 
-/// Stands for election whenever nobody leads, and leads when elected, until `stop`
-/// is cancelled.
+/// Runs for election whenever no controller leads, and leads when elected, until `stop` is
+/// cancelled.
 pub async fn run<C: Candidate>(candidate: Arc<C>, stop: CancellationToken) {
     tokio::select! {
         () = run_elections(&candidate, &stop) => {}
@@ -92,38 +97,44 @@
     }
 }
 
+/// Takes part in elections for ever. Leads whenever the leader record is one that this
+/// process wrote.
 async fn run_elections<C: Candidate>(candidate: &Arc<C>, stop: &CancellationToken) {
     let settings = candidate.settings();
     let lease_duration = settings.leader_lease();
-    let mut hold_off: Option<Instant> = None;
+    let mut hold_off_until: Option<Instant> = None;
     loop {
         let leader = {
             let watch_cache = lock(candidate.watch_cache());
             watch_cache.loaded.then(|| watch_cache.leader.clone())
         };
         match leader {
-            Some(Some(Versioned { version, value: record })) if is_own(&**candidate, &record) => {
+            Some(Some(Versioned { version, value: record }))
+                if was_written_by(&**candidate, &record) =>
+            {
                 let end = lead(candidate, version, &record, stop).await;
-                // Workers may reach another controller better.
-                hold_off = (end == TermEnd::IsolatedFromWorkers)
+                // Workers may be able to reach another controller, which can be elected
+                // while this one is no candidate.
+                hold_off_until = (end == TermEnd::IsolatedFromWorkers)
                     .then(|| Instant::now() + settings.worker_lease());
             }
-            // A former process of this member held it: nobody else can be using
-            // that lease.
+            // A former process of this member wrote the record. It no longer runs, so the
+            // record can be replaced without waiting for the lease to expire.
             Some(Some(Versioned { version, value: record }))
                 if record.member == settings.member =>
             {
                 acquire(&**candidate, version).await;
             }
-            Some(None) if hold_off.is_none_or(|until| until <= Instant::now()) => {
-                // Not all at the same instant: the first request wins.
+            Some(None) if hold_off_until.is_none_or(|until| until <= Instant::now()) => {
+                // The first request wins, so candidates wait for random times.
                 let jitter = candidate.jitter(lease_duration / 32);
-                sleep(deference(&**candidate) + jitter).await;
+                sleep(candidacy_delay(&**candidate) + jitter).await;
                 if lock(candidate.watch_cache()).leader.is_none() {
-                    acquire(&**candidate, ABSENT).await;
+                    acquire(&**candidate, ABSENT_KEY_VERSION).await;
                 }
             }
-            // A change wakes this task; the timer is for a hold-off that ends.
+            // A change of leadership wakes this task. The time-out lets it notice the end
+            // of its hold-off.
             _ => {
                 let _ =
                     timeout(lease_duration / 4, candidate.leadership_changed().notified()).await;
@@ -133,25 +144,27 @@
     }
 }
 
-/// Whether this process wrote the leader record.
-fn is_own<C: Candidate>(candidate: &C, record: &LeaderRecord) -> bool {
+/// Whether the candidate's process wrote the leader record.
+fn was_written_by<C: Candidate>(candidate: &C, record: &LeaderRecord) -> bool {
     record.member == candidate.settings().member && record.incarnation == candidate.incarnation()
 }
 
-/// For how long a candidate lets others go first.
-fn deference<C: Candidate>(candidate: &C) -> Duration {
+/// How long a candidate waits before it requests the leadership, so that better placed
+/// candidates are elected first.
+fn candidacy_delay<C: Candidate>(candidate: &C) -> Duration {
     let lease_duration = candidate.settings().leader_lease();
-    // Workers that reach other controllers only may be lost to this one as they
-    // were to its predecessor.
-    let unreachable =
+    // If workers reach only other controllers, this one may lose them as a leader too, as
+    // its predecessor did.
+    let unreachable_delay =
         if candidate.workers_reach_only_others() { lease_duration / 4 } else { Duration::ZERO };
-    // As a leader it could not hand the workers on in time.
-    let poor_successor =
+    // If this controller led and lost its workers, they would try the silent controller
+    // next and could spend most of their lease on time-outs.
+    let silent_successor_delay =
         if candidate.next_controller_is_silent() { lease_duration / 8 } else { Duration::ZERO };
-    unreachable + poor_successor
+    unreachable_delay + silent_successor_delay
 }
 
-/// One attempt to replace the leader record of this version by an own one.
+/// Makes one attempt to replace the leader record of this version by one of this process.
 async fn acquire<C: Candidate>(candidate: &C, version: u64) {
     let lease_duration = candidate.settings().leader_lease();
     let Versioned { version: token_version, value: token } = lock(candidate.watch_cache()).token;
@@ -177,8 +190,8 @@
     match candidate.state().transact(&transaction).await {
         Ok(revision) => candidate.apply_committed(&transaction.writes, revision),
         Err(error) => {
-            // Lost, or unsure: the watch cache shows who leads. An unsure attempt
-            // of this process that succeeded appears there with its incarnation.
+            // The election is lost, or its outcome is unknown. The watch cache shows who
+            // leads: if this attempt did succeed, the record there has this incarnation.
             if matches!(error, StateError::Refused(_) | StateError::Rejected(_)) {
                 sleep(lease_duration / 8).await;
             }
@@ -187,6 +200,8 @@
     }
 }
 
+/// The writes that take the leadership: the leader record, attached to the lease, and the
+/// last token of the new term.
 fn leadership_writes(
     record: &LeaderRecord,
     tokens: &TermTokens,
@@ -199,25 +214,25 @@
     ])
 }
 
-/// Leads until the term ends.
+/// Leads until the term ends, and then releases the leadership.
 async fn lead<C: Candidate>(
     candidate: &Arc<C>,
     version: u64,
     record: &LeaderRecord,
-    process: &CancellationToken,
+    process_stop: &CancellationToken,
 ) -> TermEnd {
-    info!(token = record.token, "elected");
-    // The renewal that brought the key counts from before its request, a moment
-    // that is unknown here; the first renewal follows at once.
+    info!(token = record.token, "elected as leader");
+    // The lease counts from the request that granted it, a moment that is unknown here.
+    // The first renewal follows immediately and records a known moment.
     candidate.begin_term(version, TermTokens::starting_at(record.token));
-    // The leader's work ends with the term, and with the process if that ends first.
-    let stop = process.child_token();
-    let work = tokio::spawn(candidate.clone().run_term(version, stop.clone()));
+    // The leader's task is stopped when the term or the process ends.
+    let stop = process_stop.child_token();
+    let leader_task = tokio::spawn(candidate.clone().run_term(version, stop.clone()));
     let end = renew_until_end(&**candidate, version, record).await;
     info!(token = record.token, reason = ?end, "leadership ended");
     candidate.end_term(version);
     stop.cancel();
-    let _ = work.await;
+    let _ = leader_task.await;
     release(&**candidate, version, record).await;
     end
 }
@@ -238,7 +253,7 @@
                 warn!(token = record.token, "leader lease expired");
                 return TermEnd::LeaseExpired;
             }
-            Err(error) => warn!(token = record.token, %error, "leader lease not renewed"),
+            Err(error) => warn!(token = record.token, %error, "leader lease renewal failed"),
         }
         let next_renewal = requested_at + renewal_interval;
         if let Some(end) = term_end_before(candidate, version, next_renewal).await {
@@ -247,7 +262,7 @@
     }
 }
 
-/// Waits for the term's end. None if it lasts until the deadline.
+/// Waits until the term ends or the deadline has passed. None in the latter case.
 async fn term_end_before<C: Candidate>(
     candidate: &C,
     version: u64,
@@ -267,16 +282,22 @@
     }
 }
 
-/// Gives the lease back, and waits until the leader record is gone.
+/// Revokes the leader lease and waits until the leader record is deleted.
 async fn release<C: Candidate>(candidate: &C, version: u64, record: &LeaderRecord) {
-    // It lets a successor start at once. After a loss this frees nothing that is
-    // still this leader's.
+    // Revoking the lease deletes the leader record, so that a successor can be elected
+    // immediately. If the leadership is already lost, the revocation has no effect on a
+    // successor, whose record is attached to another lease.
     let _ = candidate.state().revoke_lease(record.lease).await;
-    // The record must not pass for an own one at the next election.
-    while lock(candidate.watch_cache()).leader.as_ref().is_some_and(|held| held.version == version)
+    // As long as the record is in the watch cache, the next election would take it for a
+    // new term of this process.
+    while lock(candidate.watch_cache())
+        .leader
+        .as_ref()
+        .is_some_and(|leader| leader.version == version)
     {
         if candidate.refresh().await.is_err() {
             sleep(candidate.settings().leader_lease() / 8).await;
+            // A lease that can be renewed has not been revoked yet.
             if candidate.state().renew_lease(record.lease).await.is_ok() {
                 let _ = candidate.state().revoke_lease(record.lease).await;
             }
--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -1,18 +1,20 @@
-//! Fencing tokens: whose commands a worker carries out.
+//! Fencing tokens, which determine the leader whose commands a worker carries out.
 //!
-//! A worker refuses commands with a lower token than the highest that it has seen.
-//! The transaction that takes the leadership also takes a range of tokens, so that
-//! a leader can raise the token of one worker by itself: whatever it sent that
-//! worker before and got no response to is void as soon as a heartbeat of the worker
-//! shows the higher one. The record of the last token holds the end of the range, so the
-//! next term begins beyond it, whichever version leads then.
-
-/// How often a leader can raise a worker's token. Each worker has its own, so this
-/// doesn't depend on how many there are, and it is raised once for a request without
-/// an answer, so no term comes near this.
+//! A worker refuses commands with a lower token than the highest token that it has seen.
+//! The transaction that takes the leadership also takes a range of tokens, so that a leader
+//! can raise the token of a single worker without the state service. Once a heartbeat of
+//! the worker shows the raised token, the worker can no longer carry out any earlier
+//! command that it left without a response. The stored token record holds the last token
+//! of the range, so the next term begins above it, whichever version of the program leads
+//! then.
+
+/// The number of tokens in a term's range, which limits how often a leader can raise a
+/// worker's token. Each worker's token is raised separately, so the limit doesn't depend on
+/// the number of workers. A token is raised once for each request without a response, so no
+/// term comes near the limit.
 const TOKENS_PER_TERM: u64 = 1 << 20;
 
-/// The tokens of one term of leadership.
+/// The range of fencing tokens of one term of leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TermTokens {
     first: u64,
@@ -20,32 +22,34 @@
 }
 
 impl TermTokens {
-    /// The range that begins with this token.
+    /// Creates the range that begins with this token.
     pub fn starting_at(first: u64) -> Self {
         Self { first, last: first.saturating_add(TOKENS_PER_TERM - 1) }
     }
 
-    /// A term that has a single token and can't raise it.
+    /// Creates a range of a single token, which can't be raised.
     pub fn single(token: u64) -> Self {
         Self { first: token, last: token }
     }
 
-    /// The term's first token, which the leader record holds.
+    /// Returns the term's first token, which is stored in the leader record.
     pub fn first(&self) -> u64 {
         self.first
     }
 
-    /// The highest token that this term may use.
+    /// Returns the highest token that this term may use.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Whether a worker that has seen this token knows this term, and none after it.
+    /// Whether the token belongs to this term. A worker whose highest token it is has seen
+    /// this term and no later one.
     pub fn contains(&self, token: u64) -> bool {
         (self.first..=self.last).contains(&token)
     }
 
-    /// The next higher token of the term; its last one if there is none.
+    /// Returns the term's next token above the given one, or the term's last token if the
+    /// range is used up.
     pub fn next_above(&self, token: u64) -> u64 {
         token.saturating_add(1).clamp(self.first, self.last)
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -23,8 +23,8 @@
 use crate::protocol::BODY_LIMIT;
 
 /// Divides the maximum number of connections into the number that is kept free. While
-/// fewer are free, connections of users and of the load balancer are closed after the
-/// next response, so that workers can connect.
+/// fewer are free, connections of users and of the load balancer are closed after each
+/// response, so that workers can connect.
 const FREE_SOCKETS_DIVISOR: usize = 8;
 
 /// The limits of the public listener.
--- a/src/lease_renewal/cancellation_watermarks.rs
+++ b/src/lease_renewal/cancellation_watermarks.rs
@@ -31,8 +31,9 @@
     /// Records a notice with all cancellations of a member. `sent_at`: when this controller
     /// sent the heartbeat that the member acknowledges together with the notice.
     pub fn record_complete_notice(&mut self, member: &str, sent_at: Instant) {
-        let known_until = self.notices_complete_until.entry(member.to_owned()).or_insert(sent_at);
-        *known_until = sent_at.max(*known_until);
+        let complete_until =
+            self.notices_complete_until.entry(member.to_owned()).or_insert(sent_at);
+        *complete_until = sent_at.max(*complete_until);
     }
 
     /// Returns when the latest read of the state service was requested.
--- a/src/lease_renewal/tests.rs
+++ b/src/lease_renewal/tests.rs
@@ -87,19 +87,19 @@
 fn watermark_is_the_earliest_of_all_members() {
     let now = Instant::now();
     let at = |s: u64| now + Duration::from_secs(s);
-    let known_until =
+    let watermark =
         |watermarks: &CancellationWatermarks| watermarks.known_until(["b", "c"].into_iter());
     let mut watermarks = CancellationWatermarks::default();
-    assert_eq!(known_until(&watermarks), None, "no read yet");
+    assert_eq!(watermark(&watermarks), None, "no read yet");
     watermarks.record_read(at(5));
-    assert_eq!(known_until(&watermarks), Some(at(5)), "a read counts for all members");
+    assert_eq!(watermark(&watermarks), Some(at(5)), "a read counts for all members");
     watermarks.record_complete_notice("b", at(9));
-    assert_eq!(known_until(&watermarks), Some(at(5)), "c may have confirmed more cancellations");
+    assert_eq!(watermark(&watermarks), Some(at(5)), "c may have confirmed more cancellations");
     watermarks.record_complete_notice("c", at(7));
-    assert_eq!(known_until(&watermarks), Some(at(7)));
+    assert_eq!(watermark(&watermarks), Some(at(7)));
     watermarks.record_complete_notice("b", at(8));
     watermarks.record_read(at(6));
-    assert_eq!(known_until(&watermarks), Some(at(7)), "late records don't move the watermark back");
+    assert_eq!(watermark(&watermarks), Some(at(7)), "late records don't move the watermark back");
 }
 
 #[test]
--- a/src/replies.rs
+++ b/src/replies.rs
@@ -1,49 +1,49 @@
-//! The answers to users and workers, as the routes and the node share them.
+//! Replies to users and workers, which the node returns and the HTTP routes encode.
 
 use thiserror::Error;
 
 use crate::protocol::{JobStatus, TaskCommand};
 
-/// Why a request can't be answered now. All of these are worth a retry.
+/// The reason why a request can't be answered now. The caller may retry in each case.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum Unavailable {
-    /// The state service did not answer, or refused.
+    /// The state service did not answer or refused the request.
     #[error("the state service can't be reached")]
     State,
-    /// No controller has stored the machine types yet.
+    /// No controller has stored the available machine types yet.
     #[error("the machine types are not known yet")]
     MachineTypes,
-    /// The stored record of a job is not one that this version reads.
+    /// This version of the program can't read the stored record of a job.
     #[error("the record of a job can't be read")]
     UnreadableRecord,
 }
 
-/// The answer to a user's request.
+/// The reply to a user's request.
 #[derive(Debug, PartialEq)]
 pub enum UserReply {
-    /// The submission was accepted now.
+    /// The submission was accepted and has created this job.
     Created(JobStatus),
-    /// The job was accepted before.
+    /// The job was created by an earlier request.
     Known(JobStatus),
-    /// No such job.
+    /// There is no job with this id.
     Unknown,
-    /// The submission is not valid, and why.
+    /// The submission is invalid for this reason.
     Malformed(String),
-    /// The job can never run, and why.
+    /// The job could never run for this reason.
     Impossible(String),
 }
 
-/// The answer to a worker's heartbeat.
+/// The reply to a worker's heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatReply {
     /// The worker's lease is renewed.
     Commands {
         /// The fencing token of the commands.
         token: u64,
-        /// What the worker is to do.
+        /// The commands for the worker.
         commands: Vec<TaskCommand>,
     },
-    /// The worker is to send its heartbeat to another controller: to this one, if
-    /// it is known who leads.
+    /// The worker's lease is not renewed, and the worker is to send its heartbeat to another
+    /// controller: to the named one if the leader is known.
     Redirect(Option<String>),
 }
