--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -42,8 +42,8 @@
         self.last
     }
 
-    /// Whether the token belongs to this term. A worker whose highest token it is has seen
-    /// this term and no later one.
+    /// Whether the token belongs to this term. If it is the highest token that a worker has
+    /// seen, the worker knows this term and no later one.
     pub fn contains(&self, token: u64) -> bool {
         (self.first..=self.last).contains(&token)
     }
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -20,8 +20,8 @@
 /// already bounds the memory that they take.
 const MAX_UNRESERVED_BODY_BYTES: usize = 4 * 1024;
 
-/// Divides the process's memory into the budget for workers' heartbeats. The budget for
-/// all other requests has the same size.
+/// The memory of the process divided by this is the budget for the bodies of workers'
+/// heartbeats. The budget for the bodies of all other requests has the same size.
 const MEMORY_DIVISOR: f64 = 8.0;
 
 /// The reason why a body was not read.
@@ -104,6 +104,7 @@
         Ok(BufferedBody { bytes, _reservation: reservation })
     }
 
+    /// Reserves bytes in the budget of a kind of sender.
     fn reserve(&self, sender: Sender, length: usize) -> Result<OwnedSemaphorePermit, BodyError> {
         let budget = match sender {
             Sender::Worker => &self.workers,
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -22,7 +22,7 @@
 };
 use crate::protocol::BODY_LIMIT;
 
-/// Divides the maximum number of connections into the number that is kept free. While
+/// The maximum number of connections divided by this is the number to keep free. While
 /// fewer are free, connections of users and of the load balancer are closed after each
 /// response, so that workers can connect.
 const FREE_SOCKETS_DIVISOR: usize = 8;
@@ -32,7 +32,8 @@
 pub struct ServerLimits {
     /// The maximum number of open connections.
     pub max_connections: usize,
-    /// How long a connection may stay open without a request.
+    /// How long the header of the next request may take to arrive on an open connection,
+    /// idle time included.
     pub idle_timeout: Duration,
     /// How long the body of a request may take to arrive.
     pub body_timeout: Duration,
--- a/src/lease_renewal/abstentions.rs
+++ b/src/lease_renewal/abstentions.rs
@@ -12,10 +12,11 @@
 
 /// How long a sent heartbeat is remembered, as a multiple of an abstention's duration. Its
 /// acknowledgement is recognised for this time. An acknowledgement that arrives after the
-/// abstention proves nothing, but still dates the sender's notice of cancellations.
+/// abstention has ended proves no abstention, but still dates the sender's notice of
+/// cancellations.
 const HEARTBEAT_RETENTION_FACTOR: u32 = 8;
 
-/// A leader's heartbeat that a follower has received and acknowledges.
+/// A leader's heartbeat that was received and is to be acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderHeartbeat {
     /// The identity of the heartbeat.
--- a/src/replies.rs
+++ b/src/replies.rs
@@ -44,6 +44,6 @@
         commands: Vec<TaskCommand>,
     },
     /// The worker's lease is not renewed, and the worker is to send its heartbeat to another
-    /// controller: to the named one if the leader is known.
+    /// controller: to the named leader if one is known.
     Redirect(Option<String>),
 }
