--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -20,7 +20,7 @@
     holder::{HeldRoom, Holder, HolderUsage},
     model::{AttemptId, Availability, InProgress, Model, Plan, Situation},
     planner::{Observed, Requested, Step},
-    record::{ActivationRecord, ModelState, Stage, UseMarker, record_key, use_key},
+    record::{ActivationRecord, ModelState, Stage, UseMarker, record_key, use_marker_key},
     settings::ActivationSettings,
     starter::{ReplicaOrder, ReplicaStarter, Replicas, StarterError},
 };
@@ -44,7 +44,7 @@
     },
     /// This controller can't know whether the model runs.
     #[error("the state of the model can't be known now")]
-    Unknowable {
+    StateUnknown {
         /// When to come back.
         retry_after: Duration,
     },
@@ -68,7 +68,7 @@
         match self {
             Self::UnknownModel => None,
             Self::Full { retry_after }
-            | Self::Unknowable { retry_after }
+            | Self::StateUnknown { retry_after }
             | Self::Failed { retry_after }
             | Self::Starting { retry_after } => Some(*retry_after),
         }
@@ -156,7 +156,7 @@
 
     /// Waits until a request to a model may pass. `bytes`: of its body, which is
     /// held meanwhile. Whoever gives up waiting drops this.
-    pub async fn enter(&self, model: &str, bytes: usize) -> Result<Admission, Refusal> {
+    pub async fn admit(&self, model: &str, bytes: usize) -> Result<Admission, Refusal> {
         let model = self.models.get(model).ok_or(Refusal::UnknownModel)?;
         let now = Instant::now();
         model.note_request(now);
@@ -193,7 +193,7 @@
     ) -> Option<Result<Admission, Refusal>> {
         let unknowable = || {
             let retry_after = self.coordinator.renewal_interval();
-            Some(Err(Refusal::Unknowable { retry_after }))
+            Some(Err(Refusal::StateUnknown { retry_after }))
         };
         match availability {
             Availability::ColdStarting => None,
@@ -225,7 +225,7 @@
     }
 
     /// How much room held requests take.
-    pub fn held(&self) -> HolderUsage {
+    pub fn held_usage(&self) -> HolderUsage {
         self.holder.usage()
     }
 
@@ -261,8 +261,8 @@
                 Step::Write { record: next, unless_used } => {
                     self.write(&model, record, next, unless_used).await;
                 }
-                Step::MarkUse => self.write_use_marker(&model, record.version).await,
-                Step::DropUse => self.drop_use(&model).await,
+                Step::WriteUseMarker => self.write_use_marker(&model, record.version).await,
+                Step::DeleteUseMarker => self.drop_use(&model).await,
                 Step::Start => self.start(&model, &record).await,
                 Step::Probe => self.probe(&model, &record).await,
                 Step::Stop => self.stop(&model, &record).await,
@@ -300,8 +300,10 @@
         let mut conditions = vec![Condition { key: key.clone(), version: from.version }];
         if unless_used {
             // A request that passes anywhere has its controller's marker.
-            let unused =
-                |member: &String| Condition { key: use_key(&model.name, member), version: 0 };
+            let unused = |member: &String| Condition {
+                key: use_marker_key(&model.name, member),
+                version: 0,
+            };
             conditions.extend(self.coordinator.members().iter().map(unused));
         }
         let Ok(put) = put(key, &to, None) else { return };
@@ -316,7 +318,7 @@
 
     async fn write_use_marker(&self, model: &Model, version: u64) {
         let Some(session) = self.coordinator.session() else { return };
-        let key = self.use_key(model);
+        let key = self.use_marker_key(model);
         let known = self.coordinator.records().version(&key);
         let conditions = vec![
             Condition { key: record_key(&model.name), version },
@@ -330,7 +332,7 @@
     }
 
     async fn drop_use(&self, model: &Model) {
-        let key = self.use_key(model);
+        let key = self.use_marker_key(model);
         let version = self.coordinator.records().version(&key);
         // Requests that come while the marker goes are held: none passes once this
         // controller may be without it.
@@ -344,8 +346,8 @@
         }
     }
 
-    fn use_key(&self, model: &Model) -> String {
-        use_key(&model.name, &self.coordinator.me().member)
+    fn use_marker_key(&self, model: &Model) -> String {
+        use_marker_key(&model.name, &self.coordinator.me().member)
     }
 
     fn order(&self, model: &Model, record: &Versioned<ActivationRecord>) -> Option<ReplicaOrder> {
@@ -364,7 +366,7 @@
         let attempt = AttemptId::of(&record.value);
         match self.starter.start(&order).await {
             Ok(()) => model.note_requested(attempt, Requested::Yes),
-            Err(StarterError::NameTaken) => model.note_requested(attempt, Requested::NameTaken),
+            Err(StarterError::IdTaken) => model.note_requested(attempt, Requested::IdTaken),
             Err(StarterError::Rejected(reason)) => {
                 warn!(model = model.name, reason, "the replicas can't be started");
                 model.note_requested(attempt, Requested::Rejected(reason));
@@ -445,7 +447,7 @@
 }
 
 /// Whether a controller with these limits can hold all conditions of one write.
-pub fn members_fit(members: usize, transaction_conditions: usize) -> bool {
+pub fn conditions_fit_transaction(members: usize, transaction_conditions: usize) -> bool {
     // The session, the record, and a use marker of each member.
     members + 2 <= transaction_conditions
 }
--- a/crates/stonewheel-activation/src/gateway.rs
+++ b/crates/stonewheel-activation/src/gateway.rs
@@ -110,7 +110,7 @@
     async fn answer(&self, model: String, incoming: Incoming) -> warp::reply::Response {
         let began = Instant::now();
         loop {
-            let admission = match self.activator.enter(&model, incoming.body.len()).await {
+            let admission = match self.activator.admit(&model, incoming.body.len()).await {
                 Ok(admission) => admission,
                 Err(refusal) => return refusal_response(&refusal),
             };
--- a/crates/stonewheel-activation/src/lib.rs
+++ b/crates/stonewheel-activation/src/lib.rs
@@ -18,7 +18,7 @@
 mod settings;
 mod starter;
 
-pub use activator::{Activator, Admission, ModelStatus, Refusal, members_fit};
+pub use activator::{Activator, Admission, ModelStatus, Refusal, conditions_fit_transaction};
 pub use gateway::serve;
 pub use holder::HolderUsage;
 pub use settings::{ActivationSettings, Listen, ModelSettings, is_section, parse_sections};
--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -14,8 +14,11 @@
 };
 
 use crate::{
-    planner::{Facts, Observed, Requested, Step, Timers, decide},
-    record::{ActivationRecord, ModelState, Stage, UseMarker, record_key, use_key, use_prefix},
+    planner::{ElapsedTimers, Facts, Observed, Requested, Step, decide},
+    record::{
+        ActivationRecord, ModelState, Stage, UseMarker, record_key, use_marker_key,
+        use_marker_prefix,
+    },
     settings::{ActivationSettings, ModelSettings},
 };
 
@@ -303,8 +306,8 @@
         } else {
             progress.owner_gone_since.get_or_insert(now);
         }
-        let marked = session.is_some_and(|session| {
-            let marker = records.get::<UseMarker>(&use_key(&self.name, &me.member));
+        let has_use_marker = session.is_some_and(|session| {
+            let marker = records.get::<UseMarker>(&use_marker_key(&self.name, &me.member));
             let distrusted = self.distrusted_marker.load(Ordering::Relaxed);
             let ours = |marker: &Versioned<UseMarker>| {
                 marker.value.lease == session.lease && marker.version > distrusted
@@ -312,7 +315,7 @@
             marker.as_ref().is_some_and(ours)
         });
         let deadlines = self.deadlines(&progress, situation);
-        let timers = deadlines.over(now);
+        let elapsed = deadlines.over(now);
         let quiet = self.held() == 0 && self.in_progress() == 0;
         let idle_at = *lock(&self.last_request) + Duration::from_secs_f64(self.settings.idle_s);
         let facts = Facts {
@@ -321,14 +324,14 @@
             session_valid: records.loaded()
                 && session.is_some_and(|session| now < session.valid_until),
             owner_alive,
-            wanted: self.held() > 0,
-            marked,
-            idle_here: quiet && now >= idle_at,
-            used: records.names(&use_prefix(&self.name)).next().is_some(),
+            has_held_requests: self.held() > 0,
+            has_use_marker,
+            idle_locally: quiet && now >= idle_at,
+            any_use_marker: records.names(&use_marker_prefix(&self.name)).next().is_some(),
             requested: &progress.requested,
             observed: &progress.observed,
-            stopped: progress.stopped,
-            timers,
+            replicas_stopped: progress.stopped,
+            elapsed,
             attempts: self.settings.attempts as u32,
             new_job: situation.new_job,
         };
@@ -369,13 +372,13 @@
 }
 
 impl Deadlines {
-    fn over(&self, now: Instant) -> Timers {
-        Timers {
+    fn over(&self, now: Instant) -> ElapsedTimers {
+        ElapsedTimers {
             backoff: now >= self.backoff,
-            start: now >= self.start,
+            start_timeout: now >= self.start,
             drain: now >= self.drain,
             minimum_uptime: now >= self.minimum_uptime,
-            failed: now >= self.failed,
+            failure_pause: now >= self.failed,
             probe: now >= self.probe,
             adoption: self.adoption.is_some_and(|at| now >= at),
         }
@@ -402,7 +405,7 @@
     let Some(session) = session else { return Availability::Unknown };
     if let Some(endpoints) = facts.record.ready_endpoints()
         && !endpoints.is_empty()
-        && facts.marked
+        && facts.has_use_marker
         && now < session.valid_until + settings.outage()
     {
         return Availability::Ready { endpoints: endpoints.into() };
--- a/crates/stonewheel-activation/src/planner.rs
+++ b/crates/stonewheel-activation/src/planner.rs
@@ -39,25 +39,25 @@
     /// They are being started.
     Yes,
     /// The job's id belongs to somebody else: another one is needed.
-    NameTaken,
+    IdTaken,
     /// They can never be started.
     Rejected(String),
 }
 
 /// Which waits are over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Timers {
+pub struct ElapsedTimers {
     /// The pause before this attempt.
     pub backoff: bool,
     /// The time that a start may take.
-    pub start: bool,
+    pub start_timeout: bool,
     /// The time after which no controller can still have a request at a draining
     /// model.
     pub drain: bool,
     /// The minimum time of serving.
     pub minimum_uptime: bool,
     /// The time for which a failed model refuses requests.
-    pub failed: bool,
+    pub failure_pause: bool,
     /// The pause between two probes of the replicas.
     pub probe: bool,
     /// The time that this controller leaves to others before it adopts an
@@ -77,21 +77,21 @@
     /// The session of the record's owner exists.
     pub owner_alive: bool,
     /// Requests are held here.
-    pub wanted: bool,
+    pub has_held_requests: bool,
     /// This process has a use marker.
-    pub marked: bool,
+    pub has_use_marker: bool,
     /// No request came or was under way here for the model's idle time.
-    pub idle_here: bool,
+    pub idle_locally: bool,
     /// Some controller has a use marker.
-    pub used: bool,
+    pub any_use_marker: bool,
     /// What became of the start, if this process is the owner.
     pub requested: &'a Requested,
     /// What was last seen of the replicas, if this process is the owner.
     pub observed: &'a Observed,
     /// The replicas were stopped, if this process is the owner.
-    pub stopped: bool,
+    pub replicas_stopped: bool,
     /// Which waits are over.
-    pub timers: Timers,
+    pub elapsed: ElapsedTimers,
     /// Attempts of one generation.
     pub attempts: u32,
     /// An id for a new job, if one is needed.
@@ -111,9 +111,9 @@
         unless_used: bool,
     },
     /// Write this process's use marker.
-    MarkUse,
+    WriteUseMarker,
     /// Delete it.
-    DropUse,
+    DeleteUseMarker,
     /// Ask for the replicas.
     Start,
     /// Probe the replicas.
@@ -131,8 +131,10 @@
         return step;
     }
     match &facts.record.state {
-        ModelState::ScaledToZero if facts.wanted => cold_start(facts),
-        ModelState::Failed { .. } if facts.wanted && facts.timers.failed => cold_start(facts),
+        ModelState::ScaledToZero if facts.has_held_requests => cold_start(facts),
+        ModelState::Failed { .. } if facts.has_held_requests && facts.elapsed.failure_pause => {
+            cold_start(facts)
+        }
         ModelState::ScaledToZero | ModelState::Failed { .. } => Step::Wait,
         ModelState::Active(activation) if activation.owner == *facts.me => drive(facts, activation),
         ModelState::Active(activation) => follow(facts, activation),
@@ -143,10 +145,11 @@
 /// once they have ceased.
 fn use_marker(facts: &Facts<'_>) -> Option<Step> {
     let ready = facts.record.ready_endpoints().is_some();
-    if ready && facts.wanted && !facts.marked {
-        return Some(Step::MarkUse);
+    if ready && facts.has_held_requests && !facts.has_use_marker {
+        return Some(Step::WriteUseMarker);
     }
-    (facts.marked && facts.idle_here && !facts.wanted).then_some(Step::DropUse)
+    (facts.has_use_marker && facts.idle_locally && !facts.has_held_requests)
+        .then_some(Step::DeleteUseMarker)
 }
 
 /// The next generation, owned by this process.
@@ -166,11 +169,11 @@
 /// Another process owns the activation.
 fn follow(facts: &Facts<'_>, activation: &Activation) -> Step {
     if let Stage::Draining { endpoints } = &activation.stage
-        && facts.wanted
+        && facts.has_held_requests
     {
         return call_back(facts, activation, endpoints);
     }
-    if facts.owner_alive || !facts.timers.adoption {
+    if facts.owner_alive || !facts.elapsed.adoption {
         return Step::Wait;
     }
     // What the former owner set off is found again by the job's id.
@@ -187,8 +190,10 @@
     match &activation.stage {
         Stage::Starting => start(facts, activation),
         Stage::Ready { endpoints } => keep(facts, activation, endpoints),
-        Stage::Draining { endpoints } if facts.wanted => call_back(facts, activation, endpoints),
-        Stage::Draining { .. } if facts.timers.drain => {
+        Stage::Draining { endpoints } if facts.has_held_requests => {
+            call_back(facts, activation, endpoints)
+        }
+        Stage::Draining { .. } if facts.elapsed.drain => {
             stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
         }
         Stage::Draining { .. } => Step::Wait,
@@ -198,9 +203,9 @@
 
 fn start(facts: &Facts<'_>, activation: &Activation) -> Step {
     match facts.requested {
-        Requested::No if facts.timers.backoff => return Step::Start,
+        Requested::No if facts.elapsed.backoff => return Step::Start,
         Requested::No => return Step::Wait,
-        Requested::NameTaken => {
+        Requested::IdTaken => {
             let renamed = Activation { job: facts.new_job.to_owned(), ..activation.clone() };
             return active(facts, renamed);
         }
@@ -214,14 +219,18 @@
             stage(facts, activation, Stage::Ready { endpoints: endpoints.clone() })
         }
         Observed::Gone => try_again(facts, activation),
-        Observed::Unknown | Observed::Pending if facts.timers.start => try_again(facts, activation),
+        Observed::Unknown | Observed::Pending if facts.elapsed.start_timeout => {
+            try_again(facts, activation)
+        }
         Observed::Unknown | Observed::Pending => probe(facts),
     }
 }
 
 fn keep(facts: &Facts<'_>, activation: &Activation, endpoints: &[String]) -> Step {
     match facts.observed {
-        Observed::Gone if facts.used || facts.wanted => try_again(facts, activation),
+        Observed::Gone if facts.any_use_marker || facts.has_held_requests => {
+            try_again(facts, activation)
+        }
         Observed::Gone => {
             stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
         }
@@ -232,20 +241,22 @@
         Observed::Pending if !endpoints.is_empty() => {
             stage(facts, activation, Stage::Ready { endpoints: Vec::new() })
         }
-        _ if !facts.used && !facts.wanted && facts.timers.minimum_uptime => Step::Write {
-            record: with_stage(
-                facts,
-                activation,
-                Stage::Draining { endpoints: endpoints.to_vec() },
-            ),
-            unless_used: true,
-        },
+        _ if !facts.any_use_marker && !facts.has_held_requests && facts.elapsed.minimum_uptime => {
+            Step::Write {
+                record: with_stage(
+                    facts,
+                    activation,
+                    Stage::Draining { endpoints: endpoints.to_vec() },
+                ),
+                unless_used: true,
+            }
+        }
         _ => probe(facts),
     }
 }
 
 fn stop(facts: &Facts<'_>, activation: &Activation, then: AfterStop) -> Step {
-    if !facts.stopped {
+    if !facts.replicas_stopped {
         return Step::Stop;
     }
     let state = match then {
@@ -281,7 +292,7 @@
 }
 
 fn probe(facts: &Facts<'_>) -> Step {
-    if facts.timers.probe { Step::Probe } else { Step::Wait }
+    if facts.elapsed.probe { Step::Probe } else { Step::Wait }
 }
 
 fn stage(facts: &Facts<'_>, activation: &Activation, stage: Stage) -> Step {
--- a/crates/stonewheel-activation/src/record.rs
+++ b/crates/stonewheel-activation/src/record.rs
@@ -15,12 +15,12 @@
 }
 
 /// What the keys of all use markers of a model begin with.
-pub fn use_prefix(model: &str) -> String {
-    use_key(model, "")
+pub fn use_marker_prefix(model: &str) -> String {
+    use_marker_key(model, "")
 }
 
 /// The key of a controller's use marker for a model.
-pub fn use_key(model: &str, member: &str) -> String {
+pub fn use_marker_key(model: &str, member: &str) -> String {
     format!("sp/a/u/{model}/{member}")
 }
 
--- a/crates/stonewheel-activation/src/record/tests.rs
+++ b/crates/stonewheel-activation/src/record/tests.rs
@@ -11,5 +11,5 @@
     }
     let record: ActivationRecord = serde_json::from_str(ASLEEP).expect("readable");
     assert_eq!(record.state, ModelState::ScaledToZero);
-    assert_eq!(use_key("router", "m-0"), "sp/a/u/router/m-0");
+    assert_eq!(use_marker_key("router", "m-0"), "sp/a/u/router/m-0");
 }
--- a/crates/stonewheel-activation/src/starter.rs
+++ b/crates/stonewheel-activation/src/starter.rs
@@ -40,7 +40,7 @@
     Stale,
     /// The job's id belongs to a job that is not ours.
     #[error("the job's id is taken")]
-    NameTaken,
+    IdTaken,
     /// It can never be carried out.
     #[error("rejected: {0}")]
     Rejected(String),
--- a/crates/stonewheel-activation/tests/common/farm.rs
+++ b/crates/stonewheel-activation/tests/common/farm.rs
@@ -176,7 +176,7 @@
             self.taken.insert(order.job.clone());
         }
         if self.taken.contains(&order.job) {
-            return Err(StarterError::NameTaken);
+            return Err(StarterError::IdTaken);
         }
         if self.jobs.contains_key(&order.job) {
             return Ok(());
--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -206,7 +206,7 @@
     /// One request to a controller, seen through.
     pub async fn request(&self, at: usize, model: &str) -> Outcome {
         let activator = self.activator(at);
-        let admission = match activator.enter(model, 100).await {
+        let admission = match activator.admit(model, 100).await {
             Ok(admission) => admission,
             Err(refusal) => return Outcome::Refused(refusal),
         };
--- a/crates/stonewheel-activation/tests/exploration.rs
+++ b/crates/stonewheel-activation/tests/exploration.rs
@@ -10,7 +10,7 @@
 };
 
 use stonewheel_activation::{
-    planner::{Facts, Observed, Requested, Step, Timers, decide},
+    planner::{ElapsedTimers, Facts, Observed, Requested, Step, decide},
     record::ActivationRecord,
 };
 use stonewheel_coordination::Owner;
@@ -276,12 +276,12 @@
         let mut steps = BTreeMap::new();
         for mask in 0..16_u8 {
             let over = |bit: u8| mask & (1 << bit) != 0;
-            let timers = Timers {
+            let elapsed = ElapsedTimers {
                 backoff: true,
-                start: over(0),
+                start_timeout: over(0),
                 drain: over(1) && settled,
                 minimum_uptime: over(2),
-                failed: true,
+                failure_pause: true,
                 probe: true,
                 adoption: true,
             };
@@ -290,14 +290,14 @@
                 record: &node.record,
                 session_valid: node.session.is_some(),
                 owner_alive,
-                wanted: node.wanted > 0,
-                marked: node.marked,
-                idle_here: over(3) && node.wanted == 0 && node.forwards_to.is_none(),
-                used: self.markers.contains(&true),
+                has_held_requests: node.wanted > 0,
+                has_use_marker: node.marked,
+                idle_locally: over(3) && node.wanted == 0 && node.forwards_to.is_none(),
+                any_use_marker: self.markers.contains(&true),
                 requested: &node.requested,
                 observed: &node.observed,
-                stopped: node.stopped,
-                timers,
+                replicas_stopped: node.stopped,
+                elapsed,
                 attempts: ATTEMPTS,
                 new_job: &new_job,
             });
@@ -336,8 +336,8 @@
                 let record = serde_json::to_string(&record).expect("json");
                 self.send(at, Body::Write { version, session, record, unless_used });
             }
-            Step::MarkUse => self.send(at, Body::Mark { version, session }),
-            Step::DropUse => {
+            Step::WriteUseMarker => self.send(at, Body::Mark { version, session }),
+            Step::DeleteUseMarker => {
                 self.nodes[at].marked = false;
                 self.send(at, Body::Unmark { session });
             }
--- a/crates/stonewheel-activation/tests/measure.rs
+++ b/crates/stonewheel-activation/tests/measure.rs
@@ -134,11 +134,11 @@
     let waiting: Vec<_> = (0..HELD)
         .map(|_| {
             let activator = Arc::clone(&activator);
-            tokio::spawn(async move { activator.enter("router", 100).await.is_ok() })
+            tokio::spawn(async move { activator.admit("router", 100).await.is_ok() })
         })
         .collect();
     sleep(Duration::from_secs(2)).await;
-    assert_eq!(activator.held().requests, HELD);
+    assert_eq!(activator.held_usage().requests, HELD);
     let held = resident_bytes() - before;
     println!("{HELD} held requests: {} bytes each, without connection and body", held / HELD);
     waiting.iter().for_each(tokio::task::JoinHandle::abort);
--- a/crates/stonewheel-activation/tests/properties.rs
+++ b/crates/stonewheel-activation/tests/properties.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use stonewheel_activation::{
-    planner::{Facts, Observed, Requested, Step, Timers, decide},
+    planner::{ElapsedTimers, Facts, Observed, Requested, Step, decide},
     record::{Activation, ActivationRecord, AfterStop, ModelState, Stage},
 };
 use stonewheel_coordination::Owner;
@@ -46,7 +46,7 @@
     prop_oneof![
         Just(Requested::No),
         Just(Requested::Yes),
-        Just(Requested::NameTaken),
+        Just(Requested::IdTaken),
         Just(Requested::Rejected("why".into())),
     ]
 }
@@ -84,19 +84,19 @@
         record: &known.record,
         session_valid: f[0],
         owner_alive: f[1],
-        wanted: f[2],
-        marked: f[3],
-        idle_here: f[4],
-        used: f[5],
+        has_held_requests: f[2],
+        has_use_marker: f[3],
+        idle_locally: f[4],
+        any_use_marker: f[5],
         requested: &known.requested,
         observed: &known.observed,
-        stopped: f[6],
-        timers: Timers {
+        replicas_stopped: f[6],
+        elapsed: ElapsedTimers {
             backoff: f[7],
-            start: f[8],
+            start_timeout: f[8],
             drain: f[9],
             minimum_uptime: f[10],
-            failed: f[11],
+            failure_pause: f[11],
             probe: f[12],
             adoption: f[13],
         },
--- a/crates/stonewheel-activation/tests/scenarios.rs
+++ b/crates/stonewheel-activation/tests/scenarios.rs
@@ -189,7 +189,7 @@
     assert!(began.elapsed() < Duration::from_millis(1), "refused at once");
     for outcome in held.await.expect("ran").iter().chain(&late) {
         assert!(
-            matches!(outcome, Outcome::Refused(Refusal::Unknowable { retry_after }) if !retry_after.is_zero()),
+            matches!(outcome, Outcome::Refused(Refusal::StateUnknown { retry_after }) if !retry_after.is_zero()),
             "{outcome:?}"
         );
     }
@@ -372,7 +372,7 @@
     let full = |o: &&Outcome| matches!(o, Outcome::Refused(Refusal::Full { .. }));
     assert_eq!(outcomes.iter().filter(full).count(), 15);
     assert_eq!(outcomes.iter().filter(|o| **o == Outcome::Answered).count(), 10);
-    let usage = fleet.activator(0).held();
+    let usage = fleet.activator(0).held_usage();
     assert_eq!((usage.requests, usage.bytes), (0, 0));
 }
 
@@ -398,16 +398,16 @@
     let waiting: Vec<_> = (0..40)
         .map(|_| {
             let activator = activator.clone();
-            tokio::spawn(async move { activator.enter("router", 1000).await.is_ok() })
+            tokio::spawn(async move { activator.admit("router", 1000).await.is_ok() })
         })
         .collect();
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(activator.held().bytes, 40_000);
+    assert_eq!(activator.held_usage().bytes, 40_000);
     for caller in waiting {
         caller.abort();
     }
     sleep(Duration::from_millis(1)).await;
-    assert_eq!((activator.held().requests, activator.held().bytes), (0, 0));
+    assert_eq!((activator.held_usage().requests, activator.held_usage().bytes), (0, 0));
     fleet.until("it was started", is_ready).await;
     fleet.until("nobody used it", |f| f.record("router").state == ModelState::ScaledToZero).await;
     assert_eq!(fleet.farm.starts().len(), 1);
--- a/src/activation.rs
+++ b/src/activation.rs
@@ -104,7 +104,7 @@
 impl From<ReplicaJobError> for StarterError {
     fn from(error: ReplicaJobError) -> Self {
         match error {
-            ReplicaJobError::NameTaken => Self::NameTaken,
+            ReplicaJobError::NameTaken => Self::IdTaken,
             ReplicaJobError::Stale => Self::Stale,
             ReplicaJobError::Rejected(reason) => Self::Rejected(reason),
             ReplicaJobError::Unavailable(reason) => Self::Unavailable(reason),
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -78,7 +78,7 @@
     /// Parts name controllers in keys, and all of them in one transaction.
     fn check_members_fit_keys(&self, part: &str) -> Result<(), FieldError> {
         let conditions = self.state_limits().transaction_conditions();
-        if !stonewheel_activation::members_fit(self.members.len() + 1, conditions) {
+        if !stonewheel_activation::conditions_fit_transaction(self.members.len() + 1, conditions) {
             let reason = format!("a transaction of {conditions} conditions can't name all members");
             return Err(FieldError::new(part, reason));
         }
--- a/tests/activation.rs
+++ b/tests/activation.rs
@@ -124,7 +124,7 @@
             self.activators.lock().expect("not poisoned").values().cloned().collect();
         let requests = (0..count).map(|number| {
             let activator = activators[number % activators.len()].clone();
-            tokio::spawn(async move { activator.enter("router", 10).await.map(drop) })
+            tokio::spawn(async move { activator.admit("router", 10).await.map(drop) })
         });
         let requests: Vec<_> = requests.collect();
         let mut outcomes = Vec::new();
