--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -1,5 +1,5 @@
-//! The activator of one controller: its session, its watch over the records, a task
-//! for each model, and the way in for requests.
+//! The activator of one controller: it admits or holds requests, and runs a task for each
+//! model that carries out the planner's steps.
 
 use std::{
     collections::BTreeMap,
@@ -17,53 +17,54 @@
 use tracing::{debug, info, warn};
 
 use crate::{
-    holder::{HeldRoom, Holder, HolderUsage},
-    model::{AttemptId, Availability, InProgress, Model, Plan, Situation},
+    holder::{HoldPermit, Holder, HolderUsage},
+    model::{AttemptId, Availability, EvaluationContext, InProgressGuard, Model, Plan},
     planner::{Observed, Requested, Step},
     record::{ActivationRecord, ModelState, Stage, UseMarker, record_key, use_marker_key},
     settings::ActivationSettings,
     starter::{ReplicaOrder, ReplicaStarter, Replicas, StarterError},
 };
 
-/// The part of the room for held requests that one of several models may take.
-const MODEL_PARTS: usize = 2;
-/// Digits of a job's id: as many as the records of ended jobs pack well.
-const JOB_DIGITS: usize = 17;
+/// With several models, one model may take up the limit of held requests divided by this.
+const HOLD_LIMIT_DIVISOR: usize = 2;
+/// Digits of a job id. The records of ended jobs store ids of this length compactly.
+const JOB_ID_DIGITS: usize = 17;
 
-/// Why a request is refused. Each is final for this request, and given at once.
+/// Why a request is refused. A refusal is final for the request.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No model has this name.
     #[error("no such model")]
     UnknownModel,
-    /// Too much is held already.
+    /// A limit on held requests is reached.
     #[error("too many requests are held")]
     Full {
-        /// When to come back.
+        /// How long the caller should wait before it repeats the request.
         retry_after: Duration,
     },
-    /// This controller can't know whether the model runs.
+    /// This controller can't know whether the model is ready.
     #[error("the state of the model can't be known now")]
     StateUnknown {
-        /// When to come back.
+        /// How long the caller should wait before it repeats the request.
         retry_after: Duration,
     },
-    /// The start was given up.
+    /// The last start of the model was given up.
     #[error("the model could not be started")]
     Failed {
-        /// When to come back.
+        /// How long the caller should wait before it repeats the request.
         retry_after: Duration,
     },
     /// The start takes longer than requests are held.
     #[error("the model is still starting")]
     Starting {
-        /// When to come back.
+        /// How long the caller should wait before it repeats the request.
         retry_after: Duration,
     },
 }
 
 impl Refusal {
-    /// When the caller is to come back, if that may help.
+    /// Returns how long the caller should wait before it repeats the request; none if a
+    /// repeat can't succeed.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::UnknownModel => None,
@@ -75,34 +76,36 @@
     }
 }
 
-/// A request that may pass, until this is dropped.
+/// Permission to forward a request. The request counts as in progress until this is
+/// dropped.
 pub struct Admission {
     endpoints: Arc<[String]>,
+    /// Number of the request, which selects the endpoint to try first.
     turn: usize,
-    _in_progress: InProgress,
+    _in_progress_guard: InProgressGuard,
 }
 
 impl Admission {
-    /// Where to send the request, in the order in which to try: the next ones only
-    /// if it surely did not reach the one before.
+    /// Returns the endpoints in the order in which to try them. The next one may be tried
+    /// only if the request certainly did not reach the one before.
     pub fn endpoints(&self) -> impl Iterator<Item = &str> {
         let count = self.endpoints.len();
-        (0..count).map(move |at| self.endpoints[(self.turn + at) % count].as_str())
+        (0..count).map(move |index| self.endpoints[(self.turn + index) % count].as_str())
     }
 }
 
-/// What operators see of a model.
+/// Status of a model at one controller, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ModelStatus {
-    /// Its name.
+    /// The model's name.
     pub model: String,
-    /// Its record, as this controller last read it.
+    /// The model's record, as this controller last read it.
     pub record: ActivationRecord,
-    /// Requests held here.
+    /// Number of requests that this controller holds.
     pub held: usize,
-    /// Requests in progress here.
+    /// Number of requests in progress at this controller.
     pub in_progress: usize,
-    /// Whether this controller knows what the model does.
+    /// Whether this controller knows the state of the model.
     pub known: bool,
 }
 
@@ -117,7 +120,7 @@
 }
 
 impl Activator {
-    /// Over the coordination of this controller, which runs apart from this.
+    /// Creates the activator. The caller runs the coordinator.
     pub fn new(
         coordinator: Arc<Coordinator>,
         settings: ActivationSettings,
@@ -137,16 +140,16 @@
         })
     }
 
-    /// The settings that it runs with.
+    /// Returns the settings that the activator runs with.
     pub fn settings(&self) -> &ActivationSettings {
         &self.settings
     }
 
-    /// Runs until told to stop.
+    /// Runs the tasks of all models until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let tasks = TaskTracker::new();
         for model in self.models.values() {
-            tasks.spawn(until(stop.clone(), self.clone().drive(model.clone())));
+            tasks.spawn(run_until_cancelled(stop.clone(), self.clone().run_model(model.clone())));
         }
         tasks.close();
         tasks.wait().await;
@@ -154,28 +157,31 @@
 
     // Requests.
 
-    /// Waits until a request to a model may pass. `bytes`: of its body, which is
-    /// held meanwhile. Whoever gives up waiting drops this.
+    /// Waits until a request to a model may be forwarded, or is refused. `bytes` is the size
+    /// of the request's body, which counts against the limit of held bytes meanwhile. A
+    /// caller that gives up waiting drops the future.
     pub async fn admit(&self, model: &str, bytes: usize) -> Result<Admission, Refusal> {
         let model = self.models.get(model).ok_or(Refusal::UnknownModel)?;
         let now = Instant::now();
         model.note_request(now);
-        if let Some(outcome) = self.judge(model, &model.availability(), now) {
+        if let Some(outcome) = self.immediate_outcome(model, &model.availability(), now) {
             return outcome;
         }
         let retry_after = Duration::from_secs_f64(model.settings.retry_s);
-        // One model in demand must leave capacity for the cold starts of others.
-        if model.held() >= self.most_held_of_one() {
+        // A model with many requests must leave capacity to hold those of other models
+        // during their cold starts.
+        if model.held_requests() >= self.max_held_per_model() {
             return Err(Refusal::Full { retry_after });
         }
-        let room: HeldRoom = self.holder.enter(bytes).ok_or(Refusal::Full { retry_after })?;
-        let held = model.hold();
+        let permit: HoldPermit =
+            self.holder.try_acquire(bytes).ok_or(Refusal::Full { retry_after })?;
+        let held_guard = model.begin_hold();
         let deadline = now + Duration::from_secs_f64(model.settings.hold_s);
-        let mut availability = model.watch();
+        let mut availability = model.watch_availability();
         loop {
-            let seen = availability.borrow_and_update().clone();
-            if let Some(outcome) = self.judge(model, &seen, Instant::now()) {
-                drop((held, room));
+            let current = availability.borrow_and_update().clone();
+            if let Some(outcome) = self.immediate_outcome(model, &current, Instant::now()) {
+                drop((held_guard, permit));
                 return outcome;
             }
             if !matches!(timeout_at(deadline, availability.changed()).await, Ok(Ok(()))) {
@@ -184,59 +190,61 @@
         }
     }
 
-    /// Whether a request passes or is refused; none if it is to be held.
-    fn judge(
+    /// Returns the admission or refusal of a request; none if the request is to be held.
+    fn immediate_outcome(
         &self,
         model: &Arc<Model>,
         availability: &Availability,
         now: Instant,
     ) -> Option<Result<Admission, Refusal>> {
-        let unknowable = || {
+        let state_unknown = || {
             let retry_after = self.coordinator.renewal_interval();
             Some(Err(Refusal::StateUnknown { retry_after }))
         };
         match availability {
             Availability::ColdStarting => None,
-            Availability::Unknown => unknowable(),
+            Availability::Unknown => state_unknown(),
             Availability::Failed { until } if *until <= now => None,
             Availability::Failed { until } => {
                 Some(Err(Refusal::Failed { retry_after: *until - now }))
             }
-            // A process that stood still may be the last to learn that its time is
-            // over.
-            Availability::Ready { .. } if !self.may_forward(now) => unknowable(),
+            // A process that was suspended may not have noticed yet that its session ended,
+            // so every request checks the session against the clock.
+            Availability::Ready { .. } if !self.may_forward(now) => state_unknown(),
             Availability::Ready { endpoints } => Some(Ok(Admission {
                 endpoints: endpoints.clone(),
-                turn: model.next_turn(),
-                _in_progress: model.begin_request(),
+                turn: model.next_replica_turn(),
+                _in_progress_guard: model.begin_request(),
             })),
         }
     }
 
+    /// Whether requests may be forwarded: the session ended no longer than `outage_s` ago.
     fn may_forward(&self, now: Instant) -> bool {
         let session = self.coordinator.session();
         session.is_some_and(|session| now < session.valid_until + self.settings.outage())
     }
 
-    /// Requests that may be held for one model: all if there is only one.
-    fn most_held_of_one(&self) -> usize {
-        let all = self.settings.hold_requests as usize;
-        if self.models.len() > 1 { (all / MODEL_PARTS).max(1) } else { all }
+    /// Returns how many requests may be held for one model: the whole limit if there is
+    /// only one.
+    fn max_held_per_model(&self) -> usize {
+        let total = self.settings.hold_requests as usize;
+        if self.models.len() > 1 { (total / HOLD_LIMIT_DIVISOR).max(1) } else { total }
     }
 
-    /// How much room held requests take.
+    /// Returns the number and the bytes of the held requests.
     pub fn held_usage(&self) -> HolderUsage {
         self.holder.usage()
     }
 
-    /// What operators see of the models.
+    /// Returns the status of each model, for operators.
     pub fn statuses(&self) -> Vec<ModelStatus> {
         let records = self.coordinator.records();
         let status = |model: &Arc<Model>| ModelStatus {
             model: model.name.clone(),
             record: model.record(&records).value,
-            held: model.held(),
-            in_progress: model.in_progress(),
+            held: model.held_requests(),
+            in_progress: model.requests_in_progress(),
             known: model.availability() != Availability::Unknown,
         };
         self.models.values().map(status).collect()
@@ -244,7 +252,8 @@
 
     // Models.
 
-    async fn drive(self: Arc<Self>, model: Arc<Model>) {
+    /// Evaluates a model and carries out the next step, over and over.
+    async fn run_model(self: Arc<Self>, model: Arc<Model>) {
         let mut changes = self.coordinator.subscribe();
         loop {
             changes.mark_unchanged();
@@ -259,13 +268,13 @@
                     }
                 }
                 Step::Write { record: next, unless_used } => {
-                    self.write(&model, record, next, unless_used).await;
+                    self.write_record(&model, record, next, unless_used).await;
                 }
                 Step::WriteUseMarker => self.write_use_marker(&model, record.version).await,
-                Step::DeleteUseMarker => self.drop_use(&model).await,
-                Step::Start => self.start(&model, &record).await,
-                Step::Probe => self.probe(&model, &record).await,
-                Step::Stop => self.stop(&model, &record).await,
+                Step::DeleteUseMarker => self.delete_use_marker(&model).await,
+                Step::Start => self.start_replicas(&model, &record).await,
+                Step::Probe => self.probe_replicas(&model, &record).await,
+                Step::Stop => self.stop_replicas(&model, &record).await,
             }
         }
     }
@@ -273,10 +282,10 @@
     fn plan(&self, model: &Model) -> Plan {
         let (new_job, jitter) = {
             let mut rng = lock(&self.rng);
-            (new_job(&mut rng), rng.random_range(0.0..1.0))
+            (draw_job_id(&mut rng), rng.random_range(0.0..1.0))
         };
         let session = self.coordinator.session();
-        model.plan(&Situation {
+        model.plan(&EvaluationContext {
             me: self.coordinator.me(),
             records: &self.coordinator.records(),
             session,
@@ -288,7 +297,7 @@
         })
     }
 
-    async fn write(
+    async fn write_record(
         &self,
         model: &Model,
         from: Versioned<ActivationRecord>,
@@ -299,7 +308,8 @@
         let key = record_key(&model.name);
         let mut conditions = vec![Condition { key: key.clone(), version: from.version }];
         if unless_used {
-            // A request that passes anywhere has its controller's marker.
+            // A controller that forwards requests to the model has a use marker, so no
+            // request is in progress while none of the markers exists.
             let unused = |member: &String| Condition {
                 key: use_marker_key(&model.name, member),
                 version: 0,
@@ -310,7 +320,7 @@
         match self.coordinator.commit_under(session, conditions, vec![put]).await {
             Ok(_) => log_transition(&model.name, &from.value, &to),
             Err(error) => {
-                debug!(model = model.name, %error, "an activation record was not written");
+                debug!(model = model.name, %error, "activation record write failed or its outcome is unknown");
                 self.coordinator.refresh().await;
             }
         }
@@ -319,10 +329,10 @@
     async fn write_use_marker(&self, model: &Model, version: u64) {
         let Some(session) = self.coordinator.session() else { return };
         let key = self.use_marker_key(model);
-        let known = self.coordinator.records().version(&key);
+        let marker_version = self.coordinator.records().version(&key);
         let conditions = vec![
             Condition { key: record_key(&model.name), version },
-            Condition { key: key.clone(), version: known },
+            Condition { key: key.clone(), version: marker_version },
         ];
         let marker = UseMarker { lease: session.lease };
         let Ok(put) = put(key, &marker, Some(session.lease)) else { return };
@@ -331,17 +341,17 @@
         }
     }
 
-    async fn drop_use(&self, model: &Model) {
+    async fn delete_use_marker(&self, model: &Model) {
         let key = self.use_marker_key(model);
         let version = self.coordinator.records().version(&key);
-        // Requests that come while the marker goes are held: none passes once this
-        // controller may be without it.
+        // Requests that arrive during the deletion are held: none may be forwarded once the
+        // marker may be gone.
         model.publish(Availability::ColdStarting);
         let condition = Condition { key: key.clone(), version };
         if self.coordinator.commit(vec![condition], vec![Write::Delete { key }]).await.is_err() {
-            // It may still be deleted at any later time, so it stands for nothing
-            // until it is written anew.
-            model.distrust_marker(version);
+            // The outcome is unknown and the marker may still be deleted later, so this
+            // version is no longer relied on: requests wait until the marker is rewritten.
+            model.revoke_marker(version);
             self.coordinator.refresh().await;
         }
     }
@@ -350,7 +360,11 @@
         use_marker_key(&model.name, &self.coordinator.me().member)
     }
 
-    fn order(&self, model: &Model, record: &Versioned<ActivationRecord>) -> Option<ReplicaOrder> {
+    fn replica_order(
+        &self,
+        model: &Model,
+        record: &Versioned<ActivationRecord>,
+    ) -> Option<ReplicaOrder> {
         let activation = record.value.activation()?;
         Some(ReplicaOrder {
             model: model.name.clone(),
@@ -361,93 +375,103 @@
         })
     }
 
-    async fn start(&self, model: &Model, record: &Versioned<ActivationRecord>) {
-        let Some(order) = self.order(model, record) else { return };
+    async fn start_replicas(&self, model: &Model, record: &Versioned<ActivationRecord>) {
+        let Some(order) = self.replica_order(model, record) else { return };
         let attempt = AttemptId::of(&record.value);
         match self.starter.start(&order).await {
             Ok(()) => model.note_requested(attempt, Requested::Yes),
             Err(StarterError::IdTaken) => model.note_requested(attempt, Requested::IdTaken),
             Err(StarterError::Rejected(reason)) => {
-                warn!(model = model.name, reason, "the replicas can't be started");
+                warn!(model = model.name, reason, "replica start rejected; the start is given up");
                 model.note_requested(attempt, Requested::Rejected(reason));
             }
             Err(error) => {
-                debug!(model = model.name, %error, "start");
+                debug!(model = model.name, %error, "replica start failed or its outcome is unknown");
                 self.coordinator.refresh().await;
             }
         }
     }
 
-    async fn probe(&self, model: &Model, record: &Versioned<ActivationRecord>) {
-        let Some(order) = self.order(model, record) else { return };
-        let seen = match self.starter.probe(&order).await {
+    async fn probe_replicas(&self, model: &Model, record: &Versioned<ActivationRecord>) {
+        let Some(order) = self.replica_order(model, record) else { return };
+        let observed = match self.starter.probe(&order).await {
             Ok(Replicas::Pending) => Some(Observed::Pending),
             Ok(Replicas::Ready(endpoints)) => Some(Observed::Ready(endpoints)),
             Ok(Replicas::Gone) => Some(Observed::Gone),
             Err(error) => {
-                debug!(model = model.name, %error, "probe failed");
+                debug!(model = model.name, %error, "replica probe failed");
                 None
             }
         };
-        model.note_observed(AttemptId::of(&record.value), seen, Instant::now());
+        model.note_observed(AttemptId::of(&record.value), observed, Instant::now());
     }
 
-    async fn stop(&self, model: &Model, record: &Versioned<ActivationRecord>) {
-        let Some(order) = self.order(model, record) else { return };
+    async fn stop_replicas(&self, model: &Model, record: &Versioned<ActivationRecord>) {
+        let Some(order) = self.replica_order(model, record) else { return };
         match self.starter.stop(&order).await {
             Ok(()) => model.note_stopped(AttemptId::of(&record.value)),
             Err(error) => {
-                debug!(model = model.name, %error, "stop");
+                debug!(model = model.name, %error, "replica stop failed or its outcome is unknown");
                 self.coordinator.refresh().await;
             }
         }
     }
 }
 
-fn new_job(rng: &mut StdRng) -> String {
-    // The first digit isn't 0, so that all have the same length.
-    let first: u8 = rng.random_range(1..10);
-    let rest = (1..JOB_DIGITS).map(|_| char::from(b'0' + rng.random_range(0..10_u8)));
-    let mut job = format!("j-{first}");
-    job.extend(rest);
-    job
+fn draw_job_id(rng: &mut StdRng) -> String {
+    // The first digit isn't 0, so that the number itself has as many digits.
+    let first_digit: u8 = rng.random_range(1..10);
+    let other_digits = (1..JOB_ID_DIGITS).map(|_| char::from(b'0' + rng.random_range(0..10_u8)));
+    let mut job_id = format!("j-{first_digit}");
+    job_id.extend(other_digits);
+    job_id
 }
 
-/// Tells the operator what a committed record means.
+/// Logs the transition that a committed record stands for.
 fn log_transition(model: &str, from: &ActivationRecord, to: &ActivationRecord) {
     let (generation, epoch) = (to.generation, to.epoch);
     match &to.state {
-        ModelState::ScaledToZero => info!(model, generation, "scaled to zero"),
-        ModelState::Failed { reason } => warn!(model, generation, reason, "could not be started"),
-        ModelState::Active(now) => {
+        ModelState::ScaledToZero => info!(model, generation, "model scaled to zero"),
+        ModelState::Failed { reason } => warn!(
+            model,
+            generation, reason, "model start given up; requests are refused for retry_s"
+        ),
+        ModelState::Active(activation) => {
             let adopted = from.generation == generation && from.epoch != epoch;
-            let (attempt, job) = (now.attempt, &now.job);
-            match &now.stage {
+            let (attempt, job) = (activation.attempt, &activation.job);
+            match &activation.stage {
                 _ if adopted => {
-                    info!(model, generation, epoch, job, "taken over from a lost owner")
+                    info!(
+                        model,
+                        generation,
+                        epoch,
+                        job,
+                        "activation adopted after its owner's session ended"
+                    )
                 }
                 Stage::Starting => info!(model, generation, attempt, job, "cold start requested"),
                 Stage::Ready { endpoints } => {
-                    info!(model, generation, replicas = endpoints.len(), "serving");
+                    info!(model, generation, replicas = endpoints.len(), "model ready");
                 }
-                Stage::Draining { .. } => info!(model, generation, "draining started"),
+                Stage::Draining { .. } => info!(model, generation, "model drain started"),
                 Stage::Stopping { then } => {
-                    info!(model, generation, ?then, job, "stopping replicas")
+                    info!(model, generation, ?then, job, "replica stop decided")
                 }
             }
         }
     }
 }
 
-async fn until(stop: CancellationToken, task: impl Future<Output = ()>) {
+async fn run_until_cancelled(stop: CancellationToken, task: impl Future<Output = ()>) {
     tokio::select! {
         () = task => {}
         () = stop.cancelled() => {}
     }
 }
 
-/// Whether a controller with these limits can hold all conditions of one write.
+/// Whether a transaction may have enough conditions for the write that begins a drain,
+/// which has the most.
 pub fn conditions_fit_transaction(members: usize, transaction_conditions: usize) -> bool {
-    // The session, the record, and a use marker of each member.
+    // One condition for the session, one for the record, one for each member's use marker.
     members + 2 <= transaction_conditions
 }
--- a/crates/stonewheel-activation/src/holder.rs
+++ b/crates/stonewheel-activation/src/holder.rs
@@ -1,29 +1,30 @@
-//! Room for requests that wait for a model: bounded in number and bytes.
+//! Limits on the requests that are held for models: their number and the bytes of their
+//! bodies.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// How much of the room is taken.
+/// The part of the limits that held requests take up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderUsage {
-    /// Requests held.
+    /// Number of held requests.
     pub requests: usize,
     /// Bytes of their bodies.
     pub bytes: usize,
 }
 
-/// The room of one controller, for all its models.
+/// The limits of one controller, shared by all its models.
 #[derive(Debug)]
 pub(crate) struct Holder {
     requests: Arc<Semaphore>,
     bytes: Arc<Semaphore>,
-    most: HolderUsage,
+    capacity: HolderUsage,
 }
 
-/// The room that one request takes while it is held.
+/// The capacity that one held request takes up, released when this is dropped.
 #[derive(Debug)]
-pub(crate) struct HeldRoom {
+pub(crate) struct HoldPermit {
     _request: OwnedSemaphorePermit,
     _bytes: OwnedSemaphorePermit,
 }
@@ -34,22 +35,23 @@
         Self {
             requests: Arc::new(Semaphore::new(requests)),
             bytes: Arc::new(Semaphore::new(bytes)),
-            most: HolderUsage { requests, bytes },
+            capacity: HolderUsage { requests, bytes },
         }
     }
 
-    /// Room for a request with a body of so many bytes, or none: refuse it now.
-    pub fn enter(&self, bytes: usize) -> Option<HeldRoom> {
+    /// Takes capacity for a request with a body of this many bytes. None if a limit is
+    /// reached: the request is to be refused immediately.
+    pub fn try_acquire(&self, bytes: usize) -> Option<HoldPermit> {
         let bytes = u32::try_from(bytes).ok()?;
         let request = self.requests.clone().try_acquire_owned().ok()?;
         let bytes = self.bytes.clone().try_acquire_many_owned(bytes).ok()?;
-        Some(HeldRoom { _request: request, _bytes: bytes })
+        Some(HoldPermit { _request: request, _bytes: bytes })
     }
 
     pub fn usage(&self) -> HolderUsage {
         HolderUsage {
-            requests: self.most.requests - self.requests.available_permits(),
-            bytes: self.most.bytes - self.bytes.available_permits(),
+            requests: self.capacity.requests - self.requests.available_permits(),
+            bytes: self.capacity.bytes - self.bytes.available_permits(),
         }
     }
 }
--- a/crates/stonewheel-activation/src/lib.rs
+++ b/crates/stonewheel-activation/src/lib.rs
@@ -1,11 +1,11 @@
-//! Scale to zero: a model without traffic is scaled to zero, its next request starts it, and all
-//! controllers agree on the one cold start that is under way.
+//! Scale to zero: a model without traffic is scaled to zero replicas, and the next request
+//! starts them again. All controllers agree on a single cold start at a time.
 //!
-//! [`record`] is the durable state of a model, changed by compare-and-set alone;
-//! [`planner`] is the pure state machine that says what a controller does next;
-//! [`Activator`] carries that out, holds requests meanwhile and lets them through.
-//! What starts and stops replicas is behind [`ReplicaStarter`]. The argument for its
-//! safety is in `docs/design/activation.md`.
+//! [`record`] is the durable state of a model, changed only by compare-and-set;
+//! [`planner`] is the pure state machine that chooses a controller's next step;
+//! [`Activator`] carries the steps out, and holds requests until the model is ready.
+//! Replicas are started and stopped through [`ReplicaStarter`]. The safety argument is
+//! in `docs/design/activation.md`.
 
 #![warn(missing_docs)]
 
--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -1,5 +1,5 @@
-//! One model at one controller: the requests that wait for it, how far its start is,
-//! and what that means for the next step.
+//! One model at one controller: its held requests, the progress of its activation, and
+//! the evaluation that combines both with the records into the next step.
 
 use std::sync::{
     Arc, Mutex,
@@ -22,34 +22,36 @@
     settings::{ActivationSettings, ModelSettings},
 };
 
-/// Controllers adopt one after the other, so that they don't all try at once: each
-/// leaves this part of a session's time to the one before it.
-const ADOPTION_PARTS: u32 = 16;
+/// Controllers try to adopt an activation one after the other, not all at the same time:
+/// each waits for the session's time divided by this for every live controller whose name
+/// sorts before its own.
+const ADOPTION_DELAY_DIVISOR: u32 = 16;
 
-/// What a request finds.
+/// What happens to a request that arrives now.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Availability {
-    /// This controller can't know what the model does.
+    /// This controller can't know the state of the model, so requests are refused.
     Unknown,
-    /// A start is under way, or about to be: requests are held.
+    /// Requests are held: the model is not ready yet, no replica answers, or this
+    /// controller has yet to write its use marker.
     ColdStarting,
-    /// The last start was given up: requests are refused until then.
+    /// The last start was given up, so requests are refused until this time.
     Failed { until: Instant },
-    /// Requests pass to these.
+    /// Requests are forwarded to these endpoints.
     Ready { endpoints: Arc<[String]> },
 }
 
-/// What one evaluation of a model says.
+/// Result of one evaluation of a model.
 pub(crate) struct Plan {
     pub step: Step,
     pub record: Versioned<ActivationRecord>,
     pub availability: Availability,
-    /// When to evaluate it again if nothing changes.
+    /// When to evaluate the model again if nothing changes.
     pub wake_at: Instant,
 }
 
-/// What a controller brings to a plan besides the model's own state.
-pub(crate) struct Situation<'a> {
+/// Input to the evaluation of a model that is not part of the model's own state.
+pub(crate) struct EvaluationContext<'a> {
     pub me: &'a Owner,
     pub records: &'a Records,
     pub session: Option<HeldSession>,
@@ -60,8 +62,8 @@
     pub now: Instant,
 }
 
-/// Which attempt the progress belongs to. Whatever is known of another one says
-/// nothing of this one.
+/// Identifies the start attempt that progress belongs to. Results of calls that concern
+/// another attempt are discarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     pub generation: u64,
@@ -101,42 +103,44 @@
     }
 }
 
-/// What this process knows of the attempt under way, and since when.
+/// What this process knows about the current attempt, and when it learned of it. Not
+/// stored: lost with the process.
 #[derive(Debug)]
 struct Progress {
     attempt: AttemptId,
-    attempt_since: Instant,
+    attempt_seen_at: Instant,
     job: String,
     stage: StageKind,
-    stage_since: Instant,
+    stage_seen_at: Instant,
     requested: Requested,
     observed: Observed,
-    stopped: bool,
-    next_probe: Instant,
-    /// Drawn for each attempt, so that controllers and models don't retry together.
+    replicas_stopped: bool,
+    next_probe_at: Instant,
+    /// Random number between 0 and 1, drawn for each attempt, so that controllers and
+    /// models don't retry at the same time.
     jitter: f64,
-    owner_gone_since: Option<Instant>,
+    owner_gone_at: Option<Instant>,
 }
 
 impl Progress {
     fn new(now: Instant) -> Self {
         Self {
             attempt: AttemptId::default(),
-            attempt_since: now,
+            attempt_seen_at: now,
             job: String::new(),
             stage: StageKind::ScaledToZero,
-            stage_since: now,
+            stage_seen_at: now,
             requested: Requested::No,
             observed: Observed::Unknown,
-            stopped: false,
-            next_probe: now,
+            replicas_stopped: false,
+            next_probe_at: now,
             jitter: 0.0,
-            owner_gone_since: None,
+            owner_gone_at: None,
         }
     }
 
-    /// Takes over what the record says.
-    fn follow(&mut self, record: &ActivationRecord, jitter: f64, now: Instant) {
+    /// Brings the progress up to date with the record.
+    fn update(&mut self, record: &ActivationRecord, jitter: f64, now: Instant) {
         let attempt = AttemptId::of(record);
         if attempt != self.attempt {
             *self = Self { attempt, jitter, ..Self::new(now) };
@@ -148,7 +152,7 @@
         }
         let stage = StageKind::of(record);
         if stage != self.stage {
-            (self.stage, self.stage_since) = (stage, now);
+            (self.stage, self.stage_seen_at) = (stage, now);
         }
     }
 }
@@ -157,36 +161,38 @@
 pub(crate) struct Model {
     pub name: String,
     pub settings: ModelSettings,
-    /// Something changed that the next step depends on.
+    /// Notified when local state that the next step depends on has changed.
     pub changed: Notify,
     availability: watch::Sender<Availability>,
-    held: AtomicUsize,
-    in_progress: AtomicUsize,
-    last_request: Mutex<Instant>,
+    held_requests: AtomicUsize,
+    requests_in_progress: AtomicUsize,
+    last_request_at: Mutex<Instant>,
     progress: Mutex<Progress>,
-    turns: AtomicUsize,
-    /// The version of a use marker that this process tried to delete.
-    distrusted_marker: AtomicU64,
+    /// Counts forwarded requests, to spread them over the replicas.
+    replica_turns: AtomicUsize,
+    /// The highest version of this process's use marker whose deletion it tried with an
+    /// unknown outcome; 0 if none.
+    revoked_marker_version: AtomicU64,
 }
 
-/// Counts a request as held while it lives.
-pub(crate) struct Held(Arc<Model>);
+/// Counts a request as held until dropped.
+pub(crate) struct HeldGuard(Arc<Model>);
 
-impl Drop for Held {
+impl Drop for HeldGuard {
     fn drop(&mut self) {
-        if self.0.held.fetch_sub(1, Ordering::Relaxed) == 1 {
+        if self.0.held_requests.fetch_sub(1, Ordering::Relaxed) == 1 {
             self.0.changed.notify_one();
         }
     }
 }
 
-/// Counts a request as in progress while it lives.
-pub(crate) struct InProgress(Arc<Model>);
+/// Counts a request as in progress until dropped.
+pub(crate) struct InProgressGuard(Arc<Model>);
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.note_request(Instant::now());
-        if self.0.in_progress.fetch_sub(1, Ordering::Relaxed) == 1 {
+        if self.0.requests_in_progress.fetch_sub(1, Ordering::Relaxed) == 1 {
             self.0.changed.notify_one();
         }
     }
@@ -200,75 +206,76 @@
             settings,
             changed: Notify::new(),
             availability: watch::Sender::new(Availability::Unknown),
-            held: AtomicUsize::new(0),
-            in_progress: AtomicUsize::new(0),
-            last_request: Mutex::new(now),
+            held_requests: AtomicUsize::new(0),
+            requests_in_progress: AtomicUsize::new(0),
+            last_request_at: Mutex::new(now),
             progress: Mutex::new(Progress::new(now)),
-            turns: AtomicUsize::new(0),
-            distrusted_marker: AtomicU64::new(0),
+            replica_turns: AtomicUsize::new(0),
+            revoked_marker_version: AtomicU64::new(0),
         }
     }
 
     pub fn note_request(&self, now: Instant) {
-        *lock(&self.last_request) = now;
+        *lock(&self.last_request_at) = now;
     }
 
-    pub fn hold(self: &Arc<Self>) -> Held {
-        if self.held.fetch_add(1, Ordering::Relaxed) == 0 {
+    pub fn begin_hold(self: &Arc<Self>) -> HeldGuard {
+        if self.held_requests.fetch_add(1, Ordering::Relaxed) == 0 {
             self.changed.notify_one();
         }
-        Held(self.clone())
+        HeldGuard(self.clone())
     }
 
-    pub fn begin_request(self: &Arc<Self>) -> InProgress {
-        self.in_progress.fetch_add(1, Ordering::Relaxed);
-        InProgress(self.clone())
+    pub fn begin_request(self: &Arc<Self>) -> InProgressGuard {
+        self.requests_in_progress.fetch_add(1, Ordering::Relaxed);
+        InProgressGuard(self.clone())
     }
 
-    pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+    pub fn held_requests(&self) -> usize {
+        self.held_requests.load(Ordering::Relaxed)
     }
 
-    pub fn in_progress(&self) -> usize {
-        self.in_progress.load(Ordering::Relaxed)
+    pub fn requests_in_progress(&self) -> usize {
+        self.requests_in_progress.load(Ordering::Relaxed)
     }
 
     pub fn availability(&self) -> Availability {
         self.availability.borrow().clone()
     }
 
-    pub fn watch(&self) -> watch::Receiver<Availability> {
+    pub fn watch_availability(&self) -> watch::Receiver<Availability> {
         self.availability.subscribe()
     }
 
     pub fn publish(&self, availability: Availability) {
-        self.availability.send_if_modified(|held| {
-            let changed = *held != availability;
-            *held = availability;
+        self.availability.send_if_modified(|current| {
+            let changed = *current != availability;
+            *current = availability;
             changed
         });
     }
 
-    /// From now on a use marker of this version or before says nothing.
-    pub fn distrust_marker(&self, version: u64) {
-        self.distrusted_marker.fetch_max(version, Ordering::Relaxed);
+    /// Stops relying on use markers of this version or an earlier one.
+    pub fn revoke_marker(&self, version: u64) {
+        self.revoked_marker_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Requests go to the replicas in turn.
-    pub fn next_turn(&self) -> usize {
-        self.turns.fetch_add(1, Ordering::Relaxed)
+    /// Returns the number of the next forwarded request, by which requests go to the
+    /// replicas in turn.
+    pub fn next_replica_turn(&self) -> usize {
+        self.replica_turns.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Notes what became of the request to start this attempt's replicas.
+    /// Notes the outcome of the request to start this attempt's replicas.
     pub fn note_requested(&self, attempt: AttemptId, requested: Requested) {
         self.note(attempt, |progress| progress.requested = requested);
     }
 
-    /// Notes what was seen of the replicas, and when to probe again.
+    /// Notes the result of a probe (none if the probe failed), and schedules the next one.
     pub fn note_observed(&self, attempt: AttemptId, observed: Option<Observed>, now: Instant) {
-        let next_probe = now + Duration::from_secs_f64(self.settings.look_s);
+        let next_probe_at = now + Duration::from_secs_f64(self.settings.look_s);
         self.note(attempt, |progress| {
-            progress.next_probe = next_probe;
+            progress.next_probe_at = next_probe_at;
             if let Some(observed) = observed {
                 progress.observed = observed;
             }
@@ -277,7 +284,7 @@
 
     /// Notes that the replicas were stopped.
     pub fn note_stopped(&self, attempt: AttemptId) {
-        self.note(attempt, |progress| progress.stopped = true);
+        self.note(attempt, |progress| progress.replicas_stopped = true);
     }
 
     fn note(&self, attempt: AttemptId, change: impl FnOnce(&mut Progress)) {
@@ -287,121 +294,132 @@
         }
     }
 
-    /// The model's record, or that of one which never woke, whose version is 0.
+    /// Returns the model's record; for a model that was never started, the default record
+    /// with version 0.
     pub fn record(&self, records: &Records) -> Versioned<ActivationRecord> {
-        let never = || Versioned { version: 0, value: ActivationRecord::default() };
-        records.get(&record_key(&self.name)).unwrap_or_else(never)
+        let no_record = || Versioned { version: 0, value: ActivationRecord::default() };
+        records.get(&record_key(&self.name)).unwrap_or_else(no_record)
     }
 
-    /// What to do now.
-    pub fn plan(&self, situation: &Situation<'_>) -> Plan {
-        let Situation { me, records, session, now, .. } = *situation;
+    /// Evaluates the model: the next step, and what happens to requests meanwhile.
+    pub fn plan(&self, context: &EvaluationContext<'_>) -> Plan {
+        let EvaluationContext { me, records, session, now, .. } = *context;
         let record = self.record(records);
         let mut progress = lock(&self.progress);
-        progress.follow(&record.value, situation.jitter, now);
+        progress.update(&record.value, context.jitter, now);
         let owner_alive =
             record.value.activation().is_none_or(|activation| records.is_alive(&activation.owner));
         if owner_alive {
-            progress.owner_gone_since = None;
+            progress.owner_gone_at = None;
         } else {
-            progress.owner_gone_since.get_or_insert(now);
+            progress.owner_gone_at.get_or_insert(now);
         }
         let has_use_marker = session.is_some_and(|session| {
             let marker = records.get::<UseMarker>(&use_marker_key(&self.name, &me.member));
-            let distrusted = self.distrusted_marker.load(Ordering::Relaxed);
-            let ours = |marker: &Versioned<UseMarker>| {
-                marker.value.lease == session.lease && marker.version > distrusted
+            let revoked = self.revoked_marker_version.load(Ordering::Relaxed);
+            // A marker under another lease is one of an earlier session.
+            let is_valid = |marker: &Versioned<UseMarker>| {
+                marker.value.lease == session.lease && marker.version > revoked
             };
-            marker.as_ref().is_some_and(ours)
+            marker.as_ref().is_some_and(is_valid)
         });
-        let deadlines = self.deadlines(&progress, situation);
-        let elapsed = deadlines.over(now);
-        let quiet = self.held() == 0 && self.in_progress() == 0;
-        let idle_at = *lock(&self.last_request) + Duration::from_secs_f64(self.settings.idle_s);
+        let deadlines = self.deadlines(&progress, context);
+        let elapsed = deadlines.elapsed(now);
+        let no_requests = self.held_requests() == 0 && self.requests_in_progress() == 0;
+        let idle_at = *lock(&self.last_request_at) + Duration::from_secs_f64(self.settings.idle_s);
         let facts = Facts {
             me,
             record: &record.value,
             session_valid: records.loaded()
                 && session.is_some_and(|session| now < session.valid_until),
             owner_alive,
-            has_held_requests: self.held() > 0,
+            has_held_requests: self.held_requests() > 0,
             has_use_marker,
-            idle_locally: quiet && now >= idle_at,
+            idle_locally: no_requests && now >= idle_at,
             any_use_marker: records.names(&use_marker_prefix(&self.name)).next().is_some(),
             requested: &progress.requested,
             observed: &progress.observed,
-            replicas_stopped: progress.stopped,
+            replicas_stopped: progress.replicas_stopped,
             elapsed,
             attempts: self.settings.attempts as u32,
-            new_job: situation.new_job,
+            new_job: context.new_job,
         };
         let step = decide(&facts);
-        let availability = availability(&facts, deadlines.failed, situation);
-        let wake_at = deadlines.next(now, idle_at, session);
+        let availability = availability(&facts, deadlines.failure_pause, context);
+        let wake_at = deadlines.next_after(now, idle_at, session);
         Plan { step, record, availability, wake_at }
     }
 
-    fn deadlines(&self, progress: &Progress, situation: &Situation<'_>) -> Deadlines {
-        let after = |since: Instant, seconds: f64| since + Duration::from_secs_f64(seconds);
-        let rank = situation.records.rank(&situation.me.member);
-        let pause = situation.session_ttl / ADOPTION_PARTS * rank;
-        // Half of the pause at least, and all of it at most.
+    fn deadlines(&self, progress: &Progress, context: &EvaluationContext<'_>) -> Deadlines {
+        let after = |start: Instant, seconds: f64| start + Duration::from_secs_f64(seconds);
+        let rank = context.records.rank(&context.me.member);
+        let adoption_delay = context.session_ttl / ADOPTION_DELAY_DIVISOR * rank;
+        // Jitter shortens the back-off by up to a half.
         let backoff = self.settings.backoff(progress.attempt.attempt);
         let backoff = backoff.mul_f64(0.5 + progress.jitter / 2.0);
         Deadlines {
-            backoff: progress.attempt_since + backoff,
-            start: after(progress.attempt_since, self.settings.start_s),
-            drain: progress.stage_since + situation.settings.drain(),
-            minimum_uptime: after(progress.stage_since, self.settings.awake_s),
-            failed: after(progress.stage_since, self.settings.retry_s),
-            probe: progress.next_probe,
-            adoption: progress.owner_gone_since.map(|since| since + pause),
+            backoff: progress.attempt_seen_at + backoff,
+            start_timeout: after(progress.attempt_seen_at, self.settings.start_s),
+            drain: progress.stage_seen_at + context.settings.drain(),
+            minimum_uptime: after(progress.stage_seen_at, self.settings.awake_s),
+            failure_pause: after(progress.stage_seen_at, self.settings.retry_s),
+            probe: progress.next_probe_at,
+            adoption: progress.owner_gone_at.map(|gone_at| gone_at + adoption_delay),
         }
     }
 }
 
-/// When each wait is over.
+/// When each timer of [`ElapsedTimers`] elapses.
 struct Deadlines {
     backoff: Instant,
-    start: Instant,
+    start_timeout: Instant,
     drain: Instant,
     minimum_uptime: Instant,
-    failed: Instant,
+    failure_pause: Instant,
     probe: Instant,
     adoption: Option<Instant>,
 }
 
 impl Deadlines {
-    fn over(&self, now: Instant) -> ElapsedTimers {
+    fn elapsed(&self, now: Instant) -> ElapsedTimers {
         ElapsedTimers {
             backoff: now >= self.backoff,
-            start_timeout: now >= self.start,
+            start_timeout: now >= self.start_timeout,
             drain: now >= self.drain,
             minimum_uptime: now >= self.minimum_uptime,
-            failure_pause: now >= self.failed,
+            failure_pause: now >= self.failure_pause,
             probe: now >= self.probe,
-            adoption: self.adoption.is_some_and(|at| now >= at),
+            adoption: self.adoption.is_some_and(|deadline| now >= deadline),
         }
     }
 
-    /// The next of them that is still to come.
-    fn next(&self, now: Instant, idle_at: Instant, session: Option<HeldSession>) -> Instant {
-        let fixed =
-            [self.backoff, self.start, self.drain, self.minimum_uptime, self.failed, self.probe];
-        let waits = fixed.into_iter().chain(self.adoption).chain([idle_at]);
-        let waits = waits.chain(session.map(|session| session.valid_until));
-        // Changes wake the model's duty by themselves.
-        let longest = Duration::from_secs(3600);
-        waits.filter(|at| *at > now).min().unwrap_or(now + longest)
+    /// Returns the earliest deadline after `now`.
+    fn next_after(&self, now: Instant, idle_at: Instant, session: Option<HeldSession>) -> Instant {
+        let fixed = [
+            self.backoff,
+            self.start_timeout,
+            self.drain,
+            self.minimum_uptime,
+            self.failure_pause,
+            self.probe,
+        ];
+        let deadlines = fixed.into_iter().chain(self.adoption).chain([idle_at]);
+        let deadlines = deadlines.chain(session.map(|session| session.valid_until));
+        // Without a deadline ahead only a change matters, and changes wake the model's task
+        // in any case.
+        let max_wait = Duration::from_secs(3600);
+        deadlines.filter(|deadline| *deadline > now).min().unwrap_or(now + max_wait)
     }
 }
 
+/// What happens to requests: they are forwarded while the model is ready, this process has
+/// a use marker, and its session ended no longer than `outage_s` ago.
 fn availability(
     facts: &Facts<'_>,
     failed_until: Instant,
-    situation: &Situation<'_>,
+    context: &EvaluationContext<'_>,
 ) -> Availability {
-    let Situation { session, now, settings, .. } = *situation;
+    let EvaluationContext { session, now, settings, .. } = *context;
     let Some(session) = session else { return Availability::Unknown };
     if let Some(endpoints) = facts.record.ready_endpoints()
         && !endpoints.is_empty()
--- a/crates/stonewheel-activation/src/planner.rs
+++ b/crates/stonewheel-activation/src/planner.rs
@@ -1,14 +1,17 @@
-//! What a controller does next for a model: a pure function of what it knows.
+//! The next step of a controller for a model: a pure function of what the controller
+//! knows.
 //!
-//! It has no clock and does no I/O. Each controller asks it again after every change
-//! and every result, so a controller that dies at any point leaves nothing but the
-//! record, and whoever adopts the activation goes on from there.
+//! The function reads no clock and does no I/O. Each controller calls it again after every
+//! change and every result, so a controller that fails at any point leaves no state
+//! behind except the records, and the controller that adopts the activation continues
+//! from the record.
 //!
 //! Safety rests on three conditions of the writes, not on timing:
-//! - every write names the version of the record that it was decided on, and of the
-//!   writer's own session: whoever was replaced, or lost its lease, is refused;
-//! - a job is named by the record before it is asked for, and its start is
-//!   conditioned on that version of the record;
+//! - every write is conditional on the version of the record that it was decided on and
+//!   on the version of the writer's session, so a controller that was replaced as owner
+//!   or lost its lease is refused;
+//! - the record contains a job's id before the job is submitted, and the submission is
+//!   conditional on that version of the record;
 //! - a model begins to drain only while no use marker exists, and a use marker is
 //!   written only while the model is ready.
 
@@ -16,105 +19,107 @@
 
 use crate::record::{Activation, ActivationRecord, AfterStop, ModelState, Stage};
 
-/// What the replicas were seen to do, by the owner and in this attempt.
+/// State of the replicas at the owner's last successful probe in this attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Observed {
-    /// Nobody looked yet.
+    /// No probe has succeeded yet.
     #[default]
     Unknown,
-    /// None answers yet.
+    /// No replica answers.
     Pending,
-    /// These answer.
+    /// The endpoints of the replicas that answer.
     Ready(Vec<String>),
-    /// They are gone, and won't come back by themselves.
+    /// The replicas have ended and are not started again by themselves.
     Gone,
 }
 
-/// What became of the request to start the replicas.
+/// Outcome of the request to start the replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Requested {
-    /// Not asked for, or without an answer.
+    /// The start was not requested yet, or its outcome is unknown.
     #[default]
     No,
-    /// They are being started.
+    /// The start was accepted.
     Yes,
-    /// The job's id belongs to somebody else: another one is needed.
+    /// The job's id belongs to a job that was not started for a model: the start needs
+    /// a new id.
     IdTaken,
-    /// They can never be started.
+    /// The start can never succeed, for this reason.
     Rejected(String),
 }
 
-/// Which waits are over.
+/// Whether each timer has elapsed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ElapsedTimers {
-    /// The pause before this attempt.
+    /// The back-off before this attempt.
     pub backoff: bool,
-    /// The time that a start may take.
+    /// The time that an attempt may take until a replica answers.
     pub start_timeout: bool,
-    /// The time after which no controller can still have a request at a draining
-    /// model.
+    /// The time after which no controller can still have a request in progress at a
+    /// draining model.
     pub drain: bool,
-    /// The minimum time of serving.
+    /// The minimum time that a model stays ready before it may drain.
     pub minimum_uptime: bool,
     /// The time for which a failed model refuses requests.
     pub failure_pause: bool,
-    /// The pause between two probes of the replicas.
+    /// The interval between two probes of the replicas.
     pub probe: bool,
-    /// The time that this controller leaves to others before it adopts an
-    /// activation whose owner is gone.
+    /// The time that this controller leaves to controllers of a lower rank before it
+    /// adopts an activation whose owner's session has ended.
     pub adoption: bool,
 }
 
-/// What a controller knows of a model.
+/// What a controller knows about a model.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts<'a> {
     /// This process.
     pub me: &'a Owner,
-    /// The model's record, as last read.
+    /// The model's record, as this controller last read it.
     pub record: &'a ActivationRecord,
-    /// This process surely holds its session.
+    /// Whether this process certainly holds its session.
     pub session_valid: bool,
-    /// The session of the record's owner exists.
+    /// Whether the session of the record's owner exists; true without an owner.
     pub owner_alive: bool,
-    /// Requests are held here.
+    /// Whether this controller holds requests for the model.
     pub has_held_requests: bool,
-    /// This process has a use marker.
+    /// Whether this process has a use marker.
     pub has_use_marker: bool,
-    /// No request came or was under way here for the model's idle time.
+    /// Whether no request arrived or was in progress at this controller for the model's
+    /// idle time.
     pub idle_locally: bool,
-    /// Some controller has a use marker.
+    /// Whether any controller has a use marker.
     pub any_use_marker: bool,
-    /// What became of the start, if this process is the owner.
+    /// Outcome of the start request, if this process is the owner.
     pub requested: &'a Requested,
-    /// What was last seen of the replicas, if this process is the owner.
+    /// Last probed state of the replicas, if this process is the owner.
     pub observed: &'a Observed,
-    /// The replicas were stopped, if this process is the owner.
+    /// Whether this process, as the owner, has stopped the replicas of this attempt.
     pub replicas_stopped: bool,
-    /// Which waits are over.
+    /// Whether each timer has elapsed.
     pub elapsed: ElapsedTimers,
-    /// Attempts of one generation.
+    /// Maximum number of attempts in one generation.
     pub attempts: u32,
-    /// An id for a new job, if one is needed.
+    /// Unused job id, for a step that needs a new one.
     pub new_job: &'a str,
 }
 
-/// What to do next.
+/// The next step of a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Nothing until something changes or a wait is over.
+    /// Do nothing until something changes or a timer elapses.
     Wait,
     /// Replace the record.
     Write {
         /// The new record.
         record: ActivationRecord,
-        /// Only while no controller has a use marker.
+        /// Whether the write is conditional on no controller having a use marker.
         unless_used: bool,
     },
     /// Write this process's use marker.
     WriteUseMarker,
-    /// Delete it.
+    /// Delete this process's use marker.
     DeleteUseMarker,
-    /// Ask for the replicas.
+    /// Request the start of the replicas.
     Start,
     /// Probe the replicas.
     Probe,
@@ -122,12 +127,12 @@
     Stop,
 }
 
-/// What to do next. Without a session a controller does nothing at all.
+/// Returns the next step. A controller without a valid session always waits.
 pub fn decide(facts: &Facts<'_>) -> Step {
     if !facts.session_valid {
         return Step::Wait;
     }
-    if let Some(step) = use_marker(facts) {
+    if let Some(step) = use_marker_step(facts) {
         return step;
     }
     match &facts.record.state {
@@ -136,14 +141,16 @@
             cold_start(facts)
         }
         ModelState::ScaledToZero | ModelState::Failed { .. } => Step::Wait,
-        ModelState::Active(activation) if activation.owner == *facts.me => drive(facts, activation),
-        ModelState::Active(activation) => follow(facts, activation),
+        ModelState::Active(activation) if activation.owner == *facts.me => {
+            step_as_owner(facts, activation)
+        }
+        ModelState::Active(activation) => step_as_follower(facts, activation),
     }
 }
 
-/// Requests pass only while this process's use marker exists, and the marker goes
-/// once they have ceased.
-fn use_marker(facts: &Facts<'_>) -> Option<Step> {
+/// Writes the use marker before requests are forwarded, and deletes it once the model is
+/// idle at this controller. Requests are forwarded only while the marker exists.
+fn use_marker_step(facts: &Facts<'_>) -> Option<Step> {
     let ready = facts.record.ready_endpoints().is_some();
     if ready && facts.has_held_requests && !facts.has_use_marker {
         return Some(Step::WriteUseMarker);
@@ -152,9 +159,9 @@
         .then_some(Step::DeleteUseMarker)
 }
 
-/// The next generation, owned by this process.
+/// Begins the next generation, owned by this process.
 fn cold_start(facts: &Facts<'_>) -> Step {
-    write(ActivationRecord {
+    write_record(ActivationRecord {
         generation: facts.record.generation + 1,
         epoch: facts.record.epoch + 1,
         state: ModelState::Active(Activation {
@@ -166,80 +173,83 @@
     })
 }
 
-/// Another process owns the activation.
-fn follow(facts: &Facts<'_>, activation: &Activation) -> Step {
+/// Step for an activation that another process owns: return a draining model to service
+/// for held requests, or adopt the activation once its owner's session has ended.
+fn step_as_follower(facts: &Facts<'_>, activation: &Activation) -> Step {
     if let Stage::Draining { endpoints } = &activation.stage
         && facts.has_held_requests
     {
-        return call_back(facts, activation, endpoints);
+        return return_to_ready(facts, activation, endpoints);
     }
     if facts.owner_alive || !facts.elapsed.adoption {
         return Step::Wait;
     }
-    // What the former owner set off is found again by the job's id.
+    // The adopted activation keeps the job's id, by which replicas that the former owner
+    // started or stopped are found.
     let adopted = Activation { owner: facts.me.clone(), ..activation.clone() };
-    write(ActivationRecord {
+    write_record(ActivationRecord {
         epoch: facts.record.epoch + 1,
         state: ModelState::Active(adopted),
         ..facts.record.clone()
     })
 }
 
-/// This process owns the activation.
-fn drive(facts: &Facts<'_>, activation: &Activation) -> Step {
+/// Step for an activation that this process owns.
+fn step_as_owner(facts: &Facts<'_>, activation: &Activation) -> Step {
     match &activation.stage {
-        Stage::Starting => start(facts, activation),
-        Stage::Ready { endpoints } => keep(facts, activation, endpoints),
+        Stage::Starting => step_while_starting(facts, activation),
+        Stage::Ready { endpoints } => step_while_ready(facts, activation, endpoints),
         Stage::Draining { endpoints } if facts.has_held_requests => {
-            call_back(facts, activation, endpoints)
+            return_to_ready(facts, activation, endpoints)
         }
         Stage::Draining { .. } if facts.elapsed.drain => {
-            stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
+            write_stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
         }
         Stage::Draining { .. } => Step::Wait,
-        Stage::Stopping { then } => stop(facts, activation, *then),
+        Stage::Stopping { then } => step_while_stopping(facts, activation, *then),
     }
 }
 
-fn start(facts: &Facts<'_>, activation: &Activation) -> Step {
+fn step_while_starting(facts: &Facts<'_>, activation: &Activation) -> Step {
     match facts.requested {
         Requested::No if facts.elapsed.backoff => return Step::Start,
         Requested::No => return Step::Wait,
         Requested::IdTaken => {
-            let renamed = Activation { job: facts.new_job.to_owned(), ..activation.clone() };
-            return active(facts, renamed);
+            let with_new_job = Activation { job: facts.new_job.to_owned(), ..activation.clone() };
+            return write_activation(facts, with_new_job);
         }
         Requested::Rejected(_) => {
-            return stage(facts, activation, Stage::Stopping { then: AfterStop::GiveUp });
+            return write_stage(facts, activation, Stage::Stopping { then: AfterStop::GiveUp });
         }
         Requested::Yes => {}
     }
     match facts.observed {
         Observed::Ready(endpoints) => {
-            stage(facts, activation, Stage::Ready { endpoints: endpoints.clone() })
+            write_stage(facts, activation, Stage::Ready { endpoints: endpoints.clone() })
         }
-        Observed::Gone => try_again(facts, activation),
+        Observed::Gone => end_attempt(facts, activation),
         Observed::Unknown | Observed::Pending if facts.elapsed.start_timeout => {
-            try_again(facts, activation)
+            end_attempt(facts, activation)
         }
-        Observed::Unknown | Observed::Pending => probe(facts),
+        Observed::Unknown | Observed::Pending => probe_when_due(facts),
     }
 }
 
-fn keep(facts: &Facts<'_>, activation: &Activation, endpoints: &[String]) -> Step {
+fn step_while_ready(facts: &Facts<'_>, activation: &Activation, endpoints: &[String]) -> Step {
     match facts.observed {
         Observed::Gone if facts.any_use_marker || facts.has_held_requests => {
-            try_again(facts, activation)
+            end_attempt(facts, activation)
         }
         Observed::Gone => {
-            stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
+            write_stage(facts, activation, Stage::Stopping { then: AfterStop::ScaleToZero })
         }
-        Observed::Ready(seen) if seen != endpoints => {
-            stage(facts, activation, Stage::Ready { endpoints: seen.clone() })
+        Observed::Ready(answering) if answering != endpoints => {
+            write_stage(facts, activation, Stage::Ready { endpoints: answering.clone() })
         }
-        // None answers for now: requests wait, and the replicas may come back.
+        // No replica answers at present, though their job still runs: requests are held
+        // until one answers again.
         Observed::Pending if !endpoints.is_empty() => {
-            stage(facts, activation, Stage::Ready { endpoints: Vec::new() })
+            write_stage(facts, activation, Stage::Ready { endpoints: Vec::new() })
         }
         _ if !facts.any_use_marker && !facts.has_held_requests && facts.elapsed.minimum_uptime => {
             Step::Write {
@@ -251,17 +261,17 @@
                 unless_used: true,
             }
         }
-        _ => probe(facts),
+        _ => probe_when_due(facts),
     }
 }
 
-fn stop(facts: &Facts<'_>, activation: &Activation, then: AfterStop) -> Step {
+fn step_while_stopping(facts: &Facts<'_>, activation: &Activation, then: AfterStop) -> Step {
     if !facts.replicas_stopped {
         return Step::Stop;
     }
     let state = match then {
         AfterStop::ScaleToZero => ModelState::ScaledToZero,
-        AfterStop::GiveUp => ModelState::Failed { reason: failure(facts, activation) },
+        AfterStop::GiveUp => ModelState::Failed { reason: failure_reason(facts, activation) },
         AfterStop::Retry => ModelState::Active(Activation {
             attempt: activation.attempt + 1,
             job: facts.new_job.to_owned(),
@@ -269,34 +279,35 @@
             ..activation.clone()
         }),
     };
-    write(ActivationRecord { state, ..facts.record.clone() })
+    write_record(ActivationRecord { state, ..facts.record.clone() })
 }
 
-fn failure(facts: &Facts<'_>, activation: &Activation) -> String {
+fn failure_reason(facts: &Facts<'_>, activation: &Activation) -> String {
     match facts.requested {
         Requested::Rejected(reason) => reason.clone(),
         _ => format!("no replica stayed up in {} attempts", activation.attempt),
     }
 }
 
-/// Stops this attempt; another one follows while there are any left.
-fn try_again(facts: &Facts<'_>, activation: &Activation) -> Step {
-    let left = activation.attempt < facts.attempts;
-    let then = if left { AfterStop::Retry } else { AfterStop::GiveUp };
-    stage(facts, activation, Stage::Stopping { then })
+/// Stops the replicas of this attempt. Another attempt follows unless this was the last
+/// one allowed.
+fn end_attempt(facts: &Facts<'_>, activation: &Activation) -> Step {
+    let attempts_left = activation.attempt < facts.attempts;
+    let then = if attempts_left { AfterStop::Retry } else { AfterStop::GiveUp };
+    write_stage(facts, activation, Stage::Stopping { then })
 }
 
-/// The replicas of a draining model are still there for whoever asks.
-fn call_back(facts: &Facts<'_>, activation: &Activation, endpoints: &[String]) -> Step {
-    stage(facts, activation, Stage::Ready { endpoints: endpoints.to_vec() })
+/// Returns a draining model to service: its replicas still run.
+fn return_to_ready(facts: &Facts<'_>, activation: &Activation, endpoints: &[String]) -> Step {
+    write_stage(facts, activation, Stage::Ready { endpoints: endpoints.to_vec() })
 }
 
-fn probe(facts: &Facts<'_>) -> Step {
+fn probe_when_due(facts: &Facts<'_>) -> Step {
     if facts.elapsed.probe { Step::Probe } else { Step::Wait }
 }
 
-fn stage(facts: &Facts<'_>, activation: &Activation, stage: Stage) -> Step {
-    write(with_stage(facts, activation, stage))
+fn write_stage(facts: &Facts<'_>, activation: &Activation, stage: Stage) -> Step {
+    write_record(with_stage(facts, activation, stage))
 }
 
 fn with_stage(facts: &Facts<'_>, activation: &Activation, stage: Stage) -> ActivationRecord {
@@ -304,10 +315,10 @@
     ActivationRecord { state, ..facts.record.clone() }
 }
 
-fn active(facts: &Facts<'_>, activation: Activation) -> Step {
-    write(ActivationRecord { state: ModelState::Active(activation), ..facts.record.clone() })
+fn write_activation(facts: &Facts<'_>, activation: Activation) -> Step {
+    write_record(ActivationRecord { state: ModelState::Active(activation), ..facts.record.clone() })
 }
 
-fn write(record: ActivationRecord) -> Step {
+fn write_record(record: ActivationRecord) -> Step {
     Step::Write { record, unless_used: false }
 }
--- a/crates/stonewheel-activation/src/record.rs
+++ b/crates/stonewheel-activation/src/record.rs
@@ -1,127 +1,131 @@
-//! The durable state of a model: one record, changed by compare-and-set alone.
+//! The durable state of a model: one record, changed only by compare-and-set.
 //!
-//! | key | value | held by |
+//! | key | value | lifetime |
 //! | --- | --- | --- |
-//! | `sp/a/m/{model}` | [`ActivationRecord`] | nobody: it outlives all controllers |
-//! | `sp/a/u/{model}/{member}` | [`UseMarker`]: the controller forwards requests to the model | its session's lease |
-//! | `sp/a/j/{job}` | the replica starter's proof that a job is ours | until the job is stopped |
+//! | `sp/a/m/{model}` | [`ActivationRecord`] | never deleted: it outlives all controllers |
+//! | `sp/a/u/{model}/{member}` | [`UseMarker`]: the controller forwards requests to the model | until the controller deletes it or its session's lease ends |
+//! | `sp/a/j/{job}` | the replica starter's marker that a job was started for a model | until the job is stopped |
 
 use serde::{Deserialize, Serialize};
 use stonewheel_coordination::Owner;
 
-/// The key of a model's record.
+/// Returns the key of a model's record.
 pub fn record_key(model: &str) -> String {
     format!("sp/a/m/{model}")
 }
 
-/// What the keys of all use markers of a model begin with.
+/// Returns the common prefix of the keys of a model's use markers.
 pub fn use_marker_prefix(model: &str) -> String {
     use_marker_key(model, "")
 }
 
-/// The key of a controller's use marker for a model.
+/// Returns the key of a controller's use marker for a model.
 pub fn use_marker_key(model: &str, member: &str) -> String {
     format!("sp/a/u/{model}/{member}")
 }
 
-/// The key that marks a job as started for a model.
+/// Returns the key that marks a job as started for a model.
 pub fn job_key(job: &str) -> String {
     format!("sp/a/j/{job}")
 }
 
-/// A controller forwards requests to a model; attached to its lease.
+/// Marks that a controller forwards requests to a model. The marker's key is attached to
+/// the lease of the controller's session and ends with it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UseMarker {
-    /// The lease that it is attached to.
+    /// The lease that the marker is attached to.
     pub lease: u64,
 }
 
-/// The state of a model.
+/// The durable state of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ActivationRecord {
-    /// Counts cold starts that were decided on; it only rises.
+    /// Number of cold starts so far; never decreases.
     pub generation: u64,
-    /// Fencing token: it rises whenever the owner changes, and never falls.
+    /// Fencing token: increases whenever the owner changes, and never decreases.
     pub epoch: u64,
-    /// What the model is doing.
+    /// Whether replicas run, and who starts or stops them.
     pub state: ModelState,
 }
 
-/// What a model is doing.
+/// Whether a model has replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelState {
     /// No replica runs and none is being started.
     #[serde(rename = "asleep")]
     ScaledToZero,
-    /// All attempts of the last start failed; the next one waits a while.
+    /// The last cold start was given up. Requests are refused for `retry_s`; a later
+    /// request begins a new one.
     Failed {
-        /// Why, for the operator.
+        /// Why the start failed, for the operator.
         reason: String,
     },
     /// Replicas run, or are being started or stopped.
     Active(Activation),
 }
 
-/// A start under way, and what became of it.
+/// One cold start of a model and the replicas that it brought up, until they are
+/// stopped.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Activation {
-    /// Who drives it.
+    /// The controller process that carries out the activation.
     pub owner: Owner,
-    /// Which attempt of this generation it is, from 1.
+    /// Number of the start attempt within this generation, from 1.
     pub attempt: u32,
-    /// The job whose tasks are the replicas. It is durable before the job is
-    /// submitted, so that whoever repeats the submission names the same one.
+    /// Id of the job whose tasks are the replicas. The id is stored before the job is
+    /// submitted, so that a repeated submission uses the same id.
     pub job: String,
-    /// How far it is.
+    /// Stage that the activation has reached.
     pub stage: Stage,
 }
 
-/// How far an activation is.
+/// Stage of an activation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// The start is to be asked for, or has been.
+    /// The start of the replicas is yet to be requested, or was requested and no replica
+    /// answers yet.
     Starting,
-    /// Replicas answer.
+    /// The model serves requests.
     Ready {
-        /// Where they answer.
+        /// Endpoints of the replicas that answer; empty while none does.
         endpoints: Vec<String>,
     },
-    /// No controller uses the model; it may still be called back.
+    /// No controller uses the model. A request returns it to [`Stage::Ready`].
     Draining {
-        /// Where its replicas still answer.
+        /// Endpoints of the replicas, which still run.
         endpoints: Vec<String>,
     },
-    /// The replicas are to be stopped. There is no way back to the same job.
+    /// The replicas are being stopped. Their job is never used again.
     Stopping {
-        /// What comes next.
+        /// What follows once they are stopped.
         then: AfterStop,
     },
 }
 
-/// What follows once the replicas are stopped.
+/// What follows once the replicas of an attempt are stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AfterStop {
-    /// The model sleeps.
+    /// The model has no replicas until the next request.
     #[serde(rename = "sleep")]
     ScaleToZero,
     /// The next attempt of the same generation begins.
     Retry,
-    /// The start is given up.
+    /// The cold start is given up: the model becomes [`ModelState::Failed`].
     GiveUp,
 }
 
 impl Default for ActivationRecord {
-    /// The state of a model that has no record yet.
+    /// Returns the state of a model that has no record yet.
     fn default() -> Self {
         Self { generation: 0, epoch: 0, state: ModelState::ScaledToZero }
     }
 }
 
 impl ActivationRecord {
-    /// The activation under way, if there is one.
+    /// Returns the activation, unless the model has no replicas.
     pub fn activation(&self) -> Option<&Activation> {
         match &self.state {
             ModelState::Active(activation) => Some(activation),
@@ -129,7 +133,8 @@
         }
     }
 
-    /// Where replicas answer that may take requests.
+    /// Returns the endpoints that requests may be forwarded to; none unless the model is
+    /// ready.
     pub fn ready_endpoints(&self) -> Option<&[String]> {
         match &self.activation()?.stage {
             Stage::Ready { endpoints } => Some(endpoints),
--- a/crates/stonewheel-activation/src/starter.rs
+++ b/crates/stonewheel-activation/src/starter.rs
@@ -1,64 +1,65 @@
-//! What starts and stops the replicas of a model.
+//! The interface through which the owner of an activation starts, probes and stops
+//! replicas.
 
 use futures_util::future::BoxFuture;
 use stonewheel_protocol::Condition;
 use thiserror::Error;
 
-/// Which replicas are meant, and by whose right.
+/// The replicas that a call concerns, and the fencing data that authorizes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaOrder {
     /// The model.
     pub model: String,
-    /// Which cold start of the model.
+    /// Number of the model's cold start.
     pub generation: u64,
-    /// The owner's fencing token: orders with a lower one than was seen before are
-    /// refused.
+    /// The owner's fencing token: an order is refused if one with a higher token was
+    /// seen before.
     pub epoch: u64,
-    /// The job whose tasks the replicas are.
+    /// Id of the job whose tasks are the replicas.
     pub job: String,
-    /// The version of the model's record that the order was decided on. Whoever
-    /// carries it out in the state service makes its change conditional on this.
+    /// The version of the model's record that the order was decided on. A write to the
+    /// state service that carries out the order is conditional on it.
     pub fence: Condition,
 }
 
-/// What the replicas do.
+/// State of the replicas, as a probe found it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Replicas {
-    /// They are being started; none answers yet.
+    /// The replicas are being started; none answers yet.
     Pending,
-    /// These answer.
+    /// The endpoints of the replicas that answer.
     Ready(Vec<String>),
-    /// They are gone for good.
+    /// The replicas have ended and are not started again by themselves.
     Gone,
 }
 
-/// Why an order was not carried out, or may not have been.
+/// Why an order failed, or why its outcome is unknown.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StarterError {
-    /// The record has moved on since: somebody else acts now.
+    /// The model's record has changed since the order was decided on.
     #[error("the order is out of date")]
     Stale,
-    /// The job's id belongs to a job that is not ours.
+    /// The job's id belongs to a job that was not started for a model.
     #[error("the job's id is taken")]
     IdTaken,
-    /// It can never be carried out.
+    /// The order can never be carried out.
     #[error("rejected: {0}")]
     Rejected(String),
-    /// It may have been carried out or not; a repeat is safe.
+    /// The order may or may not have been carried out; repeating it is safe.
     #[error("unavailable: {0}")]
     Unavailable(String),
 }
 
-/// Starts and stops replicas. Every call may be repeated: the same order has its
+/// Starts, probes and stops replicas. Calls are idempotent: a repeated order takes
 /// effect once.
 pub trait ReplicaStarter: Send + Sync {
-    /// Asks for the replicas.
+    /// Requests the start of the replicas.
     fn start(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), StarterError>>;
 
-    /// Looks at them.
+    /// Returns the state of the replicas.
     fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>>;
 
-    /// Stops them; afterwards no start with this job has any effect. A job that is
-    /// not ours is left alone.
+    /// Stops the replicas; afterwards no start with this job id has any effect. A job
+    /// that was not started for a model is left alone.
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), StarterError>>;
 }
