--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -27,7 +27,7 @@
 
 /// With several models, one model may take up the limit of held requests divided by this.
 const HOLD_LIMIT_DIVISOR: usize = 2;
-/// Digits of a job id. The records of ended jobs store ids of this length compactly.
+/// Digits of a job id: the most that the records of ended jobs store compactly.
 const JOB_ID_DIGITS: usize = 17;
 
 /// Why a request is refused. A refusal is final for the request.
@@ -132,7 +132,7 @@
         };
         Arc::new(Self {
             coordinator,
-            holder: Holder::new(settings.hold_requests as usize, settings.hold_bytes()),
+            holder: Holder::new(settings.hold_requests as usize, settings.max_held_bytes()),
             models: settings.models.iter().map(model).collect(),
             settings,
             starter,
@@ -222,7 +222,7 @@
     /// Whether requests may be forwarded: the session ended no longer than `outage_s` ago.
     fn may_forward(&self, now: Instant) -> bool {
         let session = self.coordinator.session();
-        session.is_some_and(|session| now < session.valid_until + self.settings.outage())
+        session.is_some_and(|session| now < session.valid_until + self.settings.outage_tolerance())
     }
 
     /// Returns how many requests may be held for one model: the whole limit if there is
@@ -419,7 +419,7 @@
 }
 
 fn draw_job_id(rng: &mut StdRng) -> String {
-    // The first digit isn't 0, so that the number itself has as many digits.
+    // The first digit isn't 0, so that the ids have the same length as numbers, too.
     let first_digit: u8 = rng.random_range(1..10);
     let other_digits = (1..JOB_ID_DIGITS).map(|_| char::from(b'0' + rng.random_range(0..10_u8)));
     let mut job_id = format!("j-{first_digit}");
--- a/crates/stonewheel-activation/src/gateway.rs
+++ b/crates/stonewheel-activation/src/gateway.rs
@@ -1,6 +1,6 @@
-//! The way in for requests to models, over HTTP: `ANY /models/{name}/{path}` goes to
-//! a replica as `/{path}`, once the model serves. `GET /activation` tells the
-//! operator what each model does.
+//! HTTP gateway for requests to models: `ANY /models/{name}/{path}` is forwarded to a
+//! replica as `/{path}` once the model is ready. `GET /activation` returns the status of
+//! each model.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -28,19 +28,19 @@
 
 use crate::{Activator, Admission, Refusal, settings::ActivationSettings};
 
-/// Connections beyond those whose requests are held: of requests that pass, and of
-/// callers that idle.
-const CONNECTIONS_PER_HELD: usize = 2;
-/// A connection reads so much ahead.
-const BUFFER: usize = 16 * 1024;
-/// A replica that takes no connection within this part of a request's time is passed
-/// over.
-const CONNECT_PARTS: u32 = 8;
-/// Idle connections kept to each replica.
-const IDLE_CONNECTIONS: usize = 16;
+/// Connections accepted for each request that may be held: the others serve requests in
+/// progress and idle callers.
+const CONNECTIONS_PER_HELD_REQUEST: usize = 2;
+/// Read buffer of each connection.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// A replica that does not accept a connection within `request_s` divided by this is
+/// skipped.
+const CONNECT_TIMEOUT_DIVISOR: u32 = 8;
+/// Maximum number of idle connections kept open to each replica.
+const MAX_IDLE_CONNECTIONS_PER_REPLICA: usize = 16;
 
-/// Headers that hold for one connection only.
-const HOP_BY_HOP: [header::HeaderName; 7] = [
+/// Headers that concern a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [header::HeaderName; 7] = [
     header::CONNECTION,
     header::HOST,
     header::PROXY_AUTHENTICATE,
@@ -55,7 +55,7 @@
     error: String,
 }
 
-fn refuse(
+fn error_response(
     status: StatusCode,
     reason: &str,
     retry_after: Option<Duration>,
@@ -63,7 +63,8 @@
     let body = warp::reply::json(&ErrorBody { error: reason.to_owned() });
     let mut response = warp::reply::with_status(body, status).into_response();
     if let Some(after) = retry_after {
-        // Whole seconds, never sooner than asked.
+        // The header counts whole seconds: round up, so that the caller never comes back
+        // too early.
         let seconds = HeaderValue::from(after.as_secs_f64().ceil().max(1.0) as u64);
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
@@ -75,11 +76,11 @@
         Refusal::UnknownModel => StatusCode::NOT_FOUND,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    refuse(status, &refusal.to_string(), refusal.retry_after())
+    error_response(status, &refusal.to_string(), refusal.retry_after())
 }
 
-/// One request as it came in.
-struct Incoming {
+/// A request as received from the caller.
+struct IncomingRequest {
     method: Method,
     path: String,
     query: Option<String>,
@@ -90,64 +91,72 @@
 struct Gateway {
     activator: Arc<Activator>,
     client: Client<HttpConnector, Full<Bytes>>,
-    request_limit: Duration,
+    request_timeout: Duration,
 }
 
 impl Gateway {
     fn new(activator: Arc<Activator>) -> Self {
-        let request_limit = activator.settings().request_limit();
+        let request_timeout = activator.settings().request_timeout();
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(request_limit / CONNECT_PARTS));
+        connector.set_connect_timeout(Some(request_timeout / CONNECT_TIMEOUT_DIVISOR));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(request_limit)
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_idle_timeout(request_timeout)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS_PER_REPLICA)
             .build(connector);
-        Self { activator, client, request_limit }
+        Self { activator, client, request_timeout }
     }
 
-    async fn answer(&self, model: String, incoming: Incoming) -> warp::reply::Response {
-        let began = Instant::now();
+    /// Forwards a request once the model is ready, and returns the response to the caller.
+    async fn handle_request(
+        &self,
+        model: String,
+        incoming: IncomingRequest,
+    ) -> warp::reply::Response {
+        let received_at = Instant::now();
         loop {
             let admission = match self.activator.admit(&model, incoming.body.len()).await {
                 Ok(admission) => admission,
                 Err(refusal) => return refusal_response(&refusal),
             };
-            let exchange = timeout(self.request_limit, self.exchange(&admission, &incoming));
+            let exchange =
+                timeout(self.request_timeout, self.forward_to_any(&admission, &incoming));
             match exchange.await {
                 Ok(Some(response)) => return response,
                 Err(_) => {
                     let reason = "the replica did not answer in time";
-                    return refuse(StatusCode::GATEWAY_TIMEOUT, reason, None);
+                    return error_response(StatusCode::GATEWAY_TIMEOUT, reason, None);
                 }
                 Ok(None) => drop(admission),
             }
-            // No replica has the request. Their owner will have noticed soon, and what
-            // it does then lets the request pass or be refused.
-            let Some(pause) = self.patience(&model, began) else {
-                let retry_after = Some(self.request_limit / CONNECT_PARTS);
+            // No replica received the request. The activation's owner detects this with its
+            // next probe and updates the record, after which the request is held, forwarded
+            // or refused.
+            let Some(pause) = self.retry_pause(&model, received_at) else {
+                let retry_after = Some(self.request_timeout / CONNECT_TIMEOUT_DIVISOR);
                 let reason = "no replica can be reached";
-                return refuse(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after);
+                return error_response(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after);
             };
             sleep(pause).await;
         }
     }
 
-    /// How long to wait before a request that reached nobody tries again; none if its
-    /// time is over.
-    fn patience(&self, model: &str, began: Instant) -> Option<Duration> {
+    /// Returns how long to wait before a request that reached no replica is tried again;
+    /// none if that would exceed the time for which the request may be held.
+    fn retry_pause(&self, model: &str, received_at: Instant) -> Option<Duration> {
         let settings = self.activator.settings().models.get(model)?;
-        let (probe, hold) = (settings.look_s, settings.hold_s);
-        let pause = Duration::from_secs_f64(probe);
-        (began.elapsed() + pause < Duration::from_secs_f64(hold)).then_some(pause)
+        let (probe_interval_s, hold_s) = (settings.look_s, settings.hold_s);
+        let pause = Duration::from_secs_f64(probe_interval_s);
+        (received_at.elapsed() + pause < Duration::from_secs_f64(hold_s)).then_some(pause)
     }
 
-    /// Sends a request to one replica after another until one has it.
-    async fn exchange(
+    /// Sends a request to one replica after another until one receives it. None if the
+    /// request certainly reached no replica.
+    async fn forward_to_any(
         &self,
         admission: &Admission,
-        incoming: &Incoming,
+        incoming: &IncomingRequest,
     ) -> Option<warp::reply::Response> {
         for endpoint in admission.endpoints() {
             let response = self.forward(endpoint, incoming).await;
@@ -158,48 +167,59 @@
         None
     }
 
-    /// The replica's answer, or none if the request surely did not reach it.
-    async fn forward(&self, endpoint: &str, incoming: &Incoming) -> Option<warp::reply::Response> {
+    /// Returns the replica's response, or an error response for the caller; none if the
+    /// request certainly did not reach the replica.
+    async fn forward(
+        &self,
+        endpoint: &str,
+        incoming: &IncomingRequest,
+    ) -> Option<warp::reply::Response> {
         let query = incoming.query.as_ref().map(|query| format!("?{query}")).unwrap_or_default();
         let uri = format!("http://{endpoint}/{}{query}", incoming.path);
         let request = Request::builder().method(incoming.method.clone()).uri(uri);
         let Ok(mut request) = request.body(Full::from(incoming.body.clone())) else {
-            return Some(refuse(StatusCode::BAD_REQUEST, "the path can't be forwarded", None));
+            return Some(error_response(
+                StatusCode::BAD_REQUEST,
+                "the path can't be forwarded",
+                None,
+            ));
         };
-        *request.headers_mut() = end_to_end(&incoming.headers);
+        *request.headers_mut() = end_to_end_headers(&incoming.headers);
         match self.client.request(request).await {
-            Ok(response) => Some(passed_on(response).await),
+            Ok(response) => Some(relay_response(response).await),
             Err(error) if error.is_connect() => {
-                debug!(endpoint, %error, "a replica can't be reached");
+                debug!(endpoint, %error, "connecting to a replica failed");
                 None
             }
             Err(error) => {
-                debug!(endpoint, %error, "a replica broke off");
-                Some(refuse(StatusCode::BAD_GATEWAY, "the replica broke off", None))
+                debug!(endpoint, %error, "request to a replica failed after connecting");
+                Some(error_response(StatusCode::BAD_GATEWAY, "the replica broke off", None))
             }
         }
     }
 }
 
-/// The headers that concern both ends, not one connection.
-fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+/// Returns the headers to forward: those that don't concern a single connection. The
+/// length is set anew from the body.
+fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
-    for name in HOP_BY_HOP {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
 
-async fn passed_on(response: Response<hyper::body::Incoming>) -> warp::reply::Response {
+/// Reads a replica's response to its end and turns it into the response to the caller.
+async fn relay_response(response: Response<hyper::body::Incoming>) -> warp::reply::Response {
     let (parts, body) = response.into_parts();
     let Ok(body) = body.collect().await else {
-        return refuse(StatusCode::BAD_GATEWAY, "the replica broke off", None);
+        return error_response(StatusCode::BAD_GATEWAY, "the replica broke off", None);
     };
-    let mut answer =
+    let mut reply =
         warp::reply::with_status(body.to_bytes().to_vec(), parts.status).into_response();
-    *answer.headers_mut() = end_to_end(&parts.headers);
-    answer
+    *reply.headers_mut() = end_to_end_headers(&parts.headers);
+    reply
 }
 
 fn routes(
@@ -210,7 +230,7 @@
     let query = warp::query::raw().map(Some).or(warp::any().map(|| None)).unify();
     let body = warp::body::content_length_limit(body_limit as u64)
         .and(warp::body::bytes())
-        // Without a body there is no length to check.
+        // A request without a body needs no Content-Length, or has one of 0.
         .or(warp::header::exact_ignore_case("content-length", "0").map(Bytes::new))
         .unify()
         .or(warp::get().or(warp::head()).unify().map(Bytes::new))
@@ -232,7 +252,9 @@
              body: Bytes,
              gateway: Arc<Gateway>| async move {
                 let path = path.as_str().to_owned();
-                gateway.answer(model, Incoming { method, path, query, headers, body }).await
+                gateway
+                    .handle_request(model, IncomingRequest { method, path, query, headers, body })
+                    .await
             },
         );
     let status = warp::path!("activation").and(warp::get()).and(with_gateway).map(
@@ -241,32 +263,35 @@
     status
         .or(request)
         .unify()
-        .recover(|rejection: Rejection| async move { Ok::<_, Infallible>(rejected(&rejection)) })
+        .recover(|rejection: Rejection| async move {
+            Ok::<_, Infallible>(rejection_response(&rejection))
+        })
         .unify()
 }
 
-fn rejected(rejection: &Rejection) -> warp::reply::Response {
+fn rejection_response(rejection: &Rejection) -> warp::reply::Response {
     if rejection.find::<warp::reject::PayloadTooLarge>().is_some() {
-        refuse(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than request_kb", None)
+        error_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than request_kb", None)
     } else if rejection.find::<warp::reject::LengthRequired>().is_some() {
-        refuse(StatusCode::LENGTH_REQUIRED, "the body needs a Content-Length", None)
+        error_response(StatusCode::LENGTH_REQUIRED, "the body needs a Content-Length", None)
     } else if rejection.is_not_found() {
-        refuse(StatusCode::NOT_FOUND, "no such path", None)
+        error_response(StatusCode::NOT_FOUND, "no such path", None)
     } else {
-        refuse(StatusCode::BAD_REQUEST, "the request can't be read", None)
+        error_response(StatusCode::BAD_REQUEST, "the request can't be read", None)
     }
 }
 
-fn most_connections(settings: &ActivationSettings) -> usize {
-    settings.hold_requests as usize * CONNECTIONS_PER_HELD
+fn max_connections(settings: &ActivationSettings) -> usize {
+    settings.hold_requests as usize * CONNECTIONS_PER_HELD_REQUEST
 }
 
-/// Takes requests until told to stop; those in progress are still answered.
+/// Serves requests until `stop` is cancelled; requests in progress are still answered.
 pub async fn serve(activator: Arc<Activator>, listener: TcpListener, stop: CancellationToken) {
     let settings = activator.settings();
-    let slots = Arc::new(Semaphore::new(most_connections(settings)));
-    let limits = ConnectionLimits { header_time: settings.request_limit(), buffer: BUFFER };
-    let body_limit = settings.request_bytes();
+    let slots = Arc::new(Semaphore::new(max_connections(settings)));
+    let limits =
+        ConnectionLimits { header_time: settings.request_timeout(), buffer: READ_BUFFER_BYTES };
+    let body_limit = settings.max_request_bytes();
     let gateway = Arc::new(Gateway::new(activator));
     let service = warp::service(routes(gateway, body_limit));
     let connection = move |stream: TcpStream, stop: CancellationToken| {
--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -360,7 +360,7 @@
         Deadlines {
             backoff: progress.attempt_seen_at + backoff,
             start_timeout: after(progress.attempt_seen_at, self.settings.start_s),
-            drain: progress.stage_seen_at + context.settings.drain(),
+            drain: progress.stage_seen_at + context.settings.drain_time(),
             minimum_uptime: after(progress.stage_seen_at, self.settings.awake_s),
             failure_pause: after(progress.stage_seen_at, self.settings.retry_s),
             probe: progress.next_probe_at,
@@ -424,7 +424,7 @@
     if let Some(endpoints) = facts.record.ready_endpoints()
         && !endpoints.is_empty()
         && facts.has_use_marker
-        && now < session.valid_until + settings.outage()
+        && now < session.valid_until + settings.outage_tolerance()
     {
         return Availability::Ready { endpoints: endpoints.into() };
     }
--- a/crates/stonewheel-activation/src/record/tests.rs
+++ b/crates/stonewheel-activation/src/record/tests.rs
@@ -3,7 +3,7 @@
 const SCALED_TO_ZERO_JSON: &str = r#"{"generation":3,"epoch":5,"state":"asleep"}"#;
 
 #[test]
-fn record_json_is_unchanged_by_a_round_trip() {
+fn stored_json_of_a_record_is_unchanged() {
     let active_json = r#"{"generation":4,"epoch":6,"state":{"active":{"owner":{"member":"m-1","incarnation":7},"attempt":2,"job":"j-91","stage":{"stopping":{"then":"give_up"}}}}}"#;
     for text in [SCALED_TO_ZERO_JSON, active_json] {
         let record: ActivationRecord = serde_json::from_str(text).expect("readable");
--- a/crates/stonewheel-activation/src/settings.rs
+++ b/crates/stonewheel-activation/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings of this part: a section `activation`, and one
+//! The operators' settings for scale to zero: a section `activation`, and a section
 //! `model NAME` for each model.
 
 use std::{
@@ -13,20 +13,20 @@
     path, whole,
 };
 
-/// How the sections of this part are called.
+/// Names of this crate's sections in the settings file.
 const SECTIONS: PartSections =
     PartSections { general: "activation", prefix: "model ", table: "models" };
-/// The key that other times of a model are ratios to.
-const LOAD_TIME: &str = "load_s";
+/// The key of the load time. Other times of a model default to ratios of the load time.
+const LOAD_TIME_KEY: &str = "load_s";
 const BYTES_PER_KB: f64 = 1024.0;
 
-/// Where requests to models are taken.
+/// Address at which the gateway listens for requests to models.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listen {
-    /// At this port of the address that users reach the controller by: the same file
-    /// serves all controllers.
+    /// This port of the controller's public address. All controllers can share a settings
+    /// file that gives only the port.
     Port(u16),
-    /// At this very address.
+    /// This address and port.
     Address(SocketAddr),
 }
 
@@ -36,7 +36,7 @@
         port.or_else(|| text.parse().map(Self::Address).ok())
     }
 
-    /// The address, for a controller that users reach at `public`.
+    /// Returns the address to listen at, for a controller whose public address is `public`.
     pub fn address(self, public: IpAddr) -> SocketAddr {
         match self {
             Self::Port(port) => SocketAddr::new(public, port),
@@ -45,26 +45,27 @@
     }
 }
 
-/// What holds for all models.
+/// Settings that apply to all models, and the settings of each.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct ActivationSettings {
-    /// Where requests to models are taken.
+    /// Address at which the gateway listens for requests to models.
     #[garde(skip)]
     pub listen: Listen,
-    /// Requests that one controller holds at once.
+    /// Maximum number of requests that one controller holds at the same time.
     #[garde(range(min = 1.0, max = 1e6))]
     pub hold_requests: f64,
-    /// Bytes of their bodies.
+    /// Maximum total size of the bodies of held requests at one controller, in KiB.
     #[garde(range(min = 1.0, max = 1e9))]
     pub hold_kb: f64,
-    /// The longest body of one request.
+    /// Maximum size of the body of one request, in KiB.
     #[garde(range(min = 1.0, max = self.hold_kb))]
     pub request_kb: f64,
-    /// How long a request may take once it is forwarded.
+    /// Timeout of a forwarded request.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub request_s: f64,
-    /// How long a controller that can't renew its session goes on forwarding to
-    /// models that were ready. A model drains for as long, and for one request.
+    /// How long a controller continues to forward requests to ready models after its
+    /// session has ended because it could not be renewed. A model drains for this time
+    /// plus `request_s`.
     #[garde(range(min = 0.0, max = MAX_TIME_S))]
     pub outage_s: f64,
     /// The models, by name.
@@ -72,101 +73,103 @@
     pub models: BTreeMap<String, ModelSettings>,
 }
 
-/// One model: its replicas as the scheduler is to place them, and when it sleeps.
+/// Settings of one model: its replicas as the scheduler is to place them, and when it is
+/// started and scaled to zero.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct ModelSettings {
-    /// The team that pays for it.
+    /// Team that the replicas are charged to.
     #[garde(length(bytes, min = 1, max = 200))]
     pub team: String,
-    /// Its class of jobs.
+    /// Job class of the replicas' job.
     #[garde(length(bytes, min = 1, max = 200))]
     pub class: String,
-    /// The image that a machine needs.
+    /// Image that a machine needs to run a replica.
     #[garde(length(bytes, min = 1, max = 200))]
     pub image: String,
-    /// Its size.
+    /// Size of the image in GB.
     #[garde(range(min = 0.0, max = 1e6))]
     pub image_gb: f64,
-    /// How urgent its replicas are, in the submission's terms.
+    /// Priority of the replicas' job, by the name that job submissions use.
     #[garde(custom(known_priority))]
     pub priority: String,
-    /// How many replicas it has.
+    /// Number of replicas.
     #[garde(range(min = 1.0, max = 1e5), custom(whole))]
     pub replicas: f64,
-    /// What each takes.
+    /// CPUs of each replica.
     #[garde(range(min = 0.0, max = 1e6))]
     pub cpus: f64,
-    /// What each takes.
+    /// GPUs of each replica.
     #[garde(range(min = 0.0, max = 1e6))]
     pub gpus: f64,
-    /// What each takes.
+    /// Memory of each replica in GB.
     #[garde(range(min = 0.0, max = 1e9))]
     pub memory_gb: f64,
-    /// The port at which a replica answers on its machine.
+    /// Port at which a replica answers on its machine.
     #[garde(range(min = 1.0, max = 65535.0), custom(whole))]
     pub port: f64,
-    /// The path that a replica answers with 200 once it can take requests.
+    /// Path of the health check: a replica answers it with status 200 once it can serve
+    /// requests.
     #[garde(custom(path))]
     pub health: String,
-    /// How long a replica usually takes from the request for it to its first answer.
+    /// Usual time from the request for a replica until the replica first answers.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub load_s: f64,
-    /// When a start is given up that has not brought an answer.
+    /// Timeout of a start attempt: the attempt has failed if no replica answers by then.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(at_least("load_s", self.load_s)))]
     pub start_s: f64,
-    /// How long a request is held for a start.
+    /// Maximum time for which a request is held.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub hold_s: f64,
-    /// The model sleeps after so long without a request at any controller.
+    /// The model is scaled to zero after this time without a request at any controller.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub idle_s: f64,
-    /// But not sooner after a start.
+    /// Minimum time that the model stays ready before it may be scaled to zero.
     #[garde(range(min = 0.0, max = MAX_TIME_S))]
     pub awake_s: f64,
-    /// How often one cold start tries to start it.
+    /// Maximum number of start attempts in one cold start.
     #[garde(range(min = 1.0, max = 100.0), custom(whole))]
     pub attempts: f64,
-    /// The pause before the second attempt; it doubles with each further one.
+    /// Back-off before the second attempt; doubles with each further attempt.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub backoff_s: f64,
-    /// How long requests are refused after the last attempt.
+    /// How long requests are refused after a cold start was given up.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub retry_s: f64,
-    /// How often the owner probes the replicas.
+    /// Interval between the owner's probes of the replicas.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(at_most("start_s", self.start_s)))]
     pub look_s: f64,
 }
 
 impl ActivationSettings {
-    /// Bytes of bodies that may be held at once.
-    pub fn hold_bytes(&self) -> usize {
+    /// Returns `hold_kb` in bytes.
+    pub fn max_held_bytes(&self) -> usize {
         (self.hold_kb * BYTES_PER_KB) as usize
     }
 
-    /// Bytes of the longest body.
-    pub fn request_bytes(&self) -> usize {
+    /// Returns `request_kb` in bytes.
+    pub fn max_request_bytes(&self) -> usize {
         (self.request_kb * BYTES_PER_KB) as usize
     }
 
-    /// How long a forwarded request may take.
-    pub fn request_limit(&self) -> Duration {
+    /// Returns the timeout of a forwarded request.
+    pub fn request_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.request_s)
     }
 
-    /// How long requests are forwarded beyond the session.
-    pub fn outage(&self) -> Duration {
+    /// Returns how long requests are still forwarded after the session has ended.
+    pub fn outage_tolerance(&self) -> Duration {
         Duration::from_secs_f64(self.outage_s)
     }
 
-    /// How long a model drains: a controller that lost its session forwards for
-    /// `outage_s` more, and its last request ends `request_s` later.
-    pub fn drain(&self) -> Duration {
-        self.outage() + self.request_limit()
+    /// Returns how long a model drains: a controller that lost its session forwards
+    /// requests for another `outage_s`, and the last of them ends within `request_s`.
+    pub fn drain_time(&self) -> Duration {
+        self.outage_tolerance() + self.request_timeout()
     }
 }
 
 impl ModelSettings {
-    /// The pause before an attempt, without jitter.
+    /// Returns the back-off before an attempt, without jitter.
     pub fn backoff(&self, attempt: u32) -> Duration {
         if attempt <= 1 {
             return Duration::ZERO;
@@ -176,32 +179,32 @@
     }
 }
 
-/// Reads the sections of this part out of an INI file's. None if there is no section
-/// `activation`. Sections of other parts are passed over.
+/// Reads this crate's settings from the sections of an INI file. None if there is no
+/// section `activation`. Sections of other parts are ignored.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<ActivationSettings>, FieldError> {
-    let part = SECTIONS.read(sections, general, |_, section| model_settings(section))?;
+    let part = SECTIONS.read(sections, general_settings, |_, section| model_settings(section))?;
     let Some(part) = part else { return Ok(None) };
     let settings = ActivationSettings { models: part.named, ..part.general };
     settings.validate().map_err(|report| first_error(&report))?;
     Ok(Some(settings))
 }
 
-/// Whether a section belongs to this part.
+/// Whether a section of the settings file belongs to this crate.
 pub fn is_section(name: &str) -> bool {
     SECTIONS.contain(name)
 }
 
-/// The first mistake of a report, in the file's terms.
+/// Returns the first error of a report, by the names that the file uses.
 fn first_error(report: &garde::Report) -> FieldError {
-    // Other times follow from the load time where they are not set, and so do their
-    // mistakes.
-    let follows = |path: &garde::Path| !path.to_string().ends_with(LOAD_TIME);
-    SECTIONS.validation_error(report.iter().min_by_key(|(path, _)| follows(path)))
+    // Times that are not set derive from the load time, so an invalid load time makes them
+    // invalid, too: an error of the load time itself comes first.
+    let is_other_key = |path: &garde::Path| !path.to_string().ends_with(LOAD_TIME_KEY);
+    SECTIONS.validation_error(report.iter().min_by_key(|(path, _)| is_other_key(path)))
 }
 
-fn general(mut section: Section<'_>) -> Result<ActivationSettings, FieldError> {
+fn general_settings(mut section: Section<'_>) -> Result<ActivationSettings, FieldError> {
     let listen = section.text("listen", None)?;
     let listen = Listen::parse(&listen)
         .ok_or_else(|| section.error("listen", "must be a port or address:port"))?;
@@ -219,7 +222,7 @@
 }
 
 fn model_settings(mut section: Section<'_>) -> Result<ModelSettings, FieldError> {
-    let load_s = section.number(LOAD_TIME, None)?;
+    let load_s = section.number(LOAD_TIME_KEY, None)?;
     let settings = ModelSettings {
         team: section.text("team", None)?,
         class: section.text("class", None)?,
@@ -233,7 +236,7 @@
         port: section.number("port", None)?,
         health: section.text("health", Some("/health"))?,
         load_s,
-        // Three usual starts, and four usual ones with their requests.
+        // An attempt may take three usual load times; requests are held for four.
         start_s: section.number("start_s", Some(load_s * 3.0))?,
         hold_s: section.number("hold_s", Some(load_s * 4.0))?,
         idle_s: section.number("idle_s", Some(load_s * 5.0))?,
--- a/crates/stonewheel-activation/src/settings/tests.rs
+++ b/crates/stonewheel-activation/src/settings/tests.rs
@@ -24,30 +24,30 @@
     parse_sections(sections.into_iter())
 }
 
-fn with(pairs: Pairs, key: &'static str, value: &'static str) -> Pairs {
+fn with_value(pairs: Pairs, key: &'static str, value: &'static str) -> Pairs {
     let mut pairs: Pairs = pairs.into_iter().filter(|(k, _)| *k != key).collect();
     pairs.push((key, value));
     pairs
 }
 
 #[test]
-fn what_is_not_set_is_a_ratio_to_the_load_time() {
+fn unset_times_default_to_ratios_of_the_load_time() {
     let settings = parse(vec![
         ("scheduler", vec![("round_s", "4")]),
         ("activation", general_pairs()),
         ("model router", model_pairs()),
     ]);
-    let settings = settings.expect("valid").expect("switched on");
+    let settings = settings.expect("valid").expect("an activation section");
     let model = &settings.models["router"];
     assert_eq!((model.start_s, model.hold_s, model.idle_s), (180.0, 240.0, 300.0));
-    assert_eq!(settings.drain(), Duration::from_secs(90));
-    let pauses: Vec<f64> = (1..=4).map(|n| model.backoff(n).as_secs_f64()).collect();
-    assert_eq!(pauses, [0.0, 7.5, 15.0, 30.0]);
-    assert_eq!(parse(vec![("scheduler", vec![])]), Ok(None), "not switched on");
+    assert_eq!(settings.drain_time(), Duration::from_secs(90));
+    let backoffs: Vec<f64> = (1..=4).map(|n| model.backoff(n).as_secs_f64()).collect();
+    assert_eq!(backoffs, [0.0, 7.5, 15.0, 30.0]);
+    assert_eq!(parse(vec![("scheduler", vec![])]), Ok(None), "no activation section");
 }
 
 #[test]
-fn one_file_serves_all_controllers() {
+fn listen_setting_is_a_port_of_the_public_address_or_a_full_address() {
     let public = "10.0.0.3".parse().expect("an address");
     let listen = |text| Listen::parse(text).map(|listen| listen.address(public).to_string());
     assert_eq!(listen("8090").as_deref(), Some("10.0.0.3:8090"));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn each_mistake_in_a_section_is_named() {
+fn invalid_value_is_reported_with_the_name_of_its_field() {
     let general = [
         ("listen", "nowhere", "activation.listen"),
         ("hold_requests", "0", "activation.hold_requests"),
@@ -67,12 +67,12 @@
         ("hold", "1", "activation.hold"),
     ];
     for (key, value, field) in general {
-        let pairs = with(general_pairs(), key, value);
+        let pairs = with_value(general_pairs(), key, value);
         let error = parse(vec![("activation", pairs), ("model router", model_pairs())]);
         assert_eq!(error.expect_err(field).field, field);
     }
     let model = [
-        // The wake limit is below the time that a start takes.
+        // start_s must not be below load_s.
         ("start_s", "59", "model router.start_s"),
         ("look_s", "181", "model router.look_s"),
         ("load_s", "0", "model router.load_s"),
@@ -88,7 +88,7 @@
         ("gpu", "1", "model router.gpu"),
     ];
     for (key, value, field) in model {
-        let pairs = with(model_pairs(), key, value);
+        let pairs = with_value(model_pairs(), key, value);
         let error = parse(vec![("activation", general_pairs()), ("model router", pairs)]);
         let error = error.expect_err(field);
         assert_eq!(error.field, field, "{error}");
@@ -97,11 +97,11 @@
 }
 
 #[test]
-fn sections_that_do_not_fit_together_are_named() {
+fn missing_duplicate_and_misnamed_sections_are_reported_by_name() {
     let router = || ("model router", model_pairs());
     let general = || ("activation", general_pairs());
     let twice_set = [general_pairs(), general_pairs()].concat();
-    let mistakes = [
+    let cases = [
         (vec![router()], "model router"),
         (vec![general()], "activation"),
         (vec![general(), router(), router()], "model router"),
@@ -110,7 +110,7 @@
         (vec![general(), ("model a/b", model_pairs())], "model a/b"),
         (vec![("activation", twice_set), router()], "activation.listen"),
     ];
-    for (sections, field) in mistakes {
+    for (sections, field) in cases {
         assert_eq!(parse(sections).expect_err(field).field, field);
     }
 }
