--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -155,7 +155,7 @@
         tasks.wait().await;
     }
 
-    // Requests.
+    // Admission of requests.
 
     /// Waits until a request to a model may be forwarded, or is refused. `bytes` is the size
     /// of the request's body, which counts against the limit of held bytes meanwhile. A
@@ -219,7 +219,8 @@
         }
     }
 
-    /// Whether requests may be forwarded: the session ended no longer than `outage_s` ago.
+    /// Whether requests may be forwarded: the session is valid or ended less than `outage_s`
+    /// ago.
     fn may_forward(&self, now: Instant) -> bool {
         let session = self.coordinator.session();
         session.is_some_and(|session| now < session.valid_until + self.settings.outage_tolerance())
@@ -250,7 +251,7 @@
         self.models.values().map(status).collect()
     }
 
-    // Models.
+    // The task of each model, and its steps.
 
     /// Evaluates a model and carries out the next step, over and over.
     async fn run_model(self: Arc<Self>, model: Arc<Model>) {
@@ -320,7 +321,11 @@
         match self.coordinator.commit_under(session, conditions, vec![put]).await {
             Ok(_) => log_transition(&model.name, &from.value, &to),
             Err(error) => {
-                debug!(model = model.name, %error, "activation record write failed or its outcome is unknown");
+                debug!(
+                    model = model.name,
+                    %error,
+                    "activation record write failed or its outcome is unknown"
+                );
                 self.coordinator.refresh().await;
             }
         }
@@ -386,7 +391,11 @@
                 model.note_requested(attempt, Requested::Rejected(reason));
             }
             Err(error) => {
-                debug!(model = model.name, %error, "replica start failed or its outcome is unknown");
+                debug!(
+                    model = model.name,
+                    %error,
+                    "replica start failed or its outcome is unknown"
+                );
                 self.coordinator.refresh().await;
             }
         }
@@ -411,7 +420,11 @@
         match self.starter.stop(&order).await {
             Ok(()) => model.note_stopped(AttemptId::of(&record.value)),
             Err(error) => {
-                debug!(model = model.name, %error, "replica stop failed or its outcome is unknown");
+                debug!(
+                    model = model.name,
+                    %error,
+                    "replica stop failed or its outcome is unknown"
+                );
                 self.coordinator.refresh().await;
             }
         }
@@ -419,7 +432,7 @@
 }
 
 fn draw_job_id(rng: &mut StdRng) -> String {
-    // The first digit isn't 0, so that the ids have the same length as numbers, too.
+    // The first digit isn't 0, so that all ids have the same number of digits as numbers, too.
     let first_digit: u8 = rng.random_range(1..10);
     let other_digits = (1..JOB_ID_DIGITS).map(|_| char::from(b'0' + rng.random_range(0..10_u8)));
     let mut job_id = format!("j-{first_digit}");
--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -78,6 +78,8 @@
     }
 }
 
+/// The state or stage of a record without its data, to detect when a record enters another
+/// stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StageKind {
     ScaledToZero,
@@ -119,6 +121,7 @@
     /// Random number between 0 and 1, drawn for each attempt, so that controllers and
     /// models don't retry at the same time.
     jitter: f64,
+    /// When this process first found the owner's session ended; none while it exists.
     owner_gone_at: Option<Instant>,
 }
 
@@ -260,8 +263,8 @@
         self.revoked_marker_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Returns the number of the next forwarded request, by which requests go to the
-    /// replicas in turn.
+    /// Returns the number of the next forwarded request. It selects the replica, so that
+    /// requests go to the replicas in turn.
     pub fn next_replica_turn(&self) -> usize {
         self.replica_turns.fetch_add(1, Ordering::Relaxed)
     }
@@ -301,7 +304,7 @@
         records.get(&record_key(&self.name)).unwrap_or_else(no_record)
     }
 
-    /// Evaluates the model: the next step, and what happens to requests meanwhile.
+    /// Evaluates the model: returns the next step, and what happens to requests meanwhile.
     pub fn plan(&self, context: &EvaluationContext<'_>) -> Plan {
         let EvaluationContext { me, records, session, now, .. } = *context;
         let record = self.record(records);
@@ -412,8 +415,8 @@
     }
 }
 
-/// What happens to requests: they are forwarded while the model is ready, this process has
-/// a use marker, and its session ended no longer than `outage_s` ago.
+/// Returns what happens to requests. They are forwarded while the model has endpoints, this
+/// process has a use marker, and its session is valid or ended less than `outage_s` ago.
 fn availability(
     facts: &Facts<'_>,
     failed_until: Instant,
--- a/crates/stonewheel-activation/src/planner.rs
+++ b/crates/stonewheel-activation/src/planner.rs
@@ -7,9 +7,9 @@
 //! from the record.
 //!
 //! Safety rests on three conditions of the writes, not on timing:
-//! - every write is conditional on the version of the record that it was decided on and
-//!   on the version of the writer's session, so a controller that was replaced as owner
-//!   or lost its lease is refused;
+//! - every write of a record or a use marker is conditional on the version of the record
+//!   that it was decided on and on the version of the writer's session, so a controller
+//!   that was replaced as owner or lost its lease is refused;
 //! - the record contains a job's id before the job is submitted, and the submission is
 //!   conditional on that version of the record;
 //! - a model begins to drain only while no use marker exists, and a use marker is
@@ -64,8 +64,8 @@
     pub failure_pause: bool,
     /// The interval between two probes of the replicas.
     pub probe: bool,
-    /// The time that this controller leaves to controllers of a lower rank before it
-    /// adopts an activation whose owner's session has ended.
+    /// The time that this controller leaves to the live controllers whose names sort before
+    /// its own, before it adopts an activation whose owner's session has ended.
     pub adoption: bool,
 }
 
--- a/crates/stonewheel-activation/src/settings.rs
+++ b/crates/stonewheel-activation/src/settings.rs
@@ -114,7 +114,8 @@
     /// Usual time from the request for a replica until the replica first answers.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub load_s: f64,
-    /// Timeout of a start attempt: the attempt has failed if no replica answers by then.
+    /// Timeout of a start attempt, counted from the record of the attempt and so including
+    /// the back-off: the attempt has failed if no replica answers by then.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(at_least("load_s", self.load_s)))]
     pub start_s: f64,
     /// Maximum time for which a request is held.
