--- a/crates/stonewheel-lending/src/accounts.rs
+++ b/crates/stonewheel-lending/src/accounts.rs
@@ -16,7 +16,7 @@
     for revocable in [false, true] {
         for (at, active) in claims.iter().enumerate() {
             let claim = &active.claim;
-            if claim.revocable(grace_s) != revocable {
+            if claim.is_revocable(grace_s) != revocable {
                 continue;
             }
             let asked = asked.entry(&claim.team).or_default();
@@ -97,7 +97,7 @@
         let inside = inside(claims, &settings.teams, grace_s);
         let account = |(active, inside): (&ActiveClaim, bool)| ClaimAccount {
             inside,
-            revocable: active.claim.revocable(grace_s),
+            revocable: active.claim.is_revocable(grace_s),
             ..ClaimAccount::default()
         };
         Self {
@@ -142,10 +142,10 @@
         if entry.state != LoanState::Released {
             update_count(&mut self.teams.entry(entry.borrower.clone()).or_default().used, sign);
         }
-        if let Some(lender) = entry.lender.as_ref().filter(|_| entry.runs()) {
+        if let Some(lender) = entry.lender.as_ref().filter(|_| entry.may_run()) {
             update_set(self.lent.entry(lender.clone()).or_default(), machine, sign);
         }
-        if entry.leaves() && entry.claimant.is_none() {
+        if entry.is_stopping() && entry.claimant.is_none() {
             update_set(&mut self.unclaimed, machine, sign);
         }
         if let Some(at) = borrower {
@@ -155,13 +155,13 @@
             if fixed && entry.state != LoanState::Released {
                 update_count(&mut self.outside_fixed, sign);
             }
-            if entry.runs() {
+            if entry.may_run() {
                 update_set(&mut account.held, machine, sign);
                 if inside {
                     let team = self.teams.entry(entry.borrower.clone()).or_default();
                     update_count(&mut team.inside_held, sign);
                 }
-            } else if entry.leaves() {
+            } else if entry.is_stopping() {
                 update_set(&mut account.leaving, machine, sign);
             }
         }
--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -48,7 +48,7 @@
 fn reclaim(times: &Times, state_timeout: Duration) -> Duration {
     let seen = times.probe_interval() * PROBES;
     let written = state_timeout * WRITES;
-    let ordered = times.order_timeout() * ORDERS + longest_pause(times);
-    let saved = times.spread() + times.grace_period();
+    let ordered = times.command_timeout() * ORDERS + longest_pause(times);
+    let saved = times.halt_spread() + times.grace_period();
     seen + written + ordered + saved + times.worker_lease()
 }
--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -89,7 +89,7 @@
 
 impl Claim {
     /// Whether its machines can be taken back within the grace period.
-    pub fn revocable(&self, grace_s: f64) -> bool {
+    pub fn is_revocable(&self, grace_s: f64) -> bool {
         match self.work {
             Work::Serving => false,
             Work::Batch { checkpoint_s, save_s } => checkpoint_s > 0.0 && save_s <= grace_s,
@@ -159,5 +159,5 @@
     /// What it asks for.
     pub claim: Claim,
     /// The revision at which it was accepted: claims are served in this order.
-    pub order: u64,
+    pub admission_order: u64,
 }
--- a/crates/stonewheel-lending/src/claims.rs
+++ b/crates/stonewheel-lending/src/claims.rs
@@ -41,19 +41,21 @@
             changed = true;
         }
         if changed {
-            self.order();
+            self.sort_active();
         }
     }
 
-    fn order(&mut self) {
+    fn sort_active(&mut self) {
         let active = self.stored.iter().filter_map(|(id, stored)| match &stored.record {
-            Some(ClaimRecord::Active(claim)) => {
-                Some(ActiveClaim { id: id.clone(), claim: claim.clone(), order: stored.version })
-            }
+            Some(ClaimRecord::Active(claim)) => Some(ActiveClaim {
+                id: id.clone(),
+                claim: claim.clone(),
+                admission_order: stored.version,
+            }),
             _ => None,
         });
         self.active = active.collect();
-        self.active.sort_by(|a, b| (a.order, &a.id).cmp(&(b.order, &b.id)));
+        self.active.sort_by(|a, b| (a.admission_order, &a.id).cmp(&(b.admission_order, &b.id)));
     }
 
     /// Active claims, in admission order.
--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -11,9 +11,9 @@
 use super::state::{Executor, Term};
 use crate::{
     claim::MachineName,
-    host::{HostError, Order, OrderKind},
+    host::{CommandKind, HostError, MachineCommand},
     ledger::LoanState,
-    orders::{OrderInput, due},
+    orders::{CommandInput, due_commands},
     planner::MachineView,
 };
 
@@ -22,14 +22,14 @@
 
 /// A call to a machine.
 enum Call {
-    Order(Order),
+    MachineCommand(MachineCommand),
     Retire,
 }
 
 /// Calls to make now.
 #[derive(Default)]
 struct DueCalls {
-    orders: Vec<Order>,
+    orders: Vec<MachineCommand>,
     /// Machines to return.
     silent: Vec<MachineName>,
 }
@@ -39,7 +39,7 @@
     pub(super) fn give_orders(self: &Arc<Self>, epoch: u64, stop: &CancellationToken) {
         let due = self.due_calls(epoch, Instant::now());
         for order in due.orders {
-            self.spawn_call(stop, epoch, order.machine.clone(), Call::Order(order));
+            self.spawn_call(stop, epoch, order.machine.clone(), Call::MachineCommand(order));
         }
         for machine in due.silent {
             warn!(%machine, "worker lease expired, returning machine");
@@ -61,7 +61,7 @@
         }
         term.observations.track_loans(&term.ledger, now);
         let views = term.observations.views(now);
-        let orders = due(&OrderInput {
+        let orders = due_commands(&CommandInput {
             settings: &self.settings,
             claims: claims.active(),
             ledger: &term.ledger,
@@ -74,7 +74,7 @@
         let mut allowed = Vec::new();
         for order in orders {
             if term.observations.begin_call(&order.machine, CALLS_AT_ONCE, now) {
-                if matches!(order.kind, OrderKind::Halt { .. }) {
+                if matches!(order.kind, CommandKind::Halt { .. }) {
                     term.observations.record_halt(order.loan);
                 }
                 self.count_ended_save(term, &order, &views);
@@ -87,7 +87,7 @@
     fn count_ended_save(
         &self,
         term: &Term,
-        order: &Order,
+        order: &MachineCommand,
         views: &BTreeMap<MachineName, MachineView>,
     ) {
         let saves = term.ledger.get(&order.machine).is_some_and(|entry| {
@@ -95,7 +95,7 @@
                 && entry.loan == order.loan
                 && entry.grace_ms > 0
         });
-        if order.kind != OrderKind::End || !saves {
+        if order.kind != CommandKind::Terminate || !saves {
             return;
         }
         let run = views.get(&order.machine).and_then(|view| view.live_run(order.loan));
@@ -122,9 +122,9 @@
     }
 
     async fn call(&self, epoch: u64, machine: MachineName, call: Call) {
-        let limit = self.settings.times.order_timeout();
+        let limit = self.settings.times.command_timeout();
         let outcome = match &call {
-            Call::Order(order) => timeout(limit, self.host.order(order)).await,
+            Call::MachineCommand(order) => timeout(limit, self.host.send(order)).await,
             Call::Retire => timeout(limit, self.host.retire(&machine, epoch)).await,
         };
         let outcome = outcome.unwrap_or_else(|_| Err(HostError::Unavailable("no answer".into())));
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -183,7 +183,7 @@
                 LoanState::ReclaimRequested => counters.reclaims += 1,
                 LoanState::Checkpointing | LoanState::Released => {}
             }
-            let why = entry.history.last().map(|change| change.why);
+            let why = entry.history.last().map(|change| change.reason);
             let (claim, state, loan) = (&entry.claim, entry.state, entry.loan);
             info!(%machine, %claim, ?state, ?why, ?loan, claimant = ?entry.claimant, "loan changed");
         }
--- a/crates/stonewheel-lending/src/executor/state.rs
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -120,13 +120,17 @@
         *term = Some(Term {
             ledger: Ledger::new(holder.shards, self.limits.value_bytes),
             observations: MachineObservations::new(times, holder.epoch, now),
-            reserve: Reserve::new(times.settle(), times.memory(), self.bounds.reclaim),
+            reserve: Reserve::new(
+                times.release_retention(),
+                times.rise_retention(),
+                self.bounds.reclaim,
+            ),
             reasons: BTreeMap::new(),
             waits_since: HashMap::new(),
             finished_since: HashMap::new(),
             next_number: 1,
             // What serving gave back to the former holder is not known here.
-            may_lend_from: if first { now } else { now + times.settle() },
+            may_lend_from: if first { now } else { now + times.release_retention() },
         });
     }
 }
--- a/crates/stonewheel-lending/src/executor/term.rs
+++ b/crates/stonewheel-lending/src/executor/term.rs
@@ -110,7 +110,7 @@
 
     async fn hold(self: &Arc<Self>, holder: &Versioned<HolderRecord>, stop: &CancellationToken) {
         let epoch = holder.value.epoch;
-        let asked = timeout(self.settings.times.order_timeout(), self.host.observe(epoch)).await;
+        let asked = timeout(self.settings.times.command_timeout(), self.host.observe(epoch)).await;
         let observation = match asked {
             Ok(Ok(observation)) => observation,
             Ok(Err(error)) => return debug!(%error, "machine observation failed"),
--- a/crates/stonewheel-lending/src/host.rs
+++ b/crates/stonewheel-lending/src/host.rs
@@ -23,7 +23,7 @@
     /// It could not be started on this machine.
     Failed,
     /// It was halted before it started, and never will.
-    Void,
+    NeverStarted,
 }
 
 /// What a run does.
@@ -62,11 +62,11 @@
     /// Its session: orders that name another one are refused.
     pub session: u64,
     /// Rises with each report of a session.
-    pub tick: u64,
+    pub sequence: u64,
     /// The highest token that it has seen: it refuses orders with a lower one.
     pub token: u64,
     /// Time since its last heartbeat.
-    pub silent: Duration,
+    pub heartbeat_age: Duration,
     /// It will be taken back.
     pub leaving: bool,
     /// The latest run on it.
@@ -101,7 +101,7 @@
 
 /// What a machine is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum OrderKind {
+pub enum CommandKind {
     /// Run a claim's work, which spans so many machines.
     Start {
         /// The claim.
@@ -115,12 +115,12 @@
         grace: Duration,
     },
     /// Exit at once, even while saving.
-    End,
+    Terminate,
 }
 
 /// An order to a machine. Every order may be repeated: it has its effect once.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct MachineCommand {
     /// The machine.
     pub machine: MachineName,
     /// The session that is meant.
@@ -130,7 +130,7 @@
     /// The loan that is meant.
     pub loan: LoanId,
     /// What to do.
-    pub kind: OrderKind,
+    pub kind: CommandKind,
 }
 
 /// Why an order was not carried out, or may not have been.
@@ -159,7 +159,7 @@
     fn observe(&self, token: u64) -> BoxFuture<'_, Result<Observation, HostError>>;
 
     /// Gives an order.
-    fn order(&self, order: &Order) -> BoxFuture<'_, Result<(), HostError>>;
+    fn send(&self, command: &MachineCommand) -> BoxFuture<'_, Result<(), HostError>>;
 
     /// Returns a machine for good. Once this is answered, it and all on it are gone.
     fn retire(&self, machine: &MachineName, token: u64) -> BoxFuture<'_, Result<(), HostError>>;
--- a/crates/stonewheel-lending/src/ledger/entry.rs
+++ b/crates/stonewheel-lending/src/ledger/entry.rs
@@ -7,7 +7,7 @@
 use crate::names::{ClaimId, TeamName};
 
 /// Changes that an entry remembers: the latest.
-pub const HISTORY: usize = 3;
+pub const MAX_HISTORY_CHANGES: usize = 3;
 
 /// A loan, unique for ever. Later ones are greater.
 #[derive(
@@ -39,7 +39,8 @@
 /// Why an entry changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+#[schemars(rename = "Why")]
+pub enum ChangeReason {
     /// A machine was free.
     Free,
     /// A claim inside its guarantee asked for it.
@@ -68,7 +69,8 @@
     /// The state that it led to.
     pub state: LoanState,
     /// Why.
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: ChangeReason,
 }
 
 /// A machine's entry in the ledger. A machine without one is available.
@@ -111,16 +113,16 @@
         lender: Option<TeamName>,
         borrower: TeamName,
         claim: ClaimId,
-        why: Why,
+        reason: ChangeReason,
     ) -> Self {
         let granted = false;
-        let entry = Self { lender, ..Self::grant(loan, borrower, claim, why) };
-        let history = vec![Change { state: LoanState::Lent, why }];
+        let entry = Self { lender, ..Self::grant(loan, borrower, claim, reason) };
+        let history = vec![Change { state: LoanState::Lent, reason }];
         Self { state: LoanState::Lent, granted, history, ..entry }
     }
 
     /// A machine that was available, granted.
-    pub fn grant(loan: LoanId, borrower: TeamName, claim: ClaimId, why: Why) -> Self {
+    pub fn grant(loan: LoanId, borrower: TeamName, claim: ClaimId, reason: ChangeReason) -> Self {
         Self {
             loan,
             state: LoanState::Granted,
@@ -130,28 +132,33 @@
             claimant: None,
             granted: true,
             grace_ms: 0,
-            history: vec![Change { state: LoanState::Granted, why }],
+            history: vec![Change { state: LoanState::Granted, reason }],
         }
     }
 
     /// Whether its work may run, as far as the ledger goes.
-    pub fn runs(&self) -> bool {
+    pub fn may_run(&self) -> bool {
         matches!(self.state, LoanState::Lent | LoanState::Granted)
     }
 
     /// Whether its work may still be there, and is to go.
-    pub fn leaves(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         matches!(self.state, LoanState::ReclaimRequested | LoanState::Checkpointing)
     }
 
-    fn change(&self, to: LoanState, why: Why, allowed: bool) -> Result<Self, TransitionError> {
+    fn change(
+        &self,
+        to: LoanState,
+        reason: ChangeReason,
+        allowed: bool,
+    ) -> Result<Self, TransitionError> {
         if !allowed {
             return Err(TransitionError { from: self.state, to });
         }
         let mut next = self.clone();
         next.state = to;
-        next.history.push(Change { state: to, why });
-        let beyond = next.history.len().saturating_sub(HISTORY);
+        next.history.push(Change { state: to, reason });
+        let beyond = next.history.len().saturating_sub(MAX_HISTORY_CHANGES);
         next.history.drain(..beyond);
         Ok(next)
     }
@@ -161,9 +168,9 @@
         &self,
         claimant: Option<ClaimId>,
         grace_ms: u64,
-        why: Why,
+        reason: ChangeReason,
     ) -> Result<Self, TransitionError> {
-        let next = self.change(LoanState::ReclaimRequested, why, self.runs())?;
+        let next = self.change(LoanState::ReclaimRequested, reason, self.may_run())?;
         Ok(Self { claimant, grace_ms, ..next })
     }
 
@@ -171,19 +178,19 @@
     pub fn withdraw(&self) -> Result<Self, TransitionError> {
         let allowed = self.state == LoanState::ReclaimRequested;
         let back = if self.granted { LoanState::Granted } else { LoanState::Lent };
-        let next = self.change(back, Why::Withdrawn, allowed)?;
+        let next = self.change(back, ChangeReason::Withdrawn, allowed)?;
         Ok(Self { claimant: None, grace_ms: 0, ..next })
     }
 
     /// The halt was acknowledged.
     pub fn halted(&self) -> Result<Self, TransitionError> {
         let allowed = self.state == LoanState::ReclaimRequested;
-        self.change(LoanState::Checkpointing, Why::Halted, allowed)
+        self.change(LoanState::Checkpointing, ChangeReason::Halted, allowed)
     }
 
     /// There is proof that the work is gone.
-    pub fn release(&self, why: Why) -> Result<Self, TransitionError> {
-        self.change(LoanState::Released, why, self.state != LoanState::Released)
+    pub fn release(&self, reason: ChangeReason) -> Result<Self, TransitionError> {
+        self.change(LoanState::Released, reason, self.state != LoanState::Released)
     }
 
     /// Nobody waits for it any more.
@@ -199,7 +206,7 @@
         claim: ClaimId,
     ) -> Result<Self, TransitionError> {
         let allowed = self.state == LoanState::Released && self.claimant.as_ref() == Some(&claim);
-        let next = self.change(LoanState::Granted, Why::Claimed, allowed)?;
+        let next = self.change(LoanState::Granted, ChangeReason::Claimed, allowed)?;
         Ok(Self {
             loan,
             lender: None,
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -11,8 +11,10 @@
 use stonewheel_state::StateError;
 use tracing::error;
 
-pub use entry::{Change, Entry, HISTORY, LoanId, LoanState, TransitionError, Why};
-pub use shard::{ENTRY_BYTES, Shard, shard_count, shard_key, shard_of};
+pub use entry::{
+    Change, ChangeReason, Entry, LoanId, LoanState, MAX_HISTORY_CHANGES, TransitionError,
+};
+pub use shard::{MAX_ENTRY_BYTES, Shard, shard_count, shard_key, shard_of};
 pub use transition::Transition;
 
 pub use crate::names::MAX_NAME_BYTES;
@@ -95,16 +97,16 @@
     }
 
     /// Whether a machine's shard can be read. Without it, the machine may have an entry.
-    pub fn knows(&self, machine: &str) -> bool {
+    pub fn can_read(&self, machine: &str) -> bool {
         let number = shard_of(machine, self.shards()) as usize;
         self.shards.get(number).is_some_and(|stored| !stored.is_unreadable())
     }
 
     /// Whether a machine's entry can be written: its shard can be read, and has room.
-    pub fn takes(&self, machine: &str) -> bool {
+    pub fn can_write(&self, machine: &str) -> bool {
         let stored = self.shards.get(shard_of(machine, self.shards()) as usize);
         stored.is_some_and(|stored| match &stored.shard {
-            Some(shard) => shard.has_room(machine, self.value_bytes),
+            Some(shard) => shard.has_capacity_for(machine, self.value_bytes),
             None => stored.version == 0 && machine.len() <= MAX_NAME_BYTES,
         })
     }
@@ -133,7 +135,7 @@
     /// are left out, and so are those for which a shard has no room.
     pub fn writes(&self, transitions: Vec<Transition>) -> Result<Vec<ShardWrite>, StateError> {
         let mut by_shard: BTreeMap<u32, Vec<Transition>> = BTreeMap::new();
-        for transition in transitions.into_iter().filter(|t| self.knows(&t.machine)) {
+        for transition in transitions.into_iter().filter(|t| self.can_read(&t.machine)) {
             by_shard
                 .entry(shard_of(&transition.machine, self.shards()))
                 .or_default()
--- a/crates/stonewheel-lending/src/ledger/shard.rs
+++ b/crates/stonewheel-lending/src/ledger/shard.rs
@@ -9,7 +9,7 @@
 use crate::names::{MAX_NAME_BYTES, MachineName, PREFIX};
 
 /// What the longest entry takes, its machine's name included.
-pub const ENTRY_BYTES: usize = 512;
+pub const MAX_ENTRY_BYTES: usize = 512;
 /// Shards are laid out for this part of the entries that fit, since names don't spread
 /// evenly over them.
 const FILL_PARTS: usize = 3;
@@ -21,7 +21,7 @@
 
 /// How many shards so many machines take, over values of so many bytes.
 pub fn shard_count(machines: u32, value_bytes: usize) -> u32 {
-    let each = (value_bytes / ENTRY_BYTES / FILL_PARTS).max(1);
+    let each = (value_bytes / MAX_ENTRY_BYTES / FILL_PARTS).max(1);
     machines.div_ceil(each as u32).max(1)
 }
 
@@ -43,8 +43,8 @@
 
 impl Shard {
     /// Whether a machine has an entry here, or room for one.
-    pub fn has_room(&self, machine: &str, value_bytes: usize) -> bool {
-        let fits = (self.entries.len() + 1) * ENTRY_BYTES <= value_bytes;
+    pub fn has_capacity_for(&self, machine: &str, value_bytes: usize) -> bool {
+        let fits = (self.entries.len() + 1) * MAX_ENTRY_BYTES <= value_bytes;
         self.entries.contains_key(machine) || (fits && machine.len() <= MAX_NAME_BYTES)
     }
 
@@ -55,7 +55,7 @@
             self.entries.remove(&change.machine);
             return true;
         };
-        if !self.has_room(&change.machine, value_bytes) {
+        if !self.has_capacity_for(&change.machine, value_bytes) {
             return false;
         }
         self.entries.insert(change.machine.clone(), entry.clone());
--- a/crates/stonewheel-lending/src/lib.rs
+++ b/crates/stonewheel-lending/src/lib.rs
@@ -31,8 +31,8 @@
 pub use executor::{ClaimFailure, ClaimStatus, Executor, Planner, StateLimits};
 pub use holder::{HOLDER_KEY, HolderRecord};
 pub use host::{
-    Exit, HostError, MachineHost, MachineReport, Observation, Order, OrderKind, RunReport,
-    RunState, UnmanagedWorkload,
+    CommandKind, Exit, HostError, MachineCommand, MachineHost, MachineReport, Observation,
+    RunReport, RunState, UnmanagedWorkload,
 };
 pub use names::PREFIX;
 pub use settings::{LendingSettings, Team, Teams, Times, is_section, parse_sections};
--- a/crates/stonewheel-lending/src/observations.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -80,8 +80,9 @@
 
     fn record_report(&mut self, report: MachineReport, now: Instant) {
         // A copy of an earlier report may come late.
-        let newest = self.reports.get(&report.machine).map(|s| (s.report.session, s.report.tick));
-        if newest.is_some_and(|newest| newest > (report.session, report.tick)) {
+        let newest =
+            self.reports.get(&report.machine).map(|s| (s.report.session, s.report.sequence));
+        if newest.is_some_and(|newest| newest > (report.session, report.sequence)) {
             return;
         }
         let failed = |run: &crate::host::RunReport| run.state == RunState::Ended(Exit::Failed);
@@ -89,7 +90,7 @@
             let until = now + self.times.worker_lease() * QUARANTINE_LEASES;
             self.quarantined.entry(report.machine.clone()).or_insert(until);
         }
-        let received_at = now.checked_sub(report.silent).unwrap_or(now);
+        let received_at = now.checked_sub(report.heartbeat_age).unwrap_or(now);
         self.reports.insert(report.machine.clone(), ReceivedReport { report, received_at });
     }
 
--- a/crates/stonewheel-lending/src/orders.rs
+++ b/crates/stonewheel-lending/src/orders.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     claim::{ActiveClaim, Claim, ClaimId, MachineName},
-    host::{Order, OrderKind, RunState},
+    host::{CommandKind, MachineCommand, RunState},
     ledger::{Entry, Ledger, LoanState},
     planner::MachineView,
     settings::LendingSettings,
@@ -16,7 +16,7 @@
 
 /// What orders follow from.
 #[derive(Clone, Copy)]
-pub struct OrderInput<'a> {
+pub struct CommandInput<'a> {
     /// The operators' settings.
     pub settings: &'a LendingSettings,
     /// Active claims.
@@ -42,7 +42,7 @@
 }
 
 /// Orders that are due.
-pub fn due(input: &OrderInput<'_>) -> Vec<Order> {
+pub fn due_commands(input: &CommandInput<'_>) -> Vec<MachineCommand> {
     let active: HashMap<&ClaimId, &Claim> =
         input.claims.iter().map(|active| (&active.id, &active.claim)).collect();
     let mut by_claim: BTreeMap<&ClaimId, Run<'_>> = BTreeMap::new();
@@ -67,33 +67,39 @@
 }
 
 fn order(
-    input: &OrderInput<'_>,
+    input: &CommandInput<'_>,
     machine: &MachineName,
     entry: &Entry,
-    kind: OrderKind,
-) -> Option<Order> {
+    kind: CommandKind,
+) -> Option<MachineCommand> {
     let view = input.machines.get(machine)?;
     let (machine, session) = (machine.clone(), view.session);
-    Some(Order { machine, session, token: input.epoch, loan: entry.loan, kind })
+    Some(MachineCommand { machine, session, token: input.epoch, loan: entry.loan, kind })
 }
 
 /// Ends of runs that have no entry in the ledger.
-fn ends_of_unmanaged_runs(input: &OrderInput<'_>) -> Vec<Order> {
+fn ends_of_unmanaged_runs(input: &CommandInput<'_>) -> Vec<MachineCommand> {
     let unmanaged_end = |(machine, view): (&MachineName, &MachineView)| {
         let run = view.run.as_ref().filter(|_| view.confirmed)?;
         let known = input.ledger.get(machine).is_some_and(|entry| entry.loan == run.loan);
         let over = matches!(run.state, RunState::Ended(_));
-        if known || over || !input.ledger.knows(machine) {
+        if known || over || !input.ledger.can_read(machine) {
             return None;
         }
         let (machine, session) = (machine.clone(), view.session);
-        Some(Order { machine, session, token: input.epoch, loan: run.loan, kind: OrderKind::End })
+        Some(MachineCommand {
+            machine,
+            session,
+            token: input.epoch,
+            loan: run.loan,
+            kind: CommandKind::Terminate,
+        })
     };
     input.machines.iter().filter_map(unmanaged_end).collect()
 }
 
 /// Starts of work that has all the machines it needs, durably.
-fn starts(input: &OrderInput<'_>, runs: &[(&ClaimId, Run<'_>)]) -> Vec<Order> {
+fn starts(input: &CommandInput<'_>, runs: &[(&ClaimId, Run<'_>)]) -> Vec<MachineCommand> {
     let mut orders = Vec::new();
     for (id, run) in runs {
         let Some(claim) = run.claim else { continue };
@@ -104,7 +110,7 @@
         let machines = if gang { claim.machines } else { 1 };
         for (machine, entry) in &run.runs {
             if input.machines.get(*machine).is_some_and(|view| not_started(view, entry)) {
-                let kind = OrderKind::Start { claim: (*id).clone(), machines };
+                let kind = CommandKind::Start { claim: (*id).clone(), machines };
                 orders.extend(order(input, machine, entry, kind));
             }
         }
@@ -128,7 +134,7 @@
 
 /// Halts of runs, all machines of one at the same time, and of a zone not all at once
 /// while the bound allows it.
-fn halts(input: &OrderInput<'_>, runs: &[(&ClaimId, Run<'_>)]) -> Vec<Order> {
+fn halts(input: &CommandInput<'_>, runs: &[(&ClaimId, Run<'_>)]) -> Vec<MachineCommand> {
     let times = &input.settings.times;
     let mut saving: HashMap<u8, u32> = HashMap::new();
     let mut due: Vec<DueRun<'_>> = Vec::new();
@@ -153,7 +159,7 @@
     let mut orders = Vec::new();
     for run in due {
         let saving = saving.entry(run.zone).or_default();
-        let waits = f64::from(*saving) >= times.halts_a_zone && run.age < times.spread();
+        let waits = f64::from(*saving) >= times.halts_a_zone && run.age < times.halt_spread();
         if waits && !run.at_once {
             continue;
         }
@@ -164,18 +170,18 @@
     orders
 }
 
-fn halt(input: &OrderInput<'_>, machine: &MachineName, entry: &Entry) -> Option<Order> {
+fn halt(input: &CommandInput<'_>, machine: &MachineName, entry: &Entry) -> Option<MachineCommand> {
     let grace = Duration::from_millis(entry.grace_ms);
-    order(input, machine, entry, OrderKind::Halt { grace })
+    order(input, machine, entry, CommandKind::Halt { grace })
 }
 
 /// A checkpoint that exceeds its grace period is ended; a machine that has lost its halt
 /// is sent it again.
-fn end(input: &OrderInput<'_>, machine: &MachineName, entry: &Entry) -> Option<Order> {
+fn end(input: &CommandInput<'_>, machine: &MachineName, entry: &Entry) -> Option<MachineCommand> {
     let view = input.machines.get(machine)?;
     let state = view.live_run(entry.loan).map(|run| run.state);
     if (input.age)(entry) >= Duration::from_millis(entry.grace_ms) {
-        return order(input, machine, entry, OrderKind::End);
+        return order(input, machine, entry, CommandKind::Terminate);
     }
     let forgotten = view.confirmed && state != Some(RunState::Saving);
     if forgotten { halt(input, machine, entry) } else { None }
--- a/crates/stonewheel-lending/src/planner/lend.rs
+++ b/crates/stonewheel-lending/src/planner/lend.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     claim::{MachineName, TeamName},
-    ledger::{Entry, Why},
+    ledger::{ChangeReason, Entry},
     settings::Team,
 };
 
@@ -40,7 +40,7 @@
             let Some(entry) = builder.entry(&machine).cloned().filter(|_| uncovered) else { break };
             let view = builder.input.machines.get(&machine).filter(|view| view.confirmed);
             if view.is_some_and(|view| view.live_run(entry.loan).is_none()) {
-                builder.change(&machine, entry.request(None, 0, Why::Uncovered));
+                builder.change(&machine, entry.request(None, 0, ChangeReason::Uncovered));
             }
         }
     }
@@ -101,9 +101,9 @@
     let loan = builder.next_loan();
     let entry = if revocable {
         let lender = lender(builder);
-        Entry::lend(loan, lender, team, id, Why::Free)
+        Entry::lend(loan, lender, team, id, ChangeReason::Free)
     } else {
-        Entry::grant(loan, team, id, Why::Free)
+        Entry::grant(loan, team, id, ChangeReason::Free)
     };
     builder.set(&machine, Some(entry));
 }
--- a/crates/stonewheel-lending/src/planner/model.rs
+++ b/crates/stonewheel-lending/src/planner/model.rs
@@ -100,7 +100,7 @@
     /// It is outside its team's guarantee, and nothing is free for it.
     NoFreeMachine,
     /// It is inside its guarantee, but the fleet has too few machines for all of these.
-    Short,
+    InsufficientCapacity,
     /// Nothing is lent anew: guarantees can't all be covered, or the holder just began.
     NotLending,
     /// Enough was changed at once; it is next.
--- a/crates/stonewheel-lending/src/planner/plan_builder.rs
+++ b/crates/stonewheel-lending/src/planner/plan_builder.rs
@@ -29,8 +29,9 @@
         for (machine, entry) in input.ledger.entries() {
             accounts.add(machine, entry);
         }
-        let known =
-            |(name, view): &(&MachineName, &MachineView)| view.usable() && input.ledger.knows(name);
+        let known = |(name, view): &(&MachineName, &MachineView)| {
+            view.usable() && input.ledger.can_read(name)
+        };
         let usable = input.machines.iter().filter(known).count() as u32;
         let mut builder = Self {
             input,
@@ -54,7 +55,7 @@
             && view.confirmed
             && !view.quarantined
             && idle
-            && self.input.ledger.takes(machine)
+            && self.input.ledger.can_write(machine)
             && self.entry(machine).is_none()
     }
 
--- a/crates/stonewheel-lending/src/planner/serve.rs
+++ b/crates/stonewheel-lending/src/planner/serve.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     claim::{MachineName, TeamName},
-    ledger::{Entry, Why},
+    ledger::{ChangeReason, Entry},
 };
 
 /// Whether all claims inside their guarantees have their machines, or will have them once
@@ -31,7 +31,7 @@
     let mut candidates = Candidates::default();
     for at in inside {
         let reason = serve_claim(builder, at, &mut candidates);
-        if matches!(reason, WaitReason::Short | WaitReason::Queued) {
+        if matches!(reason, WaitReason::InsufficientCapacity | WaitReason::Queued) {
             supply = GuaranteedSupply::Short;
         }
         builder.set_wait_reason(at, reason);
@@ -45,7 +45,7 @@
     let coming: Vec<MachineName> = builder.accounts.claims[at].coming.iter().cloned().collect();
     for machine in coming {
         let Some(entry) = builder.entry(&machine).cloned() else { continue };
-        let waits = entry.leaves() && !builder.input.halted.contains(&entry.loan);
+        let waits = entry.is_stopping() && !builder.input.halted.contains(&entry.loan);
         // A gang's room comes together: what it waits for last decides.
         if !waits || builder.active(at).claim.is_gang() || builder.free.is_empty() {
             continue;
@@ -81,7 +81,11 @@
     let found = candidates.choose(builder, at, lacking, headroom - free);
     if gang && found.machines < lacking {
         release_incomplete_gang(builder, at);
-        return if headroom < need { WaitReason::AtCeiling } else { WaitReason::Short };
+        return if headroom < need {
+            WaitReason::AtCeiling
+        } else {
+            WaitReason::InsufficientCapacity
+        };
     }
     grant_free(builder, at, free);
     reclaim(builder, at, lacking, &found.runs);
@@ -91,7 +95,11 @@
 fn reason(builder: &PlanBuilder<'_>, at: usize, headroom: u32) -> WaitReason {
     let account = &builder.accounts.claims[at];
     if builder.missing_machines(at) > 0 {
-        return if headroom == 0 { WaitReason::AtCeiling } else { WaitReason::Short };
+        return if headroom == 0 {
+            WaitReason::AtCeiling
+        } else {
+            WaitReason::InsufficientCapacity
+        };
     }
     match (account.coming.len() as u32, account.leaving.is_empty()) {
         (0, true) => WaitReason::Served,
@@ -105,7 +113,7 @@
         let Some(machine) = builder.free.pop_first() else { return };
         let active = builder.active(at);
         let (team, id) = (active.claim.team.clone(), active.id.clone());
-        let entry = Entry::grant(builder.next_loan(), team, id, Why::Free);
+        let entry = Entry::grant(builder.next_loan(), team, id, ChangeReason::Free);
         builder.set(&machine, Some(entry));
     }
 }
@@ -150,7 +158,7 @@
             let fits = builder.headroom(at) > 0 || entry.borrower == team;
             let claimant = (wanted > 0 && fits).then(|| id.clone());
             wanted -= u32::from(claimant.is_some());
-            builder.change(&machine, entry.request(claimant, grace_ms, Why::Claimed));
+            builder.change(&machine, entry.request(claimant, grace_ms, ChangeReason::Claimed));
         }
     }
 }
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -10,7 +10,7 @@
 use crate::{
     claim::{ClaimId, MachineName},
     host::{Exit, RunState},
-    ledger::{Entry, LoanState, Why},
+    ledger::{ChangeReason, Entry, LoanState},
 };
 
 /// Batch claims whose work is complete: if one of a gang's machines is done, all are.
@@ -47,9 +47,9 @@
     if entry.state == LoanState::Released {
         settle_released(builder, machine, entry, view);
     } else if view.is_some_and(|view| view.proves_gone(entry.loan)) {
-        builder.change(machine, entry.release(Why::Ended));
-    } else if entry.runs() && builder.accounts.index_of(&entry.claim).is_none() {
-        builder.change(machine, entry.request(None, 0, Why::Over));
+        builder.change(machine, entry.release(ChangeReason::Ended));
+    } else if entry.may_run() && builder.accounts.index_of(&entry.claim).is_none() {
+        builder.change(machine, entry.request(None, 0, ChangeReason::Over));
     } else if entry.state == LoanState::ReclaimRequested
         && view.and_then(|v| v.live_run(entry.loan)).is_some_and(|r| r.state == RunState::Saving)
     {
@@ -64,7 +64,7 @@
     let held = builder.accounts.claims[at].held.clone();
     for machine in held {
         if let Some(entry) = builder.entry(&machine).cloned() {
-            builder.change(&machine, entry.request(None, 0, Why::Incomplete));
+            builder.change(&machine, entry.request(None, 0, ChangeReason::Incomplete));
         }
     }
 }
@@ -105,18 +105,18 @@
     let partly = !account.leaving.is_empty() && !account.held.is_empty();
     let lost = started(builder, &account.held) && (account.held.len() as u32) < claim.machines;
     let grace_ms = if revocable { grace_ms(builder) } else { 0 };
-    let (stopped, why) = if gang && (partly || lost || !leaving.is_empty()) {
-        (account.held.iter().cloned().collect(), Why::Incomplete)
+    let (stopped, reason) = if gang && (partly || lost || !leaving.is_empty()) {
+        (account.held.iter().cloned().collect(), ChangeReason::Incomplete)
     } else {
-        (leaving, Why::Leaving)
+        (leaving, ChangeReason::Leaving)
     };
     // Work that never saves has nothing to gain from an early stop.
-    if gang && !revocable && why == Why::Incomplete && !partly && !lost {
+    if gang && !revocable && reason == ChangeReason::Incomplete && !partly && !lost {
         return;
     }
     for machine in stopped {
         if let Some(entry) = builder.entry(&machine).cloned() {
-            builder.change(&machine, entry.request(None, grace_ms, why));
+            builder.change(&machine, entry.request(None, grace_ms, reason));
         }
     }
 }
@@ -170,8 +170,8 @@
         let whole = entries.len() as u32 == builder.active(at).claim.machines;
         let needed = entries.iter().any(|entry| entry.claimant.is_some());
         let requested = entries.iter().all(|entry| {
-            let last = entry.history.last().map(|change| change.why);
-            entry.state == LoanState::ReclaimRequested && last == Some(Why::Claimed)
+            let last = entry.history.last().map(|change| change.reason);
+            entry.state == LoanState::ReclaimRequested && last == Some(ChangeReason::Claimed)
         });
         let untouched = machines.iter().zip(&entries).all(|(m, e)| is_untouched(builder, m, e));
         if whole && requested && untouched && (inside || !needed) {
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -140,7 +140,7 @@
     }
 
     /// How long an order may take.
-    pub fn order_timeout(&self) -> Duration {
+    pub fn command_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.order_s)
     }
 
@@ -155,17 +155,17 @@
     }
 
     /// How long a halt may wait for others.
-    pub fn spread(&self) -> Duration {
+    pub fn halt_spread(&self) -> Duration {
         Duration::from_secs_f64(self.spread_s)
     }
 
     /// How long machines that serving gave back are kept for it.
-    pub fn settle(&self) -> Duration {
+    pub fn release_retention(&self) -> Duration {
         Duration::from_secs_f64(self.settle_s)
     }
 
     /// How long the largest rise is remembered.
-    pub fn memory(&self) -> Duration {
+    pub fn rise_retention(&self) -> Duration {
         Duration::from_secs_f64(self.memory_s)
     }
 }
--- a/crates/stonewheel-lending/src/unmanaged.rs
+++ b/crates/stonewheel-lending/src/unmanaged.rs
@@ -6,7 +6,7 @@
 use crate::{
     claim::{ActiveClaim, Claim, ClaimId, MachineName, TeamName},
     host::{RunReport, RunState, UnmanagedWorkload},
-    ledger::{Entry, Ledger, LoanId, Transition, Why},
+    ledger::{ChangeReason, Entry, Ledger, LoanId, Transition},
     planner::MachineView,
 };
 
@@ -41,7 +41,7 @@
     for workload in unmanaged {
         let machine = &workload.machine;
         let Some(view) = views.get_mut(machine) else { continue };
-        if ledger.get(machine).is_some() || !ledger.takes(machine) {
+        if ledger.get(machine).is_some() || !ledger.can_write(machine) {
             continue;
         }
         let loan = LoanId { epoch, number: combined.next_number };
@@ -54,12 +54,17 @@
             unsaved_s: workload.unsaved_s,
             checkpointing: false,
         });
-        let entry = Entry::lend(loan, None, workload.team.clone(), claim.clone(), Why::Free);
+        let entry =
+            Entry::lend(loan, None, workload.team.clone(), claim.clone(), ChangeReason::Free);
         combined.ledger.set(&Transition { machine: machine.clone(), after: Some(entry) });
         // Of a team without a guarantee, so outside of one, and after all others.
         let (team, work) = (TeamName::from(""), workload.work);
         let claim_of_it = Claim { team, machines: 1, gpus: 0.0, work };
-        combined.claims.push(ActiveClaim { id: claim, claim: claim_of_it, order: u64::MAX });
+        combined.claims.push(ActiveClaim {
+            id: claim,
+            claim: claim_of_it,
+            admission_order: u64::MAX,
+        });
     }
     combined
 }
--- a/crates/stonewheel-lending/tests/common/checker.rs
+++ b/crates/stonewheel-lending/tests/common/checker.rs
@@ -77,7 +77,7 @@
     /// stopped first.
     fn inside(&self, claims: &[ActiveClaim]) -> BTreeSet<ClaimId> {
         let mut row: Vec<&ActiveClaim> = claims.iter().collect();
-        row.sort_by_key(|c| (self.saves_in_time(c.claim.work), c.order, c.id.clone()));
+        row.sort_by_key(|c| (self.saves_in_time(c.claim.work), c.admission_order, c.id.clone()));
         let mut asked: BTreeMap<&str, u32> = BTreeMap::new();
         let mut inside = BTreeSet::new();
         for standing in row {
--- a/crates/stonewheel-lending/tests/common/fleet.rs
+++ b/crates/stonewheel-lending/tests/common/fleet.rs
@@ -7,7 +7,7 @@
 };
 
 use stonewheel_lending::{
-    Exit, HostError, MachineReport, Observation, Order, OrderKind, RunReport, RunState,
+    CommandKind, Exit, HostError, MachineCommand, MachineReport, Observation, RunReport, RunState,
     claim::{ClaimId, MachineName},
     ledger::LoanId,
 };
@@ -240,10 +240,10 @@
     }
 
     /// Carries out an order.
-    pub fn order(&mut self, order: &Order) -> Result<(), HostError> {
+    pub fn order(&mut self, order: &MachineCommand) -> Result<(), HostError> {
         let now = self.now;
         let behaviour = match &order.kind {
-            OrderKind::Start { claim, .. } => self.behaviour(claim),
+            CommandKind::Start { claim, .. } => self.behaviour(claim),
             _ => Behaviour::default(),
         };
         let Some(machine) = self.machines.get_mut(&order.machine) else {
@@ -256,7 +256,7 @@
         }
         machine.token = machine.token.max(order.token);
         match &order.kind {
-            OrderKind::Start { claim, machines } => {
+            CommandKind::Start { claim, machines } => {
                 let held = machine.run.as_ref();
                 if held.is_some_and(|run| run.loan >= order.loan) {
                     return Ok(());
@@ -275,19 +275,19 @@
                     self.events.push(Event::Started(claim));
                 }
             }
-            OrderKind::Halt { grace } => self.halt(order, *grace),
-            OrderKind::End => self.end(order),
+            CommandKind::Halt { grace } => self.halt(order, *grace),
+            CommandKind::Terminate => self.end(order),
         }
         self.advance(now);
         Ok(())
     }
 
-    fn halt(&mut self, order: &Order, grace: Duration) {
+    fn halt(&mut self, order: &MachineCommand, grace: Duration) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&order.machine) else { return };
         if machine.run.as_ref().is_none_or(|run| run.loan < order.loan) {
             // A tombstone: no start of this loan has any effect from now on.
-            let void = RunState::Ended(Exit::Void);
+            let void = RunState::Ended(Exit::NeverStarted);
             let claim = ClaimId::from("");
             let (loan, machines, saves_until, grace_until) = (order.loan, 1, None, now);
             machine.run =
@@ -324,7 +324,7 @@
         self.advance_claim(&claim);
     }
 
-    fn end(&mut self, order: &Order) {
+    fn end(&mut self, order: &MachineCommand) {
         let Some(machine) = self.machines.get(&order.machine) else { return };
         let Some(run) = machine.run.as_ref().filter(|run| run.loan == order.loan) else { return };
         if matches!(run.state, RunState::Ended(_)) {
@@ -434,9 +434,9 @@
         machine: name.clone(),
         zone: machine.zone,
         session: machine.session,
-        tick: machine.tick,
+        sequence: machine.tick,
         token: machine.token,
-        silent: now - machine.heard,
+        heartbeat_age: now - machine.heard,
         leaving: machine.leaving,
         run,
     }
--- a/crates/stonewheel-lending/tests/common/simulation.rs
+++ b/crates/stonewheel-lending/tests/common/simulation.rs
@@ -7,10 +7,10 @@
 };
 
 use stonewheel_lending::{
-    LendingSettings, Order, OrderKind,
+    CommandKind, LendingSettings, MachineCommand,
     claim::{ActiveClaim, Claim, ClaimId, MachineName, TeamName},
     ledger::{Entry, Ledger, LoanId, LoanState},
-    orders::{OrderInput, due},
+    orders::{CommandInput, due_commands},
     planner::{MachineView, Plan, PlannerInput, WaitReason, plan},
 };
 
@@ -59,7 +59,7 @@
 
     pub fn submit(&mut self, id: &str, claim: Claim) {
         self.accepted += 1;
-        self.claims.push(ActiveClaim { id: id.into(), claim, order: self.accepted });
+        self.claims.push(ActiveClaim { id: id.into(), claim, admission_order: self.accepted });
     }
 
     pub fn withdraw(&mut self, id: &str) {
@@ -73,7 +73,7 @@
             let view = MachineView {
                 zone: report.zone,
                 session: report.session,
-                reachable: report.silent < stale,
+                reachable: report.heartbeat_age < stale,
                 confirmed: report.token == EPOCH,
                 leaving: report.leaving,
                 quarantined: false,
@@ -133,10 +133,10 @@
         }
     }
 
-    fn orders(&mut self) -> Vec<Order> {
+    fn orders(&mut self) -> Vec<MachineCommand> {
         let (machines, _) = self.views();
         let age = |entry: &Entry| self.now - self.since.get(&entry.loan).map_or(self.now, |s| s.1);
-        due(&OrderInput {
+        due_commands(&CommandInput {
             settings: &self.settings,
             claims: &self.claims,
             ledger: &self.ledger,
@@ -146,12 +146,12 @@
         })
     }
 
-    fn carry_out(&mut self, orders: &[Order]) {
+    fn carry_out(&mut self, orders: &[MachineCommand]) {
         for order in orders {
             if !self.fleet.reaches(&order.machine) {
                 continue;
             }
-            if matches!(order.kind, OrderKind::Halt { .. }) {
+            if matches!(order.kind, CommandKind::Halt { .. }) {
                 if self.holds_halts {
                     continue;
                 }
@@ -181,7 +181,7 @@
     fn return_silent(&mut self) {
         let lease = self.settings.times.worker_lease();
         let reports = self.fleet.observe(EPOCH).reports;
-        let silent = reports.iter().filter(|report| report.silent >= lease);
+        let silent = reports.iter().filter(|report| report.heartbeat_age >= lease);
         for report in silent.filter(|report| self.ledger.get(&report.machine).is_some()) {
             let _ = self.fleet.retire(&report.machine, EPOCH);
         }
@@ -195,6 +195,6 @@
 
     /// Machines whose work is to go.
     pub fn leaving(&self) -> usize {
-        self.ledger.entries().filter(|(_, entry)| entry.leaves()).count()
+        self.ledger.entries().filter(|(_, entry)| entry.is_stopping()).count()
     }
 }
--- a/crates/stonewheel-lending/tests/common/world.rs
+++ b/crates/stonewheel-lending/tests/common/world.rs
@@ -13,7 +13,7 @@
 use futures_util::future::BoxFuture;
 use stonewheel_lending::{
     Bounds, ClaimFailure, Executor, HOLDER_KEY, HolderRecord, HostError, LendingSettings,
-    MachineHost, Observation, Order, Planner, StateLimits,
+    MachineCommand, MachineHost, Observation, Planner, StateLimits,
     claim::{ActiveClaim, Claim, ClaimId, ClaimRecord, MachineName, Work, claim_key},
     ledger::{Entry, LoanState, Shard},
 };
@@ -56,11 +56,11 @@
                 standing.push(ActiveClaim {
                     id: key[prefix.len()..].into(),
                     claim,
-                    order: version,
+                    admission_order: version,
                 });
             }
         }
-        standing.sort_by_key(|standing| standing.order);
+        standing.sort_by_key(|standing| standing.admission_order);
         standing
     }
 }
@@ -355,11 +355,11 @@
         })
     }
 
-    fn order(&self, order: &Order) -> BoxFuture<'_, Result<(), HostError>> {
-        let order = order.clone();
+    fn send(&self, command: &MachineCommand) -> BoxFuture<'_, Result<(), HostError>> {
+        let command = command.clone();
         Box::pin(async move {
-            let machine = order.machine.clone();
-            self.call(&machine, move |fleet| fleet.order(&order)).await
+            let machine = command.machine.clone();
+            self.call(&machine, move |fleet| fleet.order(&command)).await
         })
     }
 
--- a/crates/stonewheel-lending/tests/guarantees.rs
+++ b/crates/stonewheel-lending/tests/guarantees.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use stonewheel_lending::{
     claim::Claim,
-    ledger::{Entry, LoanId, LoanState, Transition, Why},
+    ledger::{ChangeReason, Entry, LoanId, LoanState, Transition},
     planner::{Plan, PlannerInput, WaitReason, plan},
 };
 use stonewheel_testing::LateTransactions;
@@ -168,7 +168,7 @@
     let mut plan = plan(input);
     for standing in input.claims {
         let waits = plan.reasons.get(&standing.id) == Some(&WaitReason::NoFreeMachine);
-        if !waits || standing.claim.revocable(input.settings.times.grace_s) {
+        if !waits || standing.claim.is_revocable(input.settings.times.grace_s) {
             continue;
         }
         let taken = |name: &&std::sync::Arc<str>| {
@@ -180,7 +180,7 @@
             plan.next_number += 1;
             let loan = LoanId { epoch: input.epoch, number: plan.next_number };
             let (team, id) = (standing.claim.team.clone(), standing.id.clone());
-            let after = Some(Entry::grant(loan, team, id, Why::Free));
+            let after = Some(Entry::grant(loan, team, id, ChangeReason::Free));
             plan.transitions.push(Transition { machine, after });
         }
     }
@@ -197,7 +197,7 @@
         plan.next_number += 1;
         let loan = LoanId { epoch: input.epoch, number: plan.next_number };
         let (team, id) = (standing.claim.team.clone(), standing.id.clone());
-        let after = Some(Entry::grant(loan, team, id, Why::Claimed));
+        let after = Some(Entry::grant(loan, team, id, ChangeReason::Claimed));
         plan.transitions.retain(|transition| transition.machine != *machine);
         plan.transitions.push(Transition { machine: machine.clone(), after });
     }
--- a/crates/stonewheel-lending/tests/ledger.rs
+++ b/crates/stonewheel-lending/tests/ledger.rs
@@ -14,8 +14,8 @@
     HOLDER_KEY, PREFIX,
     claim::MachineName,
     ledger::{
-        ENTRY_BYTES, Entry, Ledger, LoanId, LoanState, MAX_NAME_BYTES, Shard, Transition, Why,
-        shard_count, shard_key, shard_of,
+        ChangeReason, Entry, Ledger, LoanId, LoanState, MAX_ENTRY_BYTES, MAX_NAME_BYTES, Shard,
+        Transition, shard_count, shard_key, shard_of,
     },
 };
 use stonewheel_protocol::Condition;
@@ -156,16 +156,22 @@
         let held = self.ledger.get(&name(machine)).cloned();
         let claimant: Arc<str> = "c-2".into();
         let next = match (held, change) {
-            (None, Change::Lend) => {
-                Entry::lend(loan, Some("red".into()), "blue".into(), "c-1".into(), Why::Free)
+            (None, Change::Lend) => Entry::lend(
+                loan,
+                Some("red".into()),
+                "blue".into(),
+                "c-1".into(),
+                ChangeReason::Free,
+            ),
+            (None, Change::Grant) => {
+                Entry::grant(loan, "blue".into(), "c-1".into(), ChangeReason::Free)
             }
-            (None, Change::Grant) => Entry::grant(loan, "blue".into(), "c-1".into(), Why::Free),
             (Some(entry), Change::Request) => {
-                entry.request(Some(claimant), 8000, Why::Claimed).ok()?
+                entry.request(Some(claimant), 8000, ChangeReason::Claimed).ok()?
             }
             (Some(entry), Change::Withdraw) => entry.withdraw().ok()?,
             (Some(entry), Change::Halted) => entry.halted().ok()?,
-            (Some(entry), Change::Release) => entry.release(Why::Ended).ok()?,
+            (Some(entry), Change::Release) => entry.release(ChangeReason::Ended).ok()?,
             (Some(entry), Change::GrantToClaimant) => {
                 // A withdrawn request has no claimant any more.
                 let claimant = entry.claimant.clone().unwrap_or(claimant);
@@ -245,7 +251,7 @@
         match step {
             Step::Change(machine, change) => {
                 if let Some(after) = holders.entry(machine, change) {
-                    let known = holders.ledger.knows(&name(machine));
+                    let known = holders.ledger.can_read(&name(machine));
                     assert_eq!(holders.commit(holders.holder, machine, after), known);
                 }
             }
@@ -255,7 +261,7 @@
                     LoanId { epoch: 1, number: 0 },
                     "red".into(),
                     "c-9".into(),
-                    Why::Free,
+                    ChangeReason::Free,
                 );
                 let taken = holders.commit(1 - holders.holder, machine, Some(after));
                 assert!(!taken, "a replaced holder is refused");
@@ -284,8 +290,8 @@
     fn check_invariants(holders: &Holders, model: &Model) {
         for machine in 0..MACHINES {
             let known = model.knows(machine);
-            assert_eq!(holders.ledger.knows(&name(machine)), known);
-            assert_eq!(holders.ledger.takes(&name(machine)), known);
+            assert_eq!(holders.ledger.can_read(&name(machine)), known);
+            assert_eq!(holders.ledger.can_write(&name(machine)), known);
             let expected = model.states.get(&machine).filter(|_| known).map(|(state, _)| *state);
             assert_eq!(holders.ledger.get(&name(machine)).map(|entry| entry.state), expected);
         }
@@ -313,12 +319,14 @@
 fn the_longest_entry_fits_what_is_reserved_for_it() {
     let name = |letter: &str| -> Arc<str> { letter.repeat(MAX_NAME_BYTES).into() };
     let loan = LoanId { epoch: u64::MAX, number: u64::MAX };
-    let mut entry = Entry::lend(loan, Some(name("l")), name("b"), name("c"), Why::Incomplete);
+    let mut entry =
+        Entry::lend(loan, Some(name("l")), name("b"), name("c"), ChangeReason::Incomplete);
     for _ in 0..3 {
-        entry = entry.request(Some(name("d")), 86_400_000, Why::Incomplete).expect("it runs");
+        entry =
+            entry.request(Some(name("d")), 86_400_000, ChangeReason::Incomplete).expect("it runs");
         let longest = Shard { entries: [(name("n"), entry.clone())].into() };
         let bytes = serde_json::to_string(&longest).expect("it can be encoded").len();
-        assert!(bytes <= ENTRY_BYTES, "{bytes} bytes");
+        assert!(bytes <= MAX_ENTRY_BYTES, "{bytes} bytes");
         entry = entry.withdraw().expect("it was requested");
     }
 }
@@ -331,7 +339,7 @@
         for machine in 0..4000 {
             held[shard_of(&format!("n-{machine:06}"), shards) as usize] += 1;
         }
-        let full = held.iter().filter(|count| **count * ENTRY_BYTES > value_bytes).count();
+        let full = held.iter().filter(|count| **count * MAX_ENTRY_BYTES > value_bytes).count();
         assert_eq!(full, 0, "of {shards} shards with values of {value_bytes}");
     }
 }
--- a/crates/stonewheel-lending/tests/planner.rs
+++ b/crates/stonewheel-lending/tests/planner.rs
@@ -169,7 +169,7 @@
     assert_eq!(simulation.reasons["b-2"], WaitReason::NotLending);
     submit(&mut simulation, "s-1", serving("red", 4));
     submit(&mut simulation, "s-2", serving("blue", 3));
-    assert_eq!(simulation.reasons["s-2"], WaitReason::Short);
+    assert_eq!(simulation.reasons["s-2"], WaitReason::InsufficientCapacity);
     assert_eq!(simulation.fleet.runs("s-1"), 4);
     assert_eq!(simulation.fleet.runs("s-2"), 1, "replicas take what there is");
     no_violation(&simulation);
@@ -187,7 +187,7 @@
     }
     simulation.pass(20);
     assert_eq!(simulation.fleet.runs("b-1"), 3, "four machines are enough for one of them");
-    assert_eq!(simulation.reasons["r-1"], WaitReason::Short);
+    assert_eq!(simulation.reasons["r-1"], WaitReason::InsufficientCapacity);
     no_violation(&simulation);
 }
 
--- a/crates/stonewheel-lending/tests/records.rs
+++ b/crates/stonewheel-lending/tests/records.rs
@@ -10,7 +10,7 @@
 use stonewheel_lending::{
     HolderRecord,
     claim::{Claim, ClaimRecord, Work},
-    ledger::{Entry, LoanId, Shard, Why},
+    ledger::{ChangeReason, Entry, LoanId, Shard},
 };
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/schema/records.json");
@@ -80,9 +80,10 @@
 #[test]
 fn what_is_written_now_fits_the_schema_and_what_is_no_record_does_not() {
     let loan = LoanId { epoch: 1, number: 1 };
-    let entry = Entry::lend(loan, Some("red".into()), "blue".into(), "b-1".into(), Why::Free);
-    let asked = entry.request(Some("s-1".into()), 8000, Why::Claimed).expect("it runs");
-    let released = asked.halted().and_then(|e| e.release(Why::Ended)).expect("halted");
+    let entry =
+        Entry::lend(loan, Some("red".into()), "blue".into(), "b-1".into(), ChangeReason::Free);
+    let asked = entry.request(Some("s-1".into()), 8000, ChangeReason::Claimed).expect("it runs");
+    let released = asked.halted().and_then(|e| e.release(ChangeReason::Ended)).expect("halted");
     let shard = Shard { entries: [("n-1".into(), entry), ("n-2".into(), released)].into() };
     let valid = validator("shard");
     assert!(valid.is_valid(&json!(shard)));
--- a/crates/stonewheel-lending/tests/stories.rs
+++ b/crates/stonewheel-lending/tests/stories.rs
@@ -253,7 +253,8 @@
     let world = borrowed(4).await;
     world.submit(0, "s-1", serving("red", 2)).await;
     world.until("it saves", |world| world.in_state(LoanState::Checkpointing) == 2).await;
-    let (machine, _) = world.entries().into_iter().find(|(_, e)| e.leaves()).expect("one leaves");
+    let (machine, _) =
+        world.entries().into_iter().find(|(_, e)| e.is_stopping()).expect("one leaves");
     world.fleet().hide_end(&machine, Duration::from_secs(6));
     seconds(5).await;
     assert_eq!(world.runs("s-1"), 1, "nothing is granted without proof");
@@ -300,7 +301,7 @@
 async fn a_rush_that_ends_in_mid_reclaim_or_comes_again_moves_each_machine_a_bounded_number_of_times()
  {
     let world = borrowed(4).await;
-    let period = world.settings.times.settle() - Duration::from_secs(4);
+    let period = world.settings.times.release_retention() - Duration::from_secs(4);
     let cycles = 8;
     for cycle in 0..cycles {
         world.submit(cycle % CONTROLLERS, &format!("s-{cycle}"), serving("red", 2)).await;
@@ -311,7 +312,7 @@
     // Below the hysteresis they wait for serving: no run is stopped again.
     let halts = world.fleet().batch_halts();
     assert_eq!(halts, 2, "machines taken back in {cycles} cycles");
-    let settle = world.settings.times.memory() + world.settings.times.settle();
+    let settle = world.settings.times.rise_retention() + world.settings.times.release_retention();
     sleep(settle + Duration::from_secs(10)).await;
     assert_eq!(world.runs("b-1") + world.runs("b-2"), 4, "then batch has them again");
     world.assert_kept();
--- a/src/lending.rs
+++ b/src/lending.rs
@@ -13,8 +13,9 @@
 use futures_util::future::BoxFuture;
 use stonewheel_coordination::Coordinator;
 use stonewheel_lending::{
-    ClaimStatus, Executor, Exit, HOLDER_KEY, HolderRecord, HostError, LendingSettings, MachineHost,
-    MachineReport, Observation, Order, RunReport, RunState, StateLimits, UnmanagedWorkload,
+    ClaimStatus, Executor, Exit, HOLDER_KEY, HolderRecord, HostError, LendingSettings,
+    MachineCommand, MachineHost, MachineReport, Observation, RunReport, RunState, StateLimits,
+    UnmanagedWorkload,
     claim::{Claim, ClaimId, MachineName, Work},
     ledger::{Entry, Ledger, LoanState},
     planner::{self, WaitReason},
@@ -103,17 +104,17 @@
     machine: &MachineId,
     seen: &LendableMachine,
     token: u64,
-    tick: u64,
+    sequence: u64,
     run: Option<RunReport>,
 ) -> MachineReport {
     MachineReport {
         machine: machine.clone(),
         zone: seen.zone,
         session: 0,
-        tick,
+        sequence,
         // The leader's own tokens keep replaced leaders from the machines.
         token,
-        silent: Duration::ZERO,
+        heartbeat_age: Duration::ZERO,
         leaving: !seen.ready,
         run,
     }
@@ -156,7 +157,7 @@
     }
 
     /// The leader's pass follows the ledger by itself, see [`reservations`].
-    fn order(&self, _: &Order) -> BoxFuture<'_, Result<(), HostError>> {
+    fn send(&self, _: &MachineCommand) -> BoxFuture<'_, Result<(), HostError>> {
         Box::pin(async { Ok(()) })
     }
 
