--- a/crates/stonewheel-lending/src/accounts.rs
+++ b/crates/stonewheel-lending/src/accounts.rs
@@ -10,18 +10,18 @@
 
 /// Which claims are inside their teams' guarantees: those that fit together with all
 /// before them, the ones that can't be stopped first, each group in admission order.
-pub fn inside(claims: &[ActiveClaim], teams: &Teams, grace_s: f64) -> Vec<bool> {
+pub fn inside_guarantee(claims: &[ActiveClaim], teams: &Teams, grace_s: f64) -> Vec<bool> {
     let mut inside = vec![false; claims.len()];
     let mut asked: HashMap<&TeamName, u32> = HashMap::new();
     for revocable in [false, true] {
-        for (at, active) in claims.iter().enumerate() {
+        for (index, active) in claims.iter().enumerate() {
             let claim = &active.claim;
             if claim.is_revocable(grace_s) != revocable {
                 continue;
             }
             let asked = asked.entry(&claim.team).or_default();
             *asked = asked.saturating_add(claim.machines);
-            inside[at] = teams.get(&claim.team).is_some_and(|team| *asked <= team.guarantee);
+            inside[index] = teams.get(&claim.team).is_some_and(|team| *asked <= team.guarantee);
         }
     }
     inside
@@ -49,11 +49,11 @@
     /// Its machines can be taken back within the grace period.
     pub revocable: bool,
     /// Machines that its work may run on.
-    pub held: BTreeSet<MachineName>,
+    pub assigned: BTreeSet<MachineName>,
     /// Machines that its work is to leave.
-    pub leaving: BTreeSet<MachineName>,
+    pub stopping: BTreeSet<MachineName>,
     /// Machines that are reclaimed for it.
-    pub coming: BTreeSet<MachineName>,
+    pub incoming: BTreeSet<MachineName>,
 }
 
 /// What a team uses, in machines.
@@ -62,9 +62,9 @@
     /// Machines that its work may be on, those included that it is to leave.
     pub used: u32,
     /// Machines that are reclaimed for it from other teams' work.
-    pub coming: u32,
+    pub incoming: u32,
     /// Machines that claims inside its guarantee may run on.
-    pub inside_held: u32,
+    pub inside_assigned: u32,
 }
 
 /// All that is held, kept up to date as entries change.
@@ -72,11 +72,11 @@
 pub struct Accounts {
     /// One for each claim, in admission order.
     pub claims: Vec<ClaimAccount>,
-    index: HashMap<ClaimId, usize>,
-    owners: Vec<TeamName>,
+    index_by_claim: HashMap<ClaimId, usize>,
+    claim_teams: Vec<TeamName>,
     teams: HashMap<TeamName, TeamAccount>,
     /// Machines that outside work which can't be stopped runs on, or still leaves.
-    pub outside_fixed: u32,
+    pub outside_irrevocable: u32,
     /// Machines that work is to leave, and that have no claimant.
     pub unclaimed: BTreeSet<MachineName>,
     /// Machines that are lent, by the team in whose name.
@@ -94,7 +94,7 @@
     /// Nothing held yet.
     pub fn new(claims: &[ActiveClaim], settings: &LendingSettings) -> Self {
         let grace_s = settings.times.grace_s;
-        let inside = inside(claims, &settings.teams, grace_s);
+        let inside = inside_guarantee(claims, &settings.teams, grace_s);
         let account = |(active, inside): (&ActiveClaim, bool)| ClaimAccount {
             inside,
             revocable: active.claim.is_revocable(grace_s),
@@ -102,10 +102,14 @@
         };
         Self {
             claims: claims.iter().zip(inside).map(account).collect(),
-            index: claims.iter().enumerate().map(|(at, c)| (c.id.clone(), at)).collect(),
-            owners: claims.iter().map(|active| active.claim.team.clone()).collect(),
+            index_by_claim: claims
+                .iter()
+                .enumerate()
+                .map(|(index, c)| (c.id.clone(), index))
+                .collect(),
+            claim_teams: claims.iter().map(|active| active.claim.team.clone()).collect(),
             teams: HashMap::new(),
-            outside_fixed: 0,
+            outside_irrevocable: 0,
             unclaimed: BTreeSet::new(),
             lent: HashMap::new(),
         }
@@ -113,7 +117,7 @@
 
     /// The index of an active claim.
     pub fn index_of(&self, claim: &str) -> Option<usize> {
-        self.index.get(claim).copied()
+        self.index_by_claim.get(claim).copied()
     }
 
     /// What a team uses.
@@ -124,7 +128,7 @@
     /// Machines of a team's guarantee that it holds, or that are lent in its name.
     pub fn covered(&self, team: &TeamName) -> u32 {
         let lent = self.lent.get(team).map_or(0, BTreeSet::len);
-        self.team(team).inside_held + lent as u32
+        self.team(team).inside_assigned + lent as u32
     }
 
     /// Takes an entry into account.
@@ -148,35 +152,36 @@
         if entry.is_stopping() && entry.claimant.is_none() {
             update_set(&mut self.unclaimed, machine, sign);
         }
-        if let Some(at) = borrower {
-            let account = &mut self.claims[at];
-            let (inside, fixed) = (account.inside, !account.inside && !account.revocable);
+        if let Some(index) = borrower {
+            let account = &mut self.claims[index];
+            let (inside, irrevocable) = (account.inside, !account.inside && !account.revocable);
             // Until it is proven gone it covers nobody's guarantee.
-            if fixed && entry.state != LoanState::Released {
-                update_count(&mut self.outside_fixed, sign);
+            if irrevocable && entry.state != LoanState::Released {
+                update_count(&mut self.outside_irrevocable, sign);
             }
             if entry.may_run() {
-                update_set(&mut account.held, machine, sign);
+                update_set(&mut account.assigned, machine, sign);
                 if inside {
                     let team = self.teams.entry(entry.borrower.clone()).or_default();
-                    update_count(&mut team.inside_held, sign);
+                    update_count(&mut team.inside_assigned, sign);
                 }
             } else if entry.is_stopping() {
-                update_set(&mut account.leaving, machine, sign);
+                update_set(&mut account.stopping, machine, sign);
             }
         }
         self.account_claimant(machine, entry, sign);
     }
 
     fn account_claimant(&mut self, machine: &MachineName, entry: &Entry, sign: Sign) {
-        let Some(at) = entry.claimant.as_ref().and_then(|claimant| self.index_of(claimant)) else {
+        let Some(index) = entry.claimant.as_ref().and_then(|claimant| self.index_of(claimant))
+        else {
             return;
         };
-        update_set(&mut self.claims[at].coming, machine, sign);
+        update_set(&mut self.claims[index].incoming, machine, sign);
         // A machine that the same team leaves is counted already.
-        let team = &self.owners[at];
+        let team = &self.claim_teams[index];
         if entry.state == LoanState::Released || *team != entry.borrower {
-            update_count(&mut self.teams.entry(team.clone()).or_default().coming, sign);
+            update_count(&mut self.teams.entry(team.clone()).or_default().incoming, sign);
         }
     }
 }
--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -4,19 +4,19 @@
 use tokio::time::Duration;
 
 use crate::{
-    backoff::longest_pause,
+    backoff::max_pause,
     settings::{LendingSettings, Times},
 };
 
 /// The claim, the halt's acknowledgement, the end and the release are each seen within
 /// one probe interval.
-const PROBES: u32 = 4;
+const PROBES_PER_RECLAIM: u32 = 4;
 /// Request, release and grant are each one write.
-const WRITES: u32 = 3;
+const WRITES_PER_RECLAIM: u32 = 3;
 /// Halt, end, return of a silent machine, start.
-const ORDERS: u32 = 4;
+const COMMANDS_PER_RECLAIM: u32 = 4;
 /// The new holder probes once before it adopts and once before it plans.
-const TAKEOVER_PROBES: u32 = 2;
+const PROBES_PER_TAKEOVER: u32 = 2;
 
 /// Bounds that follow from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,16 +39,16 @@
         let times = &settings.times;
         let takeover = session
             + session / ADOPTION_PARTS * members
-            + times.probe_interval() * TAKEOVER_PROBES
+            + times.probe_interval() * PROBES_PER_TAKEOVER
             + state_timeout;
         Self { reclaim: reclaim(times, state_timeout), takeover }
     }
 }
 
 fn reclaim(times: &Times, state_timeout: Duration) -> Duration {
-    let seen = times.probe_interval() * PROBES;
-    let written = state_timeout * WRITES;
-    let ordered = times.command_timeout() * ORDERS + longest_pause(times);
-    let saved = times.halt_spread() + times.grace_period();
-    seen + written + ordered + saved + times.worker_lease()
+    let probing = times.probe_interval() * PROBES_PER_RECLAIM;
+    let writing = state_timeout * WRITES_PER_RECLAIM;
+    let commanding = times.command_timeout() * COMMANDS_PER_RECLAIM + max_pause(times);
+    let saving = times.halt_spread() + times.grace_period();
+    probing + writing + commanding + saving + times.worker_lease()
 }
--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -121,14 +121,14 @@
     }
 
     fn check_amounts(&self, most: f64) -> Result<(), ClaimError> {
-        let amount = |name, value: f64| {
+        let check_amount = |name, value: f64| {
             let valid = value.is_finite() && value >= 0.0;
             if valid { Ok(()) } else { Err(ClaimError::NotAnAmount(name)) }
         };
-        amount("gpus", self.gpus)?;
+        check_amount("gpus", self.gpus)?;
         if let Work::Batch { checkpoint_s, save_s } = self.work {
-            amount("checkpoint_s", checkpoint_s)?;
-            amount("save_s", save_s)?;
+            check_amount("checkpoint_s", checkpoint_s)?;
+            check_amount("save_s", save_s)?;
         }
         if self.gpus > most {
             return Err(ClaimError::FitsNoMachine { asked: self.gpus, most });
--- a/crates/stonewheel-lending/src/counters.rs
+++ b/crates/stonewheel-lending/src/counters.rs
@@ -20,7 +20,7 @@
     /// Silent machines that were returned.
     pub retired: u64,
     /// Orders that were refused since a higher token was seen.
-    pub stale_orders: u64,
+    pub stale_commands: u64,
     /// Transactions of the ledger.
     pub transactions: u64,
     /// Claims inside their guarantee that got all their machines.
@@ -42,7 +42,7 @@
             self.ended_saves,
             self.lost_work_s,
             self.retired,
-            self.stale_orders,
+            self.stale_commands,
             self.transactions,
             self.served,
             self.longest_wait.as_secs_f64(),
--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -18,30 +18,30 @@
 };
 
 /// Calls to machines that are under way at once.
-const CALLS_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_CALLS: usize = 64;
 
 /// A call to a machine.
 enum Call {
-    MachineCommand(MachineCommand),
+    Command(MachineCommand),
     Retire,
 }
 
 /// Calls to make now.
 #[derive(Default)]
 struct DueCalls {
-    orders: Vec<MachineCommand>,
+    commands: Vec<MachineCommand>,
     /// Machines to return.
-    silent: Vec<MachineName>,
+    expired: Vec<MachineName>,
 }
 
 impl Executor {
     /// Sends the orders that are due, and returns silent machines.
-    pub(super) fn give_orders(self: &Arc<Self>, epoch: u64, stop: &CancellationToken) {
+    pub(super) fn send_due_commands(self: &Arc<Self>, epoch: u64, stop: &CancellationToken) {
         let due = self.due_calls(epoch, Instant::now());
-        for order in due.orders {
-            self.spawn_call(stop, epoch, order.machine.clone(), Call::MachineCommand(order));
+        for command in due.commands {
+            self.spawn_call(stop, epoch, command.machine.clone(), Call::Command(command));
         }
-        for machine in due.silent {
+        for machine in due.expired {
             warn!(%machine, "worker lease expired, returning machine");
             self.spawn_call(stop, epoch, machine, Call::Retire);
         }
@@ -50,8 +50,8 @@
     /// Calls to make now. Each is recorded as in flight, and halts as sent.
     fn due_calls(&self, epoch: u64, now: Instant) -> DueCalls {
         let mut claims = lock(&self.claims);
-        let mut held = lock(&self.term);
-        let Some(term) = held.as_mut().filter(|term| term.observations.epoch == epoch) else {
+        let mut guard = lock(&self.term);
+        let Some(term) = guard.as_mut().filter(|term| term.observations.epoch == epoch) else {
             return DueCalls::default();
         };
         {
@@ -61,7 +61,7 @@
         }
         term.observations.track_loans(&term.ledger, now);
         let views = term.observations.views(now);
-        let orders = due_commands(&CommandInput {
+        let commands = due_commands(&CommandInput {
             settings: &self.settings,
             claims: claims.active(),
             ledger: &term.ledger,
@@ -69,40 +69,40 @@
             age: &|entry| term.observations.age(entry, now),
             epoch,
         });
-        let mut silent = term.observations.silent(&term.ledger, now);
-        silent.retain(|machine| term.observations.begin_call(machine, CALLS_AT_ONCE, now));
+        let mut expired = term.observations.expired_leases(&term.ledger, now);
+        expired.retain(|machine| term.observations.begin_call(machine, MAX_CONCURRENT_CALLS, now));
         let mut allowed = Vec::new();
-        for order in orders {
-            if term.observations.begin_call(&order.machine, CALLS_AT_ONCE, now) {
-                if matches!(order.kind, CommandKind::Halt { .. }) {
-                    term.observations.record_halt(order.loan);
+        for command in commands {
+            if term.observations.begin_call(&command.machine, MAX_CONCURRENT_CALLS, now) {
+                if matches!(command.kind, CommandKind::Halt { .. }) {
+                    term.observations.record_halt(command.loan);
                 }
-                self.count_ended_save(term, &order, &views);
-                allowed.push(order);
+                self.count_terminated_checkpoint(term, &command, &views);
+                allowed.push(command);
             }
         }
-        DueCalls { orders: allowed, silent }
+        DueCalls { commands: allowed, expired }
     }
 
-    fn count_ended_save(
+    fn count_terminated_checkpoint(
         &self,
         term: &Term,
-        order: &MachineCommand,
+        command: &MachineCommand,
         views: &BTreeMap<MachineName, MachineView>,
     ) {
-        let saves = term.ledger.get(&order.machine).is_some_and(|entry| {
+        let saves = term.ledger.get(&command.machine).is_some_and(|entry| {
             entry.state == LoanState::Checkpointing
-                && entry.loan == order.loan
+                && entry.loan == command.loan
                 && entry.grace_ms > 0
         });
-        if order.kind != CommandKind::Terminate || !saves {
+        if command.kind != CommandKind::Terminate || !saves {
             return;
         }
-        let run = views.get(&order.machine).and_then(|view| view.live_run(order.loan));
+        let run = views.get(&command.machine).and_then(|view| view.live_run(command.loan));
         let mut counters = lock(&self.counters);
         counters.ended_saves += 1;
         counters.lost_work_s += run.map_or(0.0, |run| run.unsaved_s);
-        warn!(machine = %order.machine, loan = ?order.loan, "grace period exceeded, ending checkpoint");
+        warn!(machine = %command.machine, loan = ?command.loan, "grace period exceeded, ending checkpoint");
     }
 
     fn spawn_call(
@@ -122,22 +122,22 @@
     }
 
     async fn call(&self, epoch: u64, machine: MachineName, call: Call) {
-        let limit = self.settings.times.command_timeout();
+        let call_timeout = self.settings.times.command_timeout();
         let outcome = match &call {
-            Call::MachineCommand(order) => timeout(limit, self.host.send(order)).await,
-            Call::Retire => timeout(limit, self.host.retire(&machine, epoch)).await,
+            Call::Command(command) => timeout(call_timeout, self.host.send(command)).await,
+            Call::Retire => timeout(call_timeout, self.host.retire(&machine, epoch)).await,
         };
         let outcome = outcome.unwrap_or_else(|_| Err(HostError::Unavailable("no answer".into())));
         if let Err(error) = &outcome {
             debug!(%machine, %error, "machine call failed");
         }
-        let mut held = lock(&self.term);
-        let Some(term) = held.as_mut().filter(|term| term.observations.epoch == epoch) else {
+        let mut guard = lock(&self.term);
+        let Some(term) = guard.as_mut().filter(|term| term.observations.epoch == epoch) else {
             return;
         };
         term.observations.end_call(&machine, outcome.is_err(), &mut lock(&self.rng));
         let mut counters = lock(&self.counters);
-        counters.stale_orders += u64::from(outcome == Err(HostError::Stale));
+        counters.stale_commands += u64::from(outcome == Err(HostError::Stale));
         if outcome.is_ok() && matches!(call, Call::Retire) {
             counters.retired += 1;
             term.observations.record_retired(machine);
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -20,14 +20,14 @@
 };
 
 /// Changes that one plan begins, in transactions.
-const TRANSACTIONS_A_PLAN: usize = 4;
+const TRANSACTIONS_PER_PLAN: usize = 4;
 /// What a transaction may take, in bytes; the rest of its limit is for conditions.
-const TRANSACTION_BYTES: usize = 48 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 /// Records of finished claims are kept for so many reclaim bounds.
-const KEPT_BOUNDS: u32 = 4;
+const FINISHED_RETENTION_BOUNDS: u32 = 4;
 
 /// What is to be written.
-pub(super) struct Step {
+pub(super) struct PreparedPlan {
     plan: Plan,
     writes: Vec<ShardWrite>,
 }
@@ -35,11 +35,11 @@
 impl Executor {
     /// Plans from the records and an observation. None: another term has begun, or a write
     /// can't be encoded.
-    pub(super) fn plan(&self, epoch: u64, observation: Observation) -> Option<Step> {
+    pub(super) fn plan(&self, epoch: u64, observation: Observation) -> Option<PreparedPlan> {
         let now = Instant::now();
         let mut claims = lock(&self.claims);
-        let mut held = lock(&self.term);
-        let term = held.as_mut().filter(|term| term.observations.epoch == epoch)?;
+        let mut guard = lock(&self.term);
+        let term = guard.as_mut().filter(|term| term.observations.epoch == epoch)?;
         {
             let records = self.coordinator.records();
             term.ledger.refresh(&records);
@@ -50,7 +50,7 @@
         term.observations.track_loans(&term.ledger, now);
         let active = claims.active();
         let teams = &self.settings.teams;
-        let inside = accounts::inside(active, teams, self.settings.times.grace_s);
+        let inside = accounts::inside_guarantee(active, teams, self.settings.times.grace_s);
         term.reserve.record(now, &accounts::entitlements(active, &inside, teams));
         let mut views = term.observations.views(now);
         let number = term.next_number;
@@ -68,14 +68,14 @@
             may_lend: now >= term.may_lend_from,
             epoch,
             next_number: combined.map_or(number, |combined| combined.next_number),
-            max_changes: self.limits.transaction_writes * TRANSACTIONS_A_PLAN,
+            max_changes: self.limits.transaction_writes * TRANSACTIONS_PER_PLAN,
         });
         plan.reasons.retain(|claim, _| !is_unmanaged(claim));
         // Numbers of a plan that is not written are not used again.
         term.next_number = plan.next_number;
         let writes = term.ledger.writes(plan.transitions.clone()).ok()?;
         self.record_wait_reasons(term, &plan, now);
-        Some(Step { plan, writes })
+        Some(PreparedPlan { plan, writes })
     }
 
     fn record_wait_reasons(&self, term: &mut Term, plan: &Plan, now: Instant) {
@@ -98,14 +98,18 @@
     }
 
     /// Writes what was planned. False if anything failed, or may have.
-    pub(super) async fn carry_out(&self, holder: &Versioned<HolderRecord>, step: Step) -> bool {
+    pub(super) async fn execute(
+        &self,
+        holder: &Versioned<HolderRecord>,
+        prepared: PreparedPlan,
+    ) -> bool {
         let fence = Condition { key: HOLDER_KEY.into(), version: holder.version };
-        for claim in &step.plan.done {
-            if !self.finish(&fence, claim).await {
+        for claim in &prepared.plan.done {
+            if !self.record_completion(&fence, claim).await {
                 return false;
             }
         }
-        for batch in batches(step.writes, self.limits.transaction_writes) {
+        for batch in batches(prepared.writes, self.limits.transaction_writes) {
             let mut conditions = vec![fence.clone()];
             let mut writes = Vec::new();
             let mut transitions = Vec::new();
@@ -123,7 +127,7 @@
         self.delete_finished(&fence).await
     }
 
-    async fn finish(&self, fence: &Condition, claim: &ClaimId) -> bool {
+    async fn record_completion(&self, fence: &Condition, claim: &ClaimId) -> bool {
         let key = claim_key(claim);
         let version = match lock(&self.claims).get(claim) {
             Some((ClaimRecord::Active(_), version)) => version,
@@ -142,21 +146,22 @@
     /// be in flight.
     async fn delete_finished(&self, fence: &Condition) -> bool {
         let now = Instant::now();
-        let kept = self.bounds.reclaim * KEPT_BOUNDS;
-        let old: Vec<(ClaimId, u64)> = {
+        let retention = self.bounds.reclaim * FINISHED_RETENTION_BOUNDS;
+        let expired: Vec<(ClaimId, u64)> = {
             let claims = lock(&self.claims);
-            let mut held = lock(&self.term);
-            let Some(term) = held.as_mut() else { return false };
-            let over: HashMap<ClaimId, u64> =
+            let mut guard = lock(&self.term);
+            let Some(term) = guard.as_mut() else { return false };
+            let finished: HashMap<ClaimId, u64> =
                 claims.finished().map(|(c, v)| (c.clone(), v)).collect();
-            term.finished_since.retain(|claim, _| over.contains_key(claim));
-            for claim in over.keys() {
+            term.finished_since.retain(|claim, _| finished.contains_key(claim));
+            for claim in finished.keys() {
                 term.finished_since.entry(claim.clone()).or_insert(now);
             }
-            let old = over.into_iter().filter(|(c, _)| now >= term.finished_since[c] + kept);
-            old.take(self.limits.transaction_writes).collect()
+            let expired =
+                finished.into_iter().filter(|(c, _)| now >= term.finished_since[c] + retention);
+            expired.take(self.limits.transaction_writes).collect()
         };
-        if old.is_empty() {
+        if expired.is_empty() {
             return true;
         }
         let condition = |(claim, version): &(ClaimId, u64)| Condition {
@@ -164,8 +169,9 @@
             version: *version,
         };
         let mut conditions = vec![fence.clone()];
-        conditions.extend(old.iter().map(condition));
-        let writes = old.iter().map(|(claim, _)| Write::Delete { key: claim_key(claim) }).collect();
+        conditions.extend(expired.iter().map(condition));
+        let writes =
+            expired.iter().map(|(claim, _)| Write::Delete { key: claim_key(claim) }).collect();
         self.commit(conditions, writes).await.is_ok()
     }
 
@@ -191,7 +197,7 @@
 }
 
 /// Divides writes into transactions.
-fn batches(writes: Vec<ShardWrite>, most: usize) -> Vec<Vec<ShardWrite>> {
+fn batches(writes: Vec<ShardWrite>, max_writes: usize) -> Vec<Vec<ShardWrite>> {
     let mut batches: Vec<Vec<ShardWrite>> = Vec::new();
     let mut bytes = 0;
     for write in writes {
@@ -199,8 +205,8 @@
             Write::Put { value, .. } => value.get().len(),
             Write::Delete { .. } => 0,
         };
-        let room = batches.last().is_some_and(|batch| batch.len() < most);
-        if !room || bytes + size > TRANSACTION_BYTES {
+        let has_capacity = batches.last().is_some_and(|batch| batch.len() < max_writes);
+        if !has_capacity || bytes + size > MAX_TRANSACTION_BYTES {
             batches.push(Vec::new());
             bytes = 0;
         }
--- a/crates/stonewheel-lending/src/executor/state.rs
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -116,7 +116,7 @@
         }
         let now = Instant::now();
         let times = self.settings.times;
-        let first = holder.epoch == 1;
+        let is_first = holder.epoch == 1;
         *term = Some(Term {
             ledger: Ledger::new(holder.shards, self.limits.value_bytes),
             observations: MachineObservations::new(times, holder.epoch, now),
@@ -130,7 +130,7 @@
             finished_since: HashMap::new(),
             next_number: 1,
             // What serving gave back to the former holder is not known here.
-            may_lend_from: if first { now } else { now + times.release_retention() },
+            may_lend_from: if is_first { now } else { now + times.release_retention() },
         });
     }
 }
--- a/crates/stonewheel-lending/src/executor/submission.rs
+++ b/crates/stonewheel-lending/src/executor/submission.rs
@@ -14,16 +14,16 @@
 };
 
 /// How often a write of a claim with an unknown outcome is tried.
-const CLAIM_TRIES: u32 = 8;
+const MAX_CLAIM_ATTEMPTS: u32 = 8;
 
 /// What a claim's record leaves to do.
-enum Outcome {
+enum ClaimWrite {
     /// Nothing: its record says this already.
     AlreadyWritten,
     /// It is to be written.
-    Write,
+    Needed,
     /// Another claim has the id.
-    Taken,
+    IdTaken,
 }
 
 impl Executor {
@@ -32,10 +32,10 @@
     pub async fn submit(&self, id: &str, claim: &Claim) -> Result<(), ClaimFailure> {
         claim.check(id, &self.settings)?;
         let record = ClaimRecord::Active(claim.clone());
-        self.write_claim(id, &record, |held| match held {
-            None => Outcome::Write,
-            Some(ClaimRecord::Active(held)) if held != claim => Outcome::Taken,
-            Some(_) => Outcome::AlreadyWritten,
+        self.write_claim(id, &record, |stored| match stored {
+            None => ClaimWrite::Needed,
+            Some(ClaimRecord::Active(stored)) if stored != claim => ClaimWrite::IdTaken,
+            Some(_) => ClaimWrite::AlreadyWritten,
         })
         .await
     }
@@ -43,9 +43,9 @@
     /// Withdraws a claim. A submission that is still on its way has no effect
     /// afterwards.
     pub async fn withdraw(&self, id: &str) -> Result<(), ClaimFailure> {
-        self.write_claim(id, &ClaimRecord::Withdrawn, |held| match held {
-            Some(ClaimRecord::Withdrawn | ClaimRecord::Done) => Outcome::AlreadyWritten,
-            None | Some(ClaimRecord::Active(_)) => Outcome::Write,
+        self.write_claim(id, &ClaimRecord::Withdrawn, |stored| match stored {
+            Some(ClaimRecord::Withdrawn | ClaimRecord::Done) => ClaimWrite::AlreadyWritten,
+            None | Some(ClaimRecord::Active(_)) => ClaimWrite::Needed,
         })
         .await
     }
@@ -54,21 +54,21 @@
         &self,
         id: &str,
         record: &ClaimRecord,
-        decide: impl Fn(Option<&ClaimRecord>) -> Outcome,
+        decide: impl Fn(Option<&ClaimRecord>) -> ClaimWrite,
     ) -> Result<(), ClaimFailure> {
         let key = claim_key(id);
-        for _ in 0..CLAIM_TRIES {
-            let (version, held) = {
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
+            let (version, stored) = {
                 let records = self.coordinator.records();
                 if !records.loaded() {
                     return Err(ClaimFailure::Unavailable);
                 }
                 (records.version(&key), records.get::<ClaimRecord>(&key))
             };
-            match decide(held.as_ref().map(|held| &held.value)) {
-                Outcome::AlreadyWritten => return Ok(()),
-                Outcome::Taken => return Err(ClaimError::IdTaken.into()),
-                Outcome::Write => {}
+            match decide(stored.as_ref().map(|stored| &stored.value)) {
+                ClaimWrite::AlreadyWritten => return Ok(()),
+                ClaimWrite::IdTaken => return Err(ClaimError::IdTaken.into()),
+                ClaimWrite::Needed => {}
             }
             let write = put(key.clone(), record, None).map_err(|_| ClaimFailure::Unknown)?;
             let condition = Condition { key: key.clone(), version };
@@ -85,13 +85,13 @@
     /// The status of a claim.
     pub fn status(&self, id: &str) -> ClaimStatus {
         let records = self.coordinator.records();
-        match records.get::<ClaimRecord>(&claim_key(id)).map(|held| held.value) {
+        match records.get::<ClaimRecord>(&claim_key(id)).map(|stored| stored.value) {
             None => return ClaimStatus::Unknown,
             Some(ClaimRecord::Withdrawn | ClaimRecord::Done) => return ClaimStatus::Finished,
             Some(ClaimRecord::Active(_)) => {}
         }
         let holder = records.get::<HolderRecord>(HOLDER_KEY);
-        let holder = holder.and_then(|held| Some(held.value.owner?.member));
+        let holder = holder.and_then(|stored| Some(stored.value.owner?.member));
         drop(records);
         match lock(&self.term).as_ref() {
             Some(term) => ClaimStatus::Active(term.reasons.get(id).copied()),
--- a/crates/stonewheel-lending/src/executor/term.rs
+++ b/crates/stonewheel-lending/src/executor/term.rs
@@ -16,21 +16,21 @@
 };
 
 /// Steps are at least this part of a probe interval apart.
-const STEPS_PER_INTERVAL: u32 = 8;
+const MIN_STEP_INTERVAL_DIVISOR: u32 = 8;
 
 impl Executor {
     /// Runs until it is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         tokio::select! {
-            () = self.clone().drive(&stop) => {}
+            () = self.clone().run_steps(&stop) => {}
             () = stop.cancelled() => {}
         }
         info!(counters = %self.counters(), "lending stopped");
     }
 
-    async fn drive(self: Arc<Self>, stop: &CancellationToken) {
+    async fn run_steps(self: Arc<Self>, stop: &CancellationToken) {
         let mut changes = self.coordinator.subscribe();
-        let pause = self.settings.times.probe_interval() / STEPS_PER_INTERVAL;
+        let pause = self.settings.times.probe_interval() / MIN_STEP_INTERVAL_DIVISOR;
         loop {
             changes.mark_unchanged();
             self.step(stop).await;
@@ -54,32 +54,33 @@
             *lock(&self.term) = None;
             return;
         }
-        let me = Some(self.coordinator.me());
-        let mine = holder.as_ref().filter(|held| held.value.owner.as_ref() == me);
+        let this_controller = Some(self.coordinator.me());
+        let held_here =
+            holder.as_ref().filter(|stored| stored.value.owner.as_ref() == this_controller);
         let eligible = self.host.eligible();
-        match mine {
-            Some(held) if self.session_valid() && eligible => {
-                self.begin_term(&held.value);
-                self.hold(held, stop).await;
+        match held_here {
+            Some(stored) if self.session_valid() && eligible => {
+                self.begin_term(&stored.value);
+                self.step_as_holder(stored, stop).await;
                 return;
             }
             _ => *lock(&self.term) = None,
         }
-        match mine {
-            Some(held) if !eligible => self.release_ledger(held).await,
-            None if eligible => self.adopt_if_due(holder.as_ref()).await,
+        match held_here {
+            Some(stored) if !eligible => self.release_ledger(stored).await,
+            None if eligible => self.acquire_if_due(holder.as_ref()).await,
             _ => {}
         }
     }
 
     /// Lets another controller hold the ledger.
-    async fn release_ledger(&self, held: &Versioned<HolderRecord>) {
-        let Ok(write) = put(HOLDER_KEY.into(), &held.value.released_by_holder(), None) else {
+    async fn release_ledger(&self, stored: &Versioned<HolderRecord>) {
+        let Ok(write) = put(HOLDER_KEY.into(), &stored.value.released_by_holder(), None) else {
             return;
         };
-        let condition = Condition { key: HOLDER_KEY.into(), version: held.version };
+        let condition = Condition { key: HOLDER_KEY.into(), version: stored.version };
         match self.commit(vec![condition], vec![write]).await {
-            Ok(_) => info!(epoch = held.value.epoch, "ledger released"),
+            Ok(_) => info!(epoch = stored.value.epoch, "ledger released"),
             Err(error) => {
                 debug!(%error, "ledger release failed");
                 self.coordinator.refresh().await;
@@ -87,16 +88,17 @@
         }
     }
 
-    async fn adopt_if_due(&self, holder: Option<&Versioned<HolderRecord>>) {
-        let owner = holder.and_then(|held| held.value.owner.as_ref());
+    async fn acquire_if_due(&self, holder: Option<&Versioned<HolderRecord>>) {
+        let owner = holder.and_then(|stored| stored.value.owner.as_ref());
         if !self.session_valid() || !lock(&self.succession).may_adopt(&self.coordinator, owner) {
             return;
         }
         let machines = self.settings.times.expected_machines as u32;
         let shards = shard_count(machines, self.limits.value_bytes);
-        let me = self.coordinator.me().clone();
-        let next = HolderRecord::successor(holder.map(|held| &held.value), me, shards);
-        let version = holder.map_or(0, |held| held.version);
+        let this_controller = self.coordinator.me().clone();
+        let next =
+            HolderRecord::successor(holder.map(|stored| &stored.value), this_controller, shards);
+        let version = holder.map_or(0, |stored| stored.version);
         let condition = Condition { key: HOLDER_KEY.into(), version };
         let Ok(write) = put(HOLDER_KEY.into(), &next, None) else { return };
         match self.commit(vec![condition], vec![write]).await {
@@ -108,10 +110,15 @@
         }
     }
 
-    async fn hold(self: &Arc<Self>, holder: &Versioned<HolderRecord>, stop: &CancellationToken) {
+    async fn step_as_holder(
+        self: &Arc<Self>,
+        holder: &Versioned<HolderRecord>,
+        stop: &CancellationToken,
+    ) {
         let epoch = holder.value.epoch;
-        let asked = timeout(self.settings.times.command_timeout(), self.host.observe(epoch)).await;
-        let observation = match asked {
+        let observed =
+            timeout(self.settings.times.command_timeout(), self.host.observe(epoch)).await;
+        let observation = match observed {
             Ok(Ok(observation)) => observation,
             Ok(Err(error)) => return debug!(%error, "machine observation failed"),
             Err(_) => return debug!("machine observation timed out"),
@@ -119,14 +126,14 @@
         if !self.session_valid() {
             return;
         }
-        let Some(step) = self.plan(epoch, observation) else { return };
-        let complete = self.carry_out(holder, step).await;
-        if !complete {
+        let Some(prepared) = self.plan(epoch, observation) else { return };
+        let written = self.execute(holder, prepared).await;
+        if !written {
             // Whether a write was carried out shows in the records.
             self.coordinator.refresh().await;
         }
         if self.session_valid() {
-            self.give_orders(epoch, stop);
+            self.send_due_commands(epoch, stop);
         }
     }
 }
--- a/crates/stonewheel-lending/src/ledger/entry.rs
+++ b/crates/stonewheel-lending/src/ledger/entry.rs
@@ -158,8 +158,8 @@
         let mut next = self.clone();
         next.state = to;
         next.history.push(Change { state: to, reason });
-        let beyond = next.history.len().saturating_sub(MAX_HISTORY_CHANGES);
-        next.history.drain(..beyond);
+        let excess = next.history.len().saturating_sub(MAX_HISTORY_CHANGES);
+        next.history.drain(..excess);
         Ok(next)
     }
 
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -135,7 +135,9 @@
     /// are left out, and so are those for which a shard has no room.
     pub fn writes(&self, transitions: Vec<Transition>) -> Result<Vec<ShardWrite>, StateError> {
         let mut by_shard: BTreeMap<u32, Vec<Transition>> = BTreeMap::new();
-        for transition in transitions.into_iter().filter(|t| self.can_read(&t.machine)) {
+        for transition in
+            transitions.into_iter().filter(|transition| self.can_read(&transition.machine))
+        {
             by_shard
                 .entry(shard_of(&transition.machine, self.shards()))
                 .or_default()
--- a/crates/stonewheel-lending/src/ledger/shard.rs
+++ b/crates/stonewheel-lending/src/ledger/shard.rs
@@ -12,7 +12,7 @@
 pub const MAX_ENTRY_BYTES: usize = 512;
 /// Shards are laid out for this part of the entries that fit, since names don't spread
 /// evenly over them.
-const FILL_PARTS: usize = 3;
+const FILL_DIVISOR: usize = 3;
 
 /// The key of a shard.
 pub fn shard_key(number: u32) -> String {
@@ -21,8 +21,8 @@
 
 /// How many shards so many machines take, over values of so many bytes.
 pub fn shard_count(machines: u32, value_bytes: usize) -> u32 {
-    let each = (value_bytes / MAX_ENTRY_BYTES / FILL_PARTS).max(1);
-    machines.div_ceil(each as u32).max(1)
+    let entries_per_shard = (value_bytes / MAX_ENTRY_BYTES / FILL_DIVISOR).max(1);
+    machines.div_ceil(entries_per_shard as u32).max(1)
 }
 
 /// The shard that a machine belongs to, by a hash of its name that never changes
--- a/crates/stonewheel-lending/src/observations.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -39,13 +39,13 @@
 pub(crate) struct MachineObservations {
     times: Times,
     pub epoch: u64,
-    pub began: Instant,
+    pub began_at: Instant,
     reports: BTreeMap<MachineName, ReceivedReport>,
     gone: BTreeSet<MachineName>,
     retired: BTreeSet<MachineName>,
     halted: HashSet<LoanId>,
-    since: HashMap<LoanId, StateSince>,
-    quarantined: HashMap<MachineName, Instant>,
+    loan_states: HashMap<LoanId, StateSince>,
+    quarantined_until: HashMap<MachineName, Instant>,
     backoffs: HashMap<MachineName, Backoff>,
     in_flight: HashSet<MachineName>,
 }
@@ -55,13 +55,13 @@
         Self {
             times,
             epoch,
-            began: now,
+            began_at: now,
             reports: BTreeMap::new(),
             gone: BTreeSet::new(),
             retired: BTreeSet::new(),
             halted: HashSet::new(),
-            since: HashMap::new(),
-            quarantined: HashMap::new(),
+            loan_states: HashMap::new(),
+            quarantined_until: HashMap::new(),
             backoffs: HashMap::new(),
             in_flight: HashSet::new(),
         }
@@ -75,7 +75,7 @@
         }
         let (gone, retired) = (&self.gone, &self.retired);
         self.reports.retain(|name, _| !gone.contains(name) && !retired.contains(name));
-        self.quarantined.retain(|_, until| *until > now);
+        self.quarantined_until.retain(|_, until| *until > now);
     }
 
     fn record_report(&mut self, report: MachineReport, now: Instant) {
@@ -88,7 +88,7 @@
         let failed = |run: &crate::host::RunReport| run.state == RunState::Ended(Exit::Failed);
         if report.run.as_ref().is_some_and(failed) {
             let until = now + self.times.worker_lease() * QUARANTINE_LEASES;
-            self.quarantined.entry(report.machine.clone()).or_insert(until);
+            self.quarantined_until.entry(report.machine.clone()).or_insert(until);
         }
         let received_at = now.checked_sub(report.heartbeat_age).unwrap_or(now);
         self.reports.insert(report.machine.clone(), ReceivedReport { report, received_at });
@@ -101,15 +101,15 @@
 
     /// Records since when each loan is in its state.
     pub fn track_loans(&mut self, ledger: &Ledger, now: Instant) {
-        let mut since = HashMap::with_capacity(ledger.len());
+        let mut loan_states = HashMap::with_capacity(ledger.len());
         for (_, entry) in ledger.entries() {
             let known = self.state_since(entry);
-            since
+            loan_states
                 .insert(entry.loan, known.unwrap_or(StateSince { state: entry.state, since: now }));
         }
-        self.since = since;
-        let live = &self.since;
-        self.halted.retain(|loan| live.contains_key(loan));
+        self.loan_states = loan_states;
+        let current = &self.loan_states;
+        self.halted.retain(|loan| current.contains_key(loan));
     }
 
     /// How long a loan has been in its state, as far as this holder observed.
@@ -119,20 +119,20 @@
     }
 
     fn state_since(&self, entry: &Entry) -> Option<StateSince> {
-        self.since.get(&entry.loan).copied().filter(|known| known.state == entry.state)
+        self.loan_states.get(&entry.loan).copied().filter(|known| known.state == entry.state)
     }
 
     /// What is known of the machines.
     pub fn views(&self, now: Instant) -> BTreeMap<MachineName, MachineView> {
-        let stale = self.times.probe_interval() * STALE_INTERVALS;
+        let stale_after = self.times.probe_interval() * STALE_INTERVALS;
         let view = |(name, received): (&MachineName, &ReceivedReport)| {
             let view = MachineView {
                 zone: received.report.zone,
                 session: received.report.session,
-                reachable: now.saturating_duration_since(received.received_at) < stale,
+                reachable: now.saturating_duration_since(received.received_at) < stale_after,
                 confirmed: received.report.token == self.epoch,
                 leaving: received.report.leaving,
-                quarantined: self.quarantined.contains_key(name),
+                quarantined: self.quarantined_until.contains_key(name),
                 run: received.report.run.clone(),
             };
             (name.clone(), view)
@@ -141,16 +141,16 @@
     }
 
     /// Machines with an entry that were silent for longer than a lease.
-    pub fn silent(&self, ledger: &Ledger, now: Instant) -> Vec<MachineName> {
+    pub fn expired_leases(&self, ledger: &Ledger, now: Instant) -> Vec<MachineName> {
         let lease = self.times.worker_lease();
-        let silent = |machine: &MachineName| {
+        let is_expired = |machine: &MachineName| {
             let last_received =
-                self.reports.get(machine).map_or(self.began, |received| received.received_at);
-            now >= last_received.max(self.began) + lease
+                self.reports.get(machine).map_or(self.began_at, |received| received.received_at);
+            now >= last_received.max(self.began_at) + lease
         };
         let machines = ledger.entries().map(|(machine, _)| machine);
         let is_present = |m: &&MachineName| !self.gone.contains(*m) && !self.retired.contains(*m);
-        machines.filter(is_present).filter(|machine| silent(machine)).cloned().collect()
+        machines.filter(is_present).filter(|machine| is_expired(machine)).cloned().collect()
     }
 
     /// Loans for which this holder sent a halt.
@@ -164,10 +164,10 @@
     }
 
     /// Whether a call to a machine may begin now; if so it is recorded as in flight.
-    pub fn begin_call(&mut self, machine: &MachineName, most: usize, now: Instant) -> bool {
+    pub fn begin_call(&mut self, machine: &MachineName, max_calls: usize, now: Instant) -> bool {
         let due = self.backoffs.get(machine).is_none_or(|backoff| backoff.due(now));
-        let free = self.in_flight.len() < most && !self.in_flight.contains(machine);
-        due && free && self.in_flight.insert(machine.clone())
+        let available = self.in_flight.len() < max_calls && !self.in_flight.contains(machine);
+        due && available && self.in_flight.insert(machine.clone())
     }
 
     /// Records how a call ended.
--- a/crates/stonewheel-lending/src/orders.rs
+++ b/crates/stonewheel-lending/src/orders.rs
@@ -33,10 +33,10 @@
 
 /// One claim's entries.
 #[derive(Default)]
-struct Run<'a> {
+struct ClaimEntries<'a> {
     /// None: it was withdrawn or is done.
     claim: Option<&'a Claim>,
-    runs: Vec<(&'a MachineName, &'a Entry)>,
+    running: Vec<(&'a MachineName, &'a Entry)>,
     requested: Vec<(&'a MachineName, &'a Entry)>,
     saving: Vec<(&'a MachineName, &'a Entry)>,
 }
@@ -45,28 +45,29 @@
 pub fn due_commands(input: &CommandInput<'_>) -> Vec<MachineCommand> {
     let active: HashMap<&ClaimId, &Claim> =
         input.claims.iter().map(|active| (&active.id, &active.claim)).collect();
-    let mut by_claim: BTreeMap<&ClaimId, Run<'_>> = BTreeMap::new();
+    let mut by_claim: BTreeMap<&ClaimId, ClaimEntries<'_>> = BTreeMap::new();
     for (machine, entry) in input.ledger.entries() {
-        let run = by_claim.entry(&entry.claim).or_default();
-        run.claim = active.get(&entry.claim).copied();
+        let entries = by_claim.entry(&entry.claim).or_default();
+        entries.claim = active.get(&entry.claim).copied();
         match entry.state {
-            LoanState::Lent | LoanState::Granted => run.runs.push((machine, entry)),
-            LoanState::ReclaimRequested => run.requested.push((machine, entry)),
-            LoanState::Checkpointing => run.saving.push((machine, entry)),
+            LoanState::Lent | LoanState::Granted => entries.running.push((machine, entry)),
+            LoanState::ReclaimRequested => entries.requested.push((machine, entry)),
+            LoanState::Checkpointing => entries.saving.push((machine, entry)),
             LoanState::Released => {}
         }
     }
-    let runs: Vec<(&ClaimId, Run<'_>)> = by_claim.into_iter().collect();
-    let saving = runs.iter().flat_map(|(_, run)| &run.saving);
-    let ends = saving.filter_map(|(machine, entry)| end(input, machine, entry));
-    let mut orders = ends_of_unmanaged_runs(input);
-    orders.extend(starts(input, &runs));
-    orders.extend(halts(input, &runs));
-    orders.extend(ends);
-    orders
+    let claims: Vec<(&ClaimId, ClaimEntries<'_>)> = by_claim.into_iter().collect();
+    let saving = claims.iter().flat_map(|(_, entries)| &entries.saving);
+    let terminations =
+        saving.filter_map(|(machine, entry)| terminate_or_repeat_halt(input, machine, entry));
+    let mut commands = terminations_of_unknown_runs(input);
+    commands.extend(starts(input, &claims));
+    commands.extend(halts(input, &claims));
+    commands.extend(terminations);
+    commands
 }
 
-fn order(
+fn command(
     input: &CommandInput<'_>,
     machine: &MachineName,
     entry: &Entry,
@@ -78,12 +79,12 @@
 }
 
 /// Ends of runs that have no entry in the ledger.
-fn ends_of_unmanaged_runs(input: &CommandInput<'_>) -> Vec<MachineCommand> {
-    let unmanaged_end = |(machine, view): (&MachineName, &MachineView)| {
+fn terminations_of_unknown_runs(input: &CommandInput<'_>) -> Vec<MachineCommand> {
+    let termination = |(machine, view): (&MachineName, &MachineView)| {
         let run = view.run.as_ref().filter(|_| view.confirmed)?;
         let known = input.ledger.get(machine).is_some_and(|entry| entry.loan == run.loan);
-        let over = matches!(run.state, RunState::Ended(_));
-        if known || over || !input.ledger.can_read(machine) {
+        let ended = matches!(run.state, RunState::Ended(_));
+        if known || ended || !input.ledger.can_read(machine) {
             return None;
         }
         let (machine, session) = (machine.clone(), view.session);
@@ -95,27 +96,30 @@
             kind: CommandKind::Terminate,
         })
     };
-    input.machines.iter().filter_map(unmanaged_end).collect()
+    input.machines.iter().filter_map(termination).collect()
 }
 
 /// Starts of work that has all the machines it needs, durably.
-fn starts(input: &CommandInput<'_>, runs: &[(&ClaimId, Run<'_>)]) -> Vec<MachineCommand> {
-    let mut orders = Vec::new();
-    for (id, run) in runs {
-        let Some(claim) = run.claim else { continue };
+fn starts(
+    input: &CommandInput<'_>,
+    claims: &[(&ClaimId, ClaimEntries<'_>)],
+) -> Vec<MachineCommand> {
+    let mut commands = Vec::new();
+    for (id, entries) in claims {
+        let Some(claim) = entries.claim else { continue };
         let gang = claim.is_gang();
-        if gang && run.runs.len() as u32 != claim.machines {
+        if gang && entries.running.len() as u32 != claim.machines {
             continue;
         }
         let machines = if gang { claim.machines } else { 1 };
-        for (machine, entry) in &run.runs {
+        for (machine, entry) in &entries.running {
             if input.machines.get(*machine).is_some_and(|view| not_started(view, entry)) {
                 let kind = CommandKind::Start { claim: (*id).clone(), machines };
-                orders.extend(order(input, machine, entry, kind));
+                commands.extend(command(input, machine, entry, kind));
             }
         }
     }
-    orders
+    commands
 }
 
 /// Whether a machine shows nothing of a loan: neither its start nor its end.
@@ -124,65 +128,73 @@
 }
 
 /// A run whose halts are due.
-struct DueRun<'a> {
+struct DueHalt<'a> {
     entries: &'a [(&'a MachineName, &'a Entry)],
     zone: u8,
     age: Duration,
     /// It needs no time to save.
-    at_once: bool,
+    immediate: bool,
 }
 
 /// Halts of runs, all machines of one at the same time, and of a zone not all at once
 /// while the bound allows it.
-fn halts(input: &CommandInput<'_>, runs: &[(&ClaimId, Run<'_>)]) -> Vec<MachineCommand> {
+fn halts(input: &CommandInput<'_>, claims: &[(&ClaimId, ClaimEntries<'_>)]) -> Vec<MachineCommand> {
     let times = &input.settings.times;
     let mut saving: HashMap<u8, u32> = HashMap::new();
-    let mut due: Vec<DueRun<'_>> = Vec::new();
-    for (_, run) in runs {
-        let Some((machine, _)) = run.saving.first().or(run.requested.first()) else { continue };
+    let mut due: Vec<DueHalt<'_>> = Vec::new();
+    for (_, entries) in claims {
+        let Some((machine, _)) = entries.saving.first().or(entries.requested.first()) else {
+            continue;
+        };
         let zone = input.machines.get(*machine).map_or(0, |view| view.zone);
-        let begun = !run.saving.is_empty();
-        if begun {
+        let saving_begun = !entries.saving.is_empty();
+        if saving_begun {
             *saving.entry(zone).or_default() += 1;
         }
         // A gang whose requests are not all durable is halted when they are.
-        let partly = run.claim.is_some_and(Claim::is_gang) && !run.runs.is_empty();
-        if run.requested.is_empty() || partly {
+        let partially_requested =
+            entries.claim.is_some_and(Claim::is_gang) && !entries.running.is_empty();
+        if entries.requested.is_empty() || partially_requested {
             continue;
         }
-        let ages = run.requested.iter().map(|(_, entry)| (input.age)(entry));
-        let age = if begun { Duration::MAX } else { ages.max().unwrap_or_default() };
-        let at_once = run.requested.iter().all(|(_, entry)| entry.grace_ms == 0);
-        due.push(DueRun { entries: &run.requested, zone, age, at_once });
+        let ages = entries.requested.iter().map(|(_, entry)| (input.age)(entry));
+        let age = if saving_begun { Duration::MAX } else { ages.max().unwrap_or_default() };
+        let immediate = entries.requested.iter().all(|(_, entry)| entry.grace_ms == 0);
+        due.push(DueHalt { entries: &entries.requested, zone, age, immediate });
     }
-    due.sort_by_key(|run| std::cmp::Reverse(run.age));
-    let mut orders = Vec::new();
-    for run in due {
-        let saving = saving.entry(run.zone).or_default();
-        let waits = f64::from(*saving) >= times.halts_a_zone && run.age < times.halt_spread();
-        if waits && !run.at_once {
+    due.sort_by_key(|due_halt| std::cmp::Reverse(due_halt.age));
+    let mut commands = Vec::new();
+    for due_halt in due {
+        let saving = saving.entry(due_halt.zone).or_default();
+        let waits = f64::from(*saving) >= times.halts_a_zone && due_halt.age < times.halt_spread();
+        if waits && !due_halt.immediate {
             continue;
         }
-        *saving += u32::from(!run.at_once);
-        orders
-            .extend(run.entries.iter().filter_map(|(machine, entry)| halt(input, machine, entry)));
+        *saving += u32::from(!due_halt.immediate);
+        commands.extend(
+            due_halt.entries.iter().filter_map(|(machine, entry)| halt(input, machine, entry)),
+        );
     }
-    orders
+    commands
 }
 
 fn halt(input: &CommandInput<'_>, machine: &MachineName, entry: &Entry) -> Option<MachineCommand> {
     let grace = Duration::from_millis(entry.grace_ms);
-    order(input, machine, entry, CommandKind::Halt { grace })
+    command(input, machine, entry, CommandKind::Halt { grace })
 }
 
 /// A checkpoint that exceeds its grace period is ended; a machine that has lost its halt
 /// is sent it again.
-fn end(input: &CommandInput<'_>, machine: &MachineName, entry: &Entry) -> Option<MachineCommand> {
+fn terminate_or_repeat_halt(
+    input: &CommandInput<'_>,
+    machine: &MachineName,
+    entry: &Entry,
+) -> Option<MachineCommand> {
     let view = input.machines.get(machine)?;
     let state = view.live_run(entry.loan).map(|run| run.state);
     if (input.age)(entry) >= Duration::from_millis(entry.grace_ms) {
-        return order(input, machine, entry, CommandKind::Terminate);
+        return command(input, machine, entry, CommandKind::Terminate);
     }
-    let forgotten = view.confirmed && state != Some(RunState::Saving);
-    if forgotten { halt(input, machine, entry) } else { None }
+    let halt_lost = view.confirmed && state != Some(RunState::Saving);
+    if halt_lost { halt(input, machine, entry) } else { None }
 }
--- a/crates/stonewheel-lending/src/planner/lend.rs
+++ b/crates/stonewheel-lending/src/planner/lend.rs
@@ -1,4 +1,5 @@
-//! Claims outside their guarantees: they are lent free machines beyond the reserve.
+//! Serves the claims outside their teams' guarantees: lends them the free machines that exceed
+//! the reserve.
 
 use super::{
     model::WaitReason, plan_builder::PlanBuilder, serve::GuaranteedSupply,
@@ -10,33 +11,34 @@
     settings::Team,
 };
 
-/// Lends in admission order, or nothing while a claim inside its guarantee is short of
-/// machines.
+/// Lends machines to claims outside their guarantees, in admission order. Lends nothing while a
+/// claim inside its guarantee can't get all its machines.
 pub(super) fn lend(builder: &mut PlanBuilder<'_>, supply: GuaranteedSupply) {
     let guaranteed = builder.input.settings.guaranteed();
     let covered = builder.usable >= guaranteed;
     reclaim_uncovered(builder);
     let lends = covered && supply == GuaranteedSupply::Sufficient && builder.input.may_lend;
-    for at in 0..builder.input.claims.len() {
-        if !builder.accounts.claims[at].inside {
-            let reason = lend_to(builder, at, lends);
-            builder.set_wait_reason(at, reason);
+    for index in 0..builder.input.claims.len() {
+        if !builder.accounts.claims[index].inside {
+            let reason = lend_to_claim(builder, index, lends);
+            builder.set_wait_reason(index, reason);
         }
     }
 }
 
-/// After losses, outside work that can't be stopped may occupy machines that cover a guarantee.
-/// It keeps what it runs on; where it doesn't run it isn't started (again).
+/// Requests the reclaim of machines that are needed to cover the guarantees, but are assigned to
+/// work outside its guarantee that can't be stopped. This happens after machines were lost. Machines
+/// on which the work already runs stay assigned; on the others the work must not start.
 fn reclaim_uncovered(builder: &mut PlanBuilder<'_>) {
     let guaranteed = builder.input.settings.guaranteed();
-    for at in (0..builder.input.claims.len()).rev() {
-        let account = &builder.accounts.claims[at];
+    for index in (0..builder.input.claims.len()).rev() {
+        let account = &builder.accounts.claims[index];
         if account.inside || account.revocable {
             continue;
         }
-        let held: Vec<MachineName> = account.held.iter().cloned().collect();
-        for machine in held {
-            let uncovered = builder.usable < guaranteed + builder.accounts.outside_fixed;
+        let assigned: Vec<MachineName> = account.assigned.iter().cloned().collect();
+        for machine in assigned {
+            let uncovered = builder.usable < guaranteed + builder.accounts.outside_irrevocable;
             let Some(entry) = builder.entry(&machine).cloned().filter(|_| uncovered) else { break };
             let view = builder.input.machines.get(&machine).filter(|view| view.confirmed);
             if view.is_some_and(|view| view.live_run(entry.loan).is_none()) {
@@ -46,14 +48,14 @@
     }
 }
 
-fn lend_to(builder: &mut PlanBuilder<'_>, at: usize, lends: bool) -> WaitReason {
-    let account = &builder.accounts.claims[at];
-    let (stopping, revocable) = (!account.leaving.is_empty(), account.revocable);
-    let need = builder.missing_machines(at);
+fn lend_to_claim(builder: &mut PlanBuilder<'_>, index: usize, lends: bool) -> WaitReason {
+    let account = &builder.accounts.claims[index];
+    let (stopping, revocable) = (!account.stopping.is_empty(), account.revocable);
+    let need = builder.missing_machines(index);
     if need == 0 && !stopping {
         return WaitReason::Served;
     }
-    let gang = builder.active(at).claim.is_gang();
+    let gang = builder.active(index).claim.is_gang();
     if need == 0 || (gang && stopping) {
         return WaitReason::Stopping;
     }
@@ -63,40 +65,44 @@
     if builder.is_full() {
         return WaitReason::Queued;
     }
-    let headroom = builder.headroom(at);
-    let room =
-        if revocable { lendable(builder) } else { lendable(builder).min(uncommitted(builder)) };
-    let count = need.min(headroom).min(room);
+    let headroom = builder.headroom(index);
+    let capacity = if revocable {
+        lendable_machines(builder)
+    } else {
+        lendable_machines(builder).min(uncommitted_machines(builder))
+    };
+    let count = need.min(headroom).min(capacity);
     if gang && count < need {
-        release_incomplete_gang(builder, at);
+        release_incomplete_gang(builder, index);
     }
     if count == 0 || (gang && count < need) {
-        let ceiling = headroom < need && (gang || headroom == 0);
-        return if ceiling { WaitReason::AtCeiling } else { WaitReason::NoFreeMachine };
+        let at_ceiling = headroom < need && (gang || headroom == 0);
+        return if at_ceiling { WaitReason::AtCeiling } else { WaitReason::NoFreeMachine };
     }
     for _ in 0..count {
-        give(builder, at, revocable);
+        lend_machine(builder, index, revocable);
     }
     if count < need { WaitReason::NoFreeMachine } else { WaitReason::Served }
 }
 
-/// Free machines beyond those that are kept for teams whose load may rise.
-fn lendable(builder: &PlanBuilder<'_>) -> u32 {
+/// Returns the number of free machines beyond those reserved for teams whose demand may rise.
+fn lendable_machines(builder: &PlanBuilder<'_>) -> u32 {
     let reserve: u32 = builder.input.reserve.values().sum();
     (builder.free.len() as u32).saturating_sub(reserve)
 }
 
-/// Machines beyond all guarantees that no outside work holds which can't be stopped.
-/// Only these may be given to such work: everything else covers a guarantee.
-fn uncommitted(builder: &PlanBuilder<'_>) -> u32 {
+/// Returns the number of usable machines that neither cover a guarantee nor run work outside its
+/// guarantee that can't be stopped. Only these may be granted to irrevocable work outside its
+/// guarantee, since they could not be reclaimed for a claim inside its guarantee.
+fn uncommitted_machines(builder: &PlanBuilder<'_>) -> u32 {
     let guaranteed = builder.input.settings.guaranteed();
-    builder.usable.saturating_sub(guaranteed + builder.accounts.outside_fixed)
+    builder.usable.saturating_sub(guaranteed + builder.accounts.outside_irrevocable)
 }
 
-fn give(builder: &mut PlanBuilder<'_>, at: usize, revocable: bool) {
-    // From the last machine on: claims inside their guarantees take the first ones.
+fn lend_machine(builder: &mut PlanBuilder<'_>, index: usize, revocable: bool) {
+    // Lends from the end of the set: claims inside their guarantees take from the front.
     let Some(machine) = builder.free.pop_last() else { return };
-    let active = builder.active(at);
+    let active = builder.active(index);
     let (team, id) = (active.claim.team.clone(), active.id.clone());
     let loan = builder.next_loan();
     let entry = if revocable {
@@ -108,14 +114,16 @@
     builder.set(&machine, Some(entry));
 }
 
-/// The team whose guarantee lacks the most machines that are neither held nor lent in
-/// its name; none if all are covered by others.
+/// Returns the team with the largest uncovered part of its guarantee: machines that are neither
+/// assigned to the team's claims inside the guarantee nor lent on its behalf. None if all
+/// guarantees are covered.
 fn lender(builder: &PlanBuilder<'_>) -> Option<TeamName> {
     let teams = builder.input.settings.teams.iter();
-    let lacking = |(name, team): (&TeamName, &Team)| {
+    let uncovered_guarantee = |(name, team): (&TeamName, &Team)| {
         let covered = builder.accounts.covered(name);
         (team.guarantee.saturating_sub(covered), name.clone())
     };
-    let most = teams.map(lacking).max_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)))?;
-    (most.0 > 0).then_some(most.1)
+    let largest =
+        teams.map(uncovered_guarantee).max_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)))?;
+    (largest.0 > 0).then_some(largest.1)
 }
--- a/crates/stonewheel-lending/src/planner/mod.rs
+++ b/crates/stonewheel-lending/src/planner/mod.rs
@@ -1,8 +1,8 @@
-//! The planner: what changes in the ledger next. It is pure, from claims, ledger and observations.
+//! The planner: a pure function from claims, ledger and observations to the next ledger changes.
 //!
-//! One plan settles what is over, then serves claims inside their guarantees, and lends
-//! what is left. It may be repeated at any time: what it can't finish now is
-//! continued by the next one.
+//! A plan first applies the observations (ended runs, lost machines), then serves the claims inside
+//! their guarantees, and lends the remaining machines. Planning may be repeated at any time: the
+//! next plan continues whatever one plan could not complete.
 
 mod lend;
 mod model;
@@ -14,11 +14,11 @@
 pub use model::{MachineView, Plan, PlannerInput, WaitReason};
 use plan_builder::PlanBuilder;
 
-/// Makes a plan.
+/// Computes the ledger changes and the wait reason of every claim.
 pub fn plan(input: &PlannerInput<'_>) -> Plan {
     let mut builder = PlanBuilder::new(input);
-    let done = settle::finished(input);
-    settle::settle(&mut builder, &done);
+    let done = settle::completed_claims(input);
+    settle::apply_observations(&mut builder, &done);
     let supply = serve::serve(&mut builder);
     lend::lend(&mut builder, supply);
     builder.build(done)
--- a/crates/stonewheel-lending/src/planner/model.rs
+++ b/crates/stonewheel-lending/src/planner/model.rs
@@ -1,4 +1,4 @@
-//! The input of the planner, and the plan.
+//! Input and output types of the planner.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -10,44 +10,47 @@
     settings::LendingSettings,
 };
 
-/// What is known of a machine.
+/// The holder's view of a machine, from its latest report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineView {
-    /// Its zone.
+    /// The zone that the machine is in.
     pub zone: u8,
-    /// Its present session.
+    /// The current session of the machine; commands for another session are rejected.
     pub session: u64,
-    /// It has sent a heartbeat lately.
+    /// Whether a heartbeat arrived within the last few probe intervals.
     pub reachable: bool,
-    /// Its latest report answers the holder's own token, so it refuses earlier holders.
+    /// Whether the latest report confirms the fencing token of this holder. From then on the machine
+    /// rejects commands of earlier holders.
     pub confirmed: bool,
-    /// It will be taken back.
+    /// Whether the machine is about to be taken out of service.
     pub leaving: bool,
-    /// It failed a start a short while ago, and gets no loans until later.
+    /// Whether the machine is quarantined: it failed to start a run and gets no loans until the
+    /// quarantine ends.
     pub quarantined: bool,
-    /// The latest run on it.
+    /// The latest run on the machine.
     pub run: Option<RunReport>,
 }
 
 impl MachineView {
-    /// Whether it counts as capacity: it is reachable and is not leaving.
+    /// Whether the machine counts as capacity: it is reachable and not leaving.
     pub fn usable(&self) -> bool {
         self.reachable && !self.leaving
     }
 
-    /// Whether a report proves that a loan's work is gone, and can't start again.
+    /// Whether the report proves that the work of a loan has ended on this machine and can't start
+    /// again.
     pub fn proves_gone(&self, loan: LoanId) -> bool {
         let Some(run) = self.run.as_ref().filter(|_| self.confirmed) else { return false };
         run.loan > loan || (run.loan == loan && matches!(run.state, RunState::Ended(_)))
     }
 
-    /// The run of a loan, unless it has ended.
+    /// Returns the run of a loan, unless it has ended.
     pub fn live_run(&self, loan: LoanId) -> Option<&RunReport> {
         let ended = |run: &&RunReport| matches!(run.state, RunState::Ended(_));
         self.run.as_ref().filter(|run| run.loan == loan).filter(|run| !ended(run))
     }
 
-    /// How the run of a loan ended, if it did.
+    /// Returns how the run of a loan ended, or none if it has not ended.
     pub(super) fn exit(&self, loan: LoanId) -> Option<Exit> {
         match self.run.as_ref().filter(|run| run.loan == loan)?.state {
             RunState::Ended(exit) => Some(exit),
@@ -56,66 +59,67 @@
     }
 }
 
-/// What a plan is made from.
+/// Everything that a plan is computed from.
 #[derive(Clone, Copy)]
 pub struct PlannerInput<'a> {
     /// The operators' settings.
     pub settings: &'a LendingSettings,
     /// Active claims, in admission order.
     pub claims: &'a [ActiveClaim],
-    /// The ledger as committed.
+    /// The ledger, as last committed to the state service.
     pub ledger: &'a Ledger,
-    /// All machines that were ever reported and are not gone.
+    /// All machines that have been reported and are not known to be gone.
     pub machines: &'a BTreeMap<MachineName, MachineView>,
-    /// Machines that are certainly gone.
+    /// Machines that are known to be gone, together with everything that ran on them.
     pub gone: &'a BTreeSet<MachineName>,
-    /// Loans for which this holder sent a halt.
+    /// Loans whose work this holder has sent a halt command to.
     pub halted: &'a HashSet<LoanId>,
-    /// Free machines to keep for each team.
+    /// The number of free machines to reserve for each team.
     pub reserve: &'a BTreeMap<TeamName, u32>,
-    /// Whether machines may be lent anew: not right after a takeover.
+    /// Whether new loans may be made. False for some time after a takeover.
     pub may_lend: bool,
     /// The holder's fencing token.
     pub epoch: u64,
-    /// The number of its next loan.
+    /// The number of this holder's next loan.
     pub next_number: u64,
-    /// Changes after which a plan begins nothing new.
+    /// The number of changes at which a plan stops serving further claims.
     pub max_changes: usize,
 }
 
-/// Why a claim doesn't have all its machines.
+/// Why a claim doesn't have all its machines, or that it has them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// It has them.
+    /// The claim has all its machines.
     Served,
-    /// Machines are being reclaimed for it.
+    /// Machines are being reclaimed for the claim.
     Reclaiming {
-        /// How many.
+        /// The number of machines being reclaimed.
         machines: u32,
     },
-    /// Its own earlier work has not left all its machines yet.
+    /// Earlier work of the same claim is still stopping on some of its machines.
     Stopping,
-    /// Its team uses all that it may.
+    /// The team uses as many machines as its ceiling allows.
     AtCeiling,
-    /// It is outside its team's guarantee, and nothing is free for it.
+    /// The claim is outside its team's guarantee, and there is no free machine for it.
     NoFreeMachine,
-    /// It is inside its guarantee, but the fleet has too few machines for all of these.
+    /// The claim is inside its team's guarantee, but the fleet has too few machines for all such
+    /// claims.
     InsufficientCapacity,
-    /// Nothing is lent anew: guarantees can't all be covered, or the holder just began.
+    /// No new loans are made: not all guarantees can be covered, or the holder took over recently.
     NotLending,
-    /// Enough was changed at once; it is next.
+    /// The plan already has the maximum number of changes; a later plan serves the claim.
     Queued,
 }
 
-/// What changes next.
+/// The result of planning.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Changes of the ledger.
+    /// The changes to write to the ledger.
     pub transitions: Vec<Transition>,
     /// Batch claims whose work is complete.
     pub done: Vec<ClaimId>,
-    /// Why each claim waits.
+    /// The wait reason of each claim.
     pub reasons: BTreeMap<ClaimId, WaitReason>,
-    /// The number of the next loan.
+    /// The number of the holder's next loan after this plan.
     pub next_number: u64,
 }
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -1,5 +1,6 @@
-//! What has ended: releases on proof of termination, machines that are gone, work that is
-//! to stop, and requests without a claimant.
+//! Applies the observations to the plan: releases machines whose work has provably ended, drops
+//! machines that are gone, stops broken runs, and removes or withdraws reclaims that are no longer
+//! needed.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +14,9 @@
     ledger::{ChangeReason, Entry, LoanState},
 };
 
-/// Batch claims whose work is complete: if one of a gang's machines is done, all are.
-pub(super) fn finished(input: &PlannerInput<'_>) -> Vec<ClaimId> {
+/// Returns the batch claims whose work is complete. If one machine of a gang reports completion, the
+/// whole gang is complete.
+pub(super) fn completed_claims(input: &PlannerInput<'_>) -> Vec<ClaimId> {
     let mut done = BTreeSet::new();
     for (machine, entry) in input.ledger.entries() {
         let exit = input.machines.get(machine).and_then(|view| view.exit(entry.loan));
@@ -25,27 +27,27 @@
     done.into_iter().collect()
 }
 
-/// Plans what follows from the reports alone, machine by machine and claim by claim.
-pub(super) fn settle(builder: &mut PlanBuilder<'_>, done: &[ClaimId]) {
+/// Plans the changes that follow from the reports alone, for each machine and then for each claim.
+pub(super) fn apply_observations(builder: &mut PlanBuilder<'_>, done: &[ClaimId]) {
     let entries = builder.input.ledger.entries();
     for (machine, entry) in entries {
-        settle_machine(builder, machine, entry);
+        apply_machine_report(builder, machine, entry);
     }
-    for at in 0..builder.input.claims.len() {
-        let is_done = done.contains(&builder.active(at).id);
-        stop_broken_run(builder, at, is_done);
-        release_excess_claimants(builder, at, is_done);
+    for index in 0..builder.input.claims.len() {
+        let is_done = done.contains(&builder.active(index).id);
+        stop_broken_run(builder, index, is_done);
+        release_excess_claimants(builder, index, is_done);
     }
 }
 
-fn settle_machine(builder: &mut PlanBuilder<'_>, machine: &MachineName, entry: &Entry) {
+fn apply_machine_report(builder: &mut PlanBuilder<'_>, machine: &MachineName, entry: &Entry) {
     if builder.input.gone.contains(machine) {
         builder.set(machine, None);
         return;
     }
     let view = builder.input.machines.get(machine);
     if entry.state == LoanState::Released {
-        settle_released(builder, machine, entry, view);
+        grant_or_free(builder, machine, entry, view);
     } else if view.is_some_and(|view| view.proves_gone(entry.loan)) {
         builder.change(machine, entry.release(ChangeReason::Ended));
     } else if entry.may_run() && builder.accounts.index_of(&entry.claim).is_none() {
@@ -59,18 +61,19 @@
     }
 }
 
-/// A gang that can't have all its machines now holds none: they may serve other claims.
-pub(super) fn release_incomplete_gang(builder: &mut PlanBuilder<'_>, at: usize) {
-    let held = builder.accounts.claims[at].held.clone();
-    for machine in held {
+/// Stops a gang that can't get all its machines now, so that the machines assigned to it can serve
+/// other claims.
+pub(super) fn release_incomplete_gang(builder: &mut PlanBuilder<'_>, index: usize) {
+    let assigned = builder.accounts.claims[index].assigned.clone();
+    for machine in assigned {
         if let Some(entry) = builder.entry(&machine).cloned() {
             builder.change(&machine, entry.request(None, 0, ChangeReason::Incomplete));
         }
     }
 }
 
-/// Grants what is released to its claimant, or makes it available.
-fn settle_released(
+/// Grants a released machine to its claimant, or makes the machine available.
+fn grant_or_free(
     builder: &mut PlanBuilder<'_>,
     machine: &MachineName,
     entry: &Entry,
@@ -78,9 +81,9 @@
 ) {
     let claimant = entry.claimant.as_ref().and_then(|claimant| builder.accounts.index_of(claimant));
     let usable = view.is_some_and(|view| view.usable() && !view.quarantined);
-    match claimant.filter(|at| usable && builder.accounts.claims[*at].inside) {
-        Some(at) => {
-            let active = builder.active(at);
+    match claimant.filter(|index| usable && builder.accounts.claims[*index].inside) {
+        Some(index) => {
+            let active = builder.active(index);
             let loan = builder.next_loan();
             let (team, id) = (active.claim.team.clone(), active.id.clone());
             builder.change(machine, entry.grant_to_claimant(loan, team, id));
@@ -89,29 +92,31 @@
     }
 }
 
-/// A batch run that lost a machine, or is about to, stops whole; a replica on a machine
-/// that leaves stops there.
-fn stop_broken_run(builder: &mut PlanBuilder<'_>, at: usize, is_done: bool) {
+/// Stops a batch run on all its machines if it has lost one or a machine is leaving. A serving
+/// replica stops only on the machine that leaves.
+fn stop_broken_run(builder: &mut PlanBuilder<'_>, index: usize, is_done: bool) {
     if is_done {
         return;
     }
-    let claim = &builder.active(at).claim;
-    let (gang, revocable) = (claim.is_gang(), builder.accounts.claims[at].revocable);
-    let account = builder.accounts.claims[at].clone();
-    let leaves = |machine: &MachineName| {
+    let claim = &builder.active(index).claim;
+    let (gang, revocable) = (claim.is_gang(), builder.accounts.claims[index].revocable);
+    let account = builder.accounts.claims[index].clone();
+    let is_leaving = |machine: &MachineName| {
         builder.input.machines.get(machine).is_some_and(|view| view.leaving)
     };
-    let leaving: Vec<MachineName> = account.held.iter().filter(|m| leaves(m)).cloned().collect();
-    let partly = !account.leaving.is_empty() && !account.held.is_empty();
-    let lost = started(builder, &account.held) && (account.held.len() as u32) < claim.machines;
+    let leaving: Vec<MachineName> =
+        account.assigned.iter().filter(|m| is_leaving(m)).cloned().collect();
+    let partially_stopped = !account.stopping.is_empty() && !account.assigned.is_empty();
+    let lost =
+        any_started(builder, &account.assigned) && (account.assigned.len() as u32) < claim.machines;
     let grace_ms = if revocable { grace_ms(builder) } else { 0 };
-    let (stopped, reason) = if gang && (partly || lost || !leaving.is_empty()) {
-        (account.held.iter().cloned().collect(), ChangeReason::Incomplete)
+    let (stopped, reason) = if gang && (partially_stopped || lost || !leaving.is_empty()) {
+        (account.assigned.iter().cloned().collect(), ChangeReason::Incomplete)
     } else {
         (leaving, ChangeReason::Leaving)
     };
-    // Work that never saves has nothing to gain from an early stop.
-    if gang && !revocable && reason == ChangeReason::Incomplete && !partly && !lost {
+    // Work that doesn't save in time loses its progress either way, so an early stop has no benefit.
+    if gang && !revocable && reason == ChangeReason::Incomplete && !partially_stopped && !lost {
         return;
     }
     for machine in stopped {
@@ -121,31 +126,32 @@
     }
 }
 
-/// Whether any of these machines was ordered to start its loan: a gang whose entries are
-/// still being written has not.
-fn started(builder: &PlanBuilder<'_>, held: &BTreeSet<MachineName>) -> bool {
-    held.iter().any(|machine| {
+/// Whether any of these machines reports a live run of its loan. This tells a gang that lost a
+/// machine from one whose entries are still being written, which has not been started.
+fn any_started(builder: &PlanBuilder<'_>, assigned: &BTreeSet<MachineName>) -> bool {
+    assigned.iter().any(|machine| {
         let view = builder.input.machines.get(machine);
         let entry = builder.entry(machine);
         view.zip(entry).is_some_and(|(view, entry)| view.live_run(entry.loan).is_some())
     })
 }
 
-/// The grace period for checkpoints, in milliseconds.
+/// Returns the grace period for checkpoints, in milliseconds.
 pub(super) fn grace_ms(builder: &PlanBuilder<'_>) -> u64 {
     builder.input.settings.times.grace_period().as_millis() as u64
 }
 
-/// Removes the claimant from machines that its claim no longer needs. Whole runs whose
-/// halt has not been sent continue; the others are released for the next claimant.
-fn release_excess_claimants(builder: &mut PlanBuilder<'_>, at: usize, is_done: bool) {
-    let account = &builder.accounts.claims[at];
-    let asked = builder.active(at).claim.machines as usize;
-    let wanted = if account.inside && !is_done { asked } else { 0 };
-    let has = account.held.len() + account.leaving.len();
-    let mut excess = (has + account.coming.len()).saturating_sub(wanted.max(has));
-    let coming: Vec<MachineName> = account.coming.iter().cloned().collect();
-    for machine in coming {
+/// Removes the claimant from machines that its claim no longer needs. Complete runs whose halt has
+/// not been sent can then continue (see [`withdraw_requests`]); the other machines go to the next
+/// claimant or become available.
+fn release_excess_claimants(builder: &mut PlanBuilder<'_>, index: usize, is_done: bool) {
+    let account = &builder.accounts.claims[index];
+    let requested_machines = builder.active(index).claim.machines as usize;
+    let wanted = if account.inside && !is_done { requested_machines } else { 0 };
+    let obtained = account.assigned.len() + account.stopping.len();
+    let mut excess = (obtained + account.incoming.len()).saturating_sub(wanted.max(obtained));
+    let incoming: Vec<MachineName> = account.incoming.iter().cloned().collect();
+    for machine in incoming {
         if excess == 0 {
             return;
         }
@@ -155,26 +161,27 @@
     }
 }
 
-/// Runs whose reclaim has no claimant, or that are now inside their guarantee, continue if
-/// no halt has been sent for them.
+/// Withdraws the reclaim of complete runs that no claimant needs, or that are inside their guarantee
+/// now, if no halt has been sent to them.
 pub(super) fn withdraw_requests(builder: &mut PlanBuilder<'_>) {
-    for at in 0..builder.input.claims.len() {
-        let account = &builder.accounts.claims[at];
-        if account.leaving.is_empty() || !account.held.is_empty() || !account.revocable {
+    for index in 0..builder.input.claims.len() {
+        let account = &builder.accounts.claims[index];
+        if account.stopping.is_empty() || !account.assigned.is_empty() || !account.revocable {
             continue;
         }
         let inside = account.inside;
-        let machines: Vec<MachineName> = account.leaving.iter().cloned().collect();
+        let machines: Vec<MachineName> = account.stopping.iter().cloned().collect();
         let entries: Vec<Entry> =
             machines.iter().filter_map(|machine| builder.entry(machine).cloned()).collect();
-        let whole = entries.len() as u32 == builder.active(at).claim.machines;
+        let complete = entries.len() as u32 == builder.active(index).claim.machines;
         let needed = entries.iter().any(|entry| entry.claimant.is_some());
         let requested = entries.iter().all(|entry| {
             let last = entry.history.last().map(|change| change.reason);
             entry.state == LoanState::ReclaimRequested && last == Some(ChangeReason::Claimed)
         });
-        let untouched = machines.iter().zip(&entries).all(|(m, e)| is_untouched(builder, m, e));
-        if whole && requested && untouched && (inside || !needed) {
+        let never_halted =
+            machines.iter().zip(&entries).all(|(m, e)| runs_without_halt(builder, m, e));
+        if complete && requested && never_halted && (inside || !needed) {
             for (machine, entry) in machines.iter().zip(&entries) {
                 builder.change(machine, entry.withdraw());
             }
@@ -182,8 +189,9 @@
     }
 }
 
-/// Whether no halt has reached the machine, nor can one of a former holder any more.
-fn is_untouched(builder: &PlanBuilder<'_>, machine: &MachineName, entry: &Entry) -> bool {
+/// Whether the loan still runs and no halt can reach it: this holder has sent none, and the machine
+/// has confirmed this holder's token and so rejects halts of former holders.
+fn runs_without_halt(builder: &PlanBuilder<'_>, machine: &MachineName, entry: &Entry) -> bool {
     let Some(view) = builder.input.machines.get(machine) else { return false };
     let runs = view.live_run(entry.loan).is_some_and(|run| run.state == RunState::Running);
     view.usable() && view.confirmed && runs && !builder.input.halted.contains(&entry.loan)
--- a/crates/stonewheel-lending/src/planner/victims.rs
+++ b/crates/stonewheel-lending/src/planner/victims.rs
@@ -1,5 +1,5 @@
-//! Victim selection: which runs are preempted for a claim. Whole ones, with the least lost
-//! work.
+//! Victim selection: chooses the runs that are preempted for a claim. Runs are preempted on all their
+//! machines, those with the least lost work first.
 
 use super::plan_builder::PlanBuilder;
 use crate::{
@@ -8,159 +8,173 @@
     ledger::Entry,
 };
 
-/// Runs to stop.
+/// Runs to preempt for a claim.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct Victims {
-    /// Their claims' places.
-    pub runs: Vec<usize>,
-    /// Machines that the claim gets of them.
+    /// Indexes of the claims whose runs are preempted.
+    pub claim_indexes: Vec<usize>,
+    /// The number of machines that the claim gets from these runs.
     pub machines: u32,
 }
 
-/// A run that may be stopped.
+/// A run that may be preempted.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
-    run: usize,
+    claim_index: usize,
     machines: u32,
-    /// Seconds of work lost, a machine.
+    /// Seconds of work lost per machine.
     loss_s: f64,
 }
 
-/// Runs that may be stopped, the least lost work first. Made once a plan, and only if
-/// any claim needs one.
+/// Runs that may be preempted, those with the least lost work first. Ranked once per plan, when the
+/// first claim needs victims.
 #[derive(Debug, Default)]
 pub(super) struct Candidates(Option<Vec<Candidate>>);
 
-/// Whose runs may be taken.
+/// The teams whose runs may be chosen.
 #[derive(Clone, Copy, PartialEq)]
-enum Lenders {
-    OwnTeam,
+enum VictimScope {
+    SameTeam,
     AllTeams,
 }
 
-/// Runs chosen so far, and their machines: those of the claim's own team count against
-/// its ceiling already.
+/// Runs chosen so far, and their machines. Machines of the claim's own team count against the team's
+/// ceiling already, so they don't reduce its headroom.
 #[derive(Debug, Default)]
 struct Chosen {
     runs: Vec<Candidate>,
-    own: u32,
-    others: u32,
+    same_team: u32,
+    other_teams: u32,
 }
 
 impl Chosen {
-    /// Machines that the claim may take of these.
+    /// Returns the number of these machines that the claim may take.
     fn machines(&self, headroom: u32) -> u32 {
-        self.own + self.others.min(headroom)
+        self.same_team + self.other_teams.min(headroom)
     }
 }
 
 impl Candidates {
-    /// Runs for so many machines, of which `headroom` may come from other teams.
+    /// Chooses runs that free `needed` machines, of which at most `headroom` come from other teams.
     pub fn choose(
         &mut self,
         builder: &PlanBuilder<'_>,
-        at: usize,
-        lacking: u32,
+        claim_index: usize,
+        needed: u32,
         headroom: u32,
     ) -> Victims {
-        if lacking == 0 {
+        if needed == 0 {
             return Victims::default();
         }
         let ranked = self.0.get_or_insert_with(|| rank(builder));
-        // What was chosen for an earlier claim is leaving.
-        ranked.retain(|candidate| builder.accounts.claims[candidate.run].leaving.is_empty());
+        // Runs chosen for an earlier claim of this plan are stopping already.
+        ranked
+            .retain(|candidate| builder.accounts.claims[candidate.claim_index].stopping.is_empty());
         let mut chosen = Chosen::default();
-        // What the ceiling leaves to the team's own work comes from there.
-        let own_only = lacking.saturating_sub(headroom);
-        take(builder, at, ranked, &mut chosen, Lenders::OwnTeam, |chosen| chosen.own >= own_only);
-        let enough = |chosen: &Chosen| chosen.machines(headroom) >= lacking;
-        take(builder, at, ranked, &mut chosen, Lenders::AllTeams, enough);
-        put_back(builder, at, &mut chosen, lacking, headroom);
-        let machines = chosen.machines(headroom).min(lacking);
-        Victims { runs: chosen.runs.iter().map(|candidate| candidate.run).collect(), machines }
+        // Machines beyond the headroom can come only from the team's own runs.
+        let same_team_only = needed.saturating_sub(headroom);
+        choose_until(builder, claim_index, ranked, &mut chosen, VictimScope::SameTeam, |chosen| {
+            chosen.same_team >= same_team_only
+        });
+        let enough = |chosen: &Chosen| chosen.machines(headroom) >= needed;
+        choose_until(builder, claim_index, ranked, &mut chosen, VictimScope::AllTeams, enough);
+        drop_unneeded(builder, claim_index, &mut chosen, needed, headroom);
+        let machines = chosen.machines(headroom).min(needed);
+        Victims {
+            claim_indexes: chosen.runs.iter().map(|candidate| candidate.claim_index).collect(),
+            machines,
+        }
     }
 }
 
-fn is_own(builder: &PlanBuilder<'_>, at: usize, candidate: &Candidate) -> bool {
-    builder.active(candidate.run).claim.team == builder.active(at).claim.team
+fn is_same_team(builder: &PlanBuilder<'_>, claim_index: usize, candidate: &Candidate) -> bool {
+    builder.active(candidate.claim_index).claim.team == builder.active(claim_index).claim.team
 }
 
-/// Takes runs in their order until it is enough.
-fn take(
+/// Chooses runs in ranking order until `enough` holds.
+fn choose_until(
     builder: &PlanBuilder<'_>,
-    at: usize,
+    claim_index: usize,
     ranked: &[Candidate],
     chosen: &mut Chosen,
-    lenders: Lenders,
+    scope: VictimScope,
     enough: impl Fn(&Chosen) -> bool,
 ) {
     for candidate in ranked {
         if enough(chosen) {
             return;
         }
-        let own = is_own(builder, at, candidate);
-        let taken = chosen.runs.iter().any(|c| c.run == candidate.run);
-        if taken || (lenders == Lenders::OwnTeam && !own) {
+        let same_team = is_same_team(builder, claim_index, candidate);
+        let already_chosen = chosen.runs.iter().any(|c| c.claim_index == candidate.claim_index);
+        if already_chosen || (scope == VictimScope::SameTeam && !same_team) {
             continue;
         }
-        let count = if own { &mut chosen.own } else { &mut chosen.others };
+        let count = if same_team { &mut chosen.same_team } else { &mut chosen.other_teams };
         *count += candidate.machines;
         chosen.runs.push(*candidate);
     }
 }
 
-/// Removes victims that are not needed after all, those with the most lost work first.
-fn put_back(
+/// Removes chosen runs without which the claim still gets its machines, those with the most lost work
+/// first.
+fn drop_unneeded(
     builder: &PlanBuilder<'_>,
-    at: usize,
+    claim_index: usize,
     chosen: &mut Chosen,
-    lacking: u32,
+    needed: u32,
     headroom: u32,
 ) {
-    for place in (0..chosen.runs.len()).rev() {
-        let candidate = chosen.runs[place];
-        let mut without = Chosen { runs: Vec::new(), own: chosen.own, others: chosen.others };
-        let own = is_own(builder, at, &candidate);
-        let count = if own { &mut without.own } else { &mut without.others };
+    for position in (0..chosen.runs.len()).rev() {
+        let candidate = chosen.runs[position];
+        let mut without = Chosen {
+            runs: Vec::new(),
+            same_team: chosen.same_team,
+            other_teams: chosen.other_teams,
+        };
+        let same_team = is_same_team(builder, claim_index, &candidate);
+        let count = if same_team { &mut without.same_team } else { &mut without.other_teams };
         *count -= candidate.machines;
-        if without.machines(headroom) >= lacking {
-            (chosen.own, chosen.others) = (without.own, without.others);
-            chosen.runs.remove(place);
+        if without.machines(headroom) >= needed {
+            (chosen.same_team, chosen.other_teams) = (without.same_team, without.other_teams);
+            chosen.runs.remove(position);
         }
     }
 }
 
-/// Work outside its guarantee that saves in time and that nothing has stopped yet.
+/// Ranks the runs outside their guarantees that save within the grace period and are not stopping.
 fn rank(builder: &PlanBuilder<'_>) -> Vec<Candidate> {
     let accounts = builder.accounts.claims.iter().enumerate();
     let lendable = accounts.filter(|(_, account)| {
-        let runs = account.leaving.is_empty() && !account.held.is_empty();
+        let runs = account.stopping.is_empty() && !account.assigned.is_empty();
         !account.inside && account.revocable && runs
     });
-    let candidate = |(run, account): (usize, &ClaimAccount)| Candidate {
-        run,
-        machines: account.held.len() as u32,
-        loss_s: loss_s(builder, run, account.held.iter()),
+    let candidate = |(index, account): (usize, &ClaimAccount)| Candidate {
+        claim_index: index,
+        machines: account.assigned.len() as u32,
+        loss_s: loss_s(builder, index, account.assigned.iter()),
     };
     let mut ranked: Vec<Candidate> = lendable.map(candidate).collect();
-    // Of equals the latest in admission order.
-    ranked.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s).then(b.run.cmp(&a.run)));
+    // Among equal losses, the claim that was admitted last comes first.
+    ranked.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s).then(b.claim_index.cmp(&a.claim_index)));
     ranked
 }
 
-/// Seconds of work that stopping a run loses, a machine. An unreachable machine
-/// may take its lease's time to be proven empty, and counts as that.
+/// Returns the seconds of work lost per machine if a run is preempted: the largest loss among its
+/// machines. For an unreachable machine the loss is the worker lease, since it may take that long to
+/// prove that the machine is empty.
 fn loss_s<'a>(
     builder: &PlanBuilder<'_>,
-    run: usize,
+    claim_index: usize,
     machines: impl Iterator<Item = &'a MachineName>,
 ) -> f64 {
-    let Work::Batch { save_s, .. } = builder.active(run).claim.work else { return f64::INFINITY };
-    let each = |machine: &MachineName| {
+    let Work::Batch { save_s, .. } = builder.active(claim_index).claim.work else {
+        return f64::INFINITY;
+    };
+    let machine_loss = |machine: &MachineName| {
         let Some(entry) = builder.entry(machine) else { return 0.0 };
         machine_loss_s(builder, machine, entry, save_s)
     };
-    machines.map(each).fold(0.0, f64::max)
+    machines.map(machine_loss).fold(0.0, f64::max)
 }
 
 fn machine_loss_s(
@@ -175,7 +189,7 @@
     };
     match view.live_run(entry.loan) {
         None => 0.0,
-        // It joins the checkpoint that is under way.
+        // The halt waits for the periodic checkpoint in progress.
         Some(run) if run.checkpointing => save_s,
         Some(run) => run.unsaved_s.min(save_s),
     }
--- a/crates/stonewheel-lending/src/reserve.rs
+++ b/crates/stonewheel-lending/src/reserve.rs
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct TimedValue {
-    at: Instant,
+    recorded_at: Instant,
     value: u32,
 }
 
@@ -25,8 +25,8 @@
         while self.values.back().is_some_and(|last| last.value <= value) {
             self.values.pop_back();
         }
-        self.values.push_back(TimedValue { at: now, value });
-        while self.values.front().is_some_and(|first| first.at + window < now) {
+        self.values.push_back(TimedValue { recorded_at: now, value });
+        while self.values.front().is_some_and(|first| first.recorded_at + window < now) {
             self.values.pop_front();
         }
     }
@@ -39,49 +39,53 @@
 /// The recent demand of one team inside its guarantee.
 #[derive(Clone, Debug, Default)]
 struct Demand {
-    now: u32,
+    current: u32,
     peak: WindowMaximum,
     /// The least demand within a reclaim's time, as the largest of `u32::MAX - demand`.
-    least: WindowMaximum,
+    lowest: WindowMaximum,
     rise: WindowMaximum,
 }
 
 /// Estimates how many machines each team may soon claim.
 #[derive(Clone, Debug)]
 pub(crate) struct Reserve {
-    settle: Duration,
-    memory: Duration,
-    reclaim: Duration,
+    release_retention: Duration,
+    rise_retention: Duration,
+    reclaim_time: Duration,
     teams: BTreeMap<TeamName, Demand>,
 }
 
 impl Reserve {
     /// `settle`: how long what was given back is kept. `memory`: how long a rise is
     /// remembered. `reclaim`: the time of a reclaim, within which a rise counts.
-    pub fn new(settle: Duration, memory: Duration, reclaim: Duration) -> Self {
-        Self { settle, memory, reclaim, teams: BTreeMap::new() }
+    pub fn new(
+        release_retention: Duration,
+        rise_retention: Duration,
+        reclaim_time: Duration,
+    ) -> Self {
+        Self { release_retention, rise_retention, reclaim_time, teams: BTreeMap::new() }
     }
 
     /// Records what each team's claims inside its guarantee ask for now.
     pub fn record(&mut self, now: Instant, entitlements: &BTreeMap<TeamName, u32>) {
-        for (team, asked) in entitlements {
+        for (team, machines) in entitlements {
             let demand = self.teams.entry(team.clone()).or_default();
-            demand.now = *asked;
-            demand.peak.record(now, *asked, self.settle);
-            demand.least.record(now, u32::MAX - asked, self.reclaim);
-            let least = u32::MAX - demand.least.get();
-            demand.rise.record(now, asked.saturating_sub(least), self.memory);
+            demand.current = *machines;
+            demand.peak.record(now, *machines, self.release_retention);
+            demand.lowest.record(now, u32::MAX - machines, self.reclaim_time);
+            let lowest = u32::MAX - demand.lowest.get();
+            demand.rise.record(now, machines.saturating_sub(lowest), self.rise_retention);
         }
     }
 
     /// Machines to keep free for each team.
     pub fn machines(&self, teams: &Teams) -> BTreeMap<TeamName, u32> {
-        let kept = |(name, demand): (&TeamName, &Demand)| {
-            let lacking = teams.get(name)?.guarantee.saturating_sub(demand.now);
-            let fell = demand.peak.get().saturating_sub(demand.now);
-            Some((name.clone(), fell.max(demand.rise.get()).min(lacking)))
+        let reserved = |(name, demand): (&TeamName, &Demand)| {
+            let below_guarantee = teams.get(name)?.guarantee.saturating_sub(demand.current);
+            let fell = demand.peak.get().saturating_sub(demand.current);
+            Some((name.clone(), fell.max(demand.rise.get()).min(below_guarantee)))
         };
-        self.teams.iter().filter_map(kept).collect()
+        self.teams.iter().filter_map(reserved).collect()
     }
 }
 
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -89,7 +89,7 @@
 
 fn general(mut section: Section<'_>) -> Result<Times, FieldError> {
     /// Machines that a ledger is laid out for by default.
-    const USUAL_MACHINES: f64 = 4000.0;
+    const DEFAULT_EXPECTED_MACHINES: f64 = 4000.0;
     let look_s = section.number("look_s", Some(1.0))?;
     let grace_s = section.number("grace_s", None)?;
     let settle_s = section.number("settle_s", Some(grace_s * 4.0))?;
@@ -103,7 +103,7 @@
         settle_s,
         memory_s: section.number("memory_s", Some(settle_s * 10.0))?,
         machine_gpus: section.number("machine_gpus", None)?,
-        expected_machines: section.number("expected_machines", Some(USUAL_MACHINES))?,
+        expected_machines: section.number("expected_machines", Some(DEFAULT_EXPECTED_MACHINES))?,
     };
     section.end()?;
     times.validate().map_err(|report| SECTIONS.validation_error(report.iter().next()))?;
@@ -125,9 +125,9 @@
 }
 
 fn machines(section: &mut Section<'_>, key: &str) -> Result<u32, FieldError> {
-    const MOST: f64 = 1e6;
+    const MAX_MACHINES: f64 = 1e6;
     let number = section.number(key, None)?;
-    if !(0.0..=MOST).contains(&number) || number.fract() != 0.0 {
+    if !(0.0..=MAX_MACHINES).contains(&number) || number.fract() != 0.0 {
         return Err(section.error(key, "must be a whole number of at least 0"));
     }
     Ok(number as u32)
--- a/crates/stonewheel-lending/src/unmanaged.rs
+++ b/crates/stonewheel-lending/src/unmanaged.rs
@@ -12,11 +12,11 @@
 
 /// The ids of claims for unmanaged workloads begin with this, and no other: names don't
 /// have a colon. Ids are stored with the loans that are reclaimed, so it never changes.
-const PREFIX: &str = "resident:";
+const UNMANAGED_CLAIM_PREFIX: &str = "resident:";
 
 /// Whether a claim represents an unmanaged workload.
 pub(crate) fn is_unmanaged(claim: &str) -> bool {
-    claim.starts_with(PREFIX)
+    claim.starts_with(UNMANAGED_CLAIM_PREFIX)
 }
 
 /// Claims and ledger for a plan, unmanaged workloads included.
@@ -46,7 +46,7 @@
         }
         let loan = LoanId { epoch, number: combined.next_number };
         combined.next_number += 1;
-        let claim = ClaimId::from(format!("{PREFIX}{machine}"));
+        let claim = ClaimId::from(format!("{UNMANAGED_CLAIM_PREFIX}{machine}"));
         view.run = Some(RunReport {
             loan,
             claim: claim.clone(),
@@ -59,10 +59,10 @@
         combined.ledger.set(&Transition { machine: machine.clone(), after: Some(entry) });
         // Of a team without a guarantee, so outside of one, and after all others.
         let (team, work) = (TeamName::from(""), workload.work);
-        let claim_of_it = Claim { team, machines: 1, gpus: 0.0, work };
+        let unmanaged_claim = Claim { team, machines: 1, gpus: 0.0, work };
         combined.claims.push(ActiveClaim {
             id: claim,
-            claim: claim_of_it,
+            claim: unmanaged_claim,
             admission_order: u64::MAX,
         });
     }
