--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: machines that a piece of work asks for.
+//! Claims: requests of workloads for machines.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -11,84 +11,85 @@
     settings::LendingSettings,
 };
 
-/// Claims' keys begin with this.
+/// Returns the prefix of the keys of all claims.
 pub fn claims_prefix() -> String {
     format!("{PREFIX}c/")
 }
 
-/// The key of a claim's record.
+/// Returns the key of a claim's record.
 pub fn claim_key(id: &str) -> String {
     format!("{PREFIX}c/{id}")
 }
 
-/// What the machines of a claim are to do.
+/// The kind of work that runs on the machines of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
-    /// Replicas that run until the claim is withdrawn, independent of each other.
+    /// Replicas that run independently of each other until the claim is withdrawn.
     Serving,
-    /// Work that runs on all its machines at once, to its end.
+    /// A gang that runs on all machines of the claim at the same time until its work is complete.
     Batch {
-        /// Seconds between checkpoints; 0: it never saves.
+        /// Seconds between checkpoints; 0 if the work never saves checkpoints.
         checkpoint_s: f64,
-        /// Seconds that it takes to save when it is stopped.
+        /// Seconds that saving a checkpoint takes when the work is stopped.
         save_s: f64,
     },
 }
 
-/// What a piece of work asks for. Its record is never rewritten.
+/// A request of a workload for machines. It never changes once it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Claim {
     /// The team whose guarantee and ceiling apply.
     pub team: TeamName,
-    /// How many machines it asks for.
+    /// The number of machines.
     pub machines: u32,
-    /// GPUs that it takes of each machine.
+    /// GPUs that the work uses on each machine.
     pub gpus: f64,
-    /// What it does there.
+    /// The kind of work.
     pub work: Work,
 }
 
-/// Why a claim is refused; nothing is changed.
+/// Why a claim is rejected. A rejected claim is not stored.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ClaimError {
-    /// The id fits no key.
+    /// The id can't be used in a key.
     #[error("{0}")]
     Id(String),
-    /// No such team.
+    /// The team is not in the settings.
     #[error("team: {0:?} is not known")]
     UnknownTeam(String),
-    /// Zero machines.
+    /// The claim requests no machines.
     #[error("machines: must be at least 1")]
     NoMachines,
-    /// More than the team may ever use.
+    /// The claim requests more machines than the team may use.
     #[error("machines: {asked} are more than the ceiling of {ceiling} of team {team}")]
     AboveCeiling {
-        /// What was asked for.
+        /// The number of machines requested.
         asked: u32,
-        /// What the team may use.
+        /// The ceiling of the team.
         ceiling: u32,
         /// The team.
         team: String,
     },
-    /// It fits no machine.
+    /// The work fits no machine.
     #[error("gpus: {asked} fit no machine of {most}")]
     FitsNoMachine {
-        /// What was asked for, a machine.
+        /// GPUs requested on each machine.
         asked: f64,
-        /// What a machine has.
+        /// GPUs of a machine.
         most: f64,
     },
-    /// Not an amount.
+    /// The named field is negative or not finite.
     #[error("{0}: must be a finite number of at least 0")]
     NotAnAmount(&'static str),
-    /// Another claim has this id.
+    /// A different claim has this id.
     #[error("id: another claim has it")]
     IdTaken,
 }
 
 impl Claim {
-    /// Whether its machines can be taken back within the grace period.
+    /// Whether machines can be reclaimed from the work within the grace period: it saves checkpoints,
+    /// and saving takes no longer than the grace period.
     pub fn is_revocable(&self, grace_s: f64) -> bool {
         match self.work {
             Work::Serving => false,
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Whether it runs on all its machines or on none.
+    /// Whether the work runs on all its machines or on none.
     pub fn is_gang(&self) -> bool {
         matches!(self.work, Work::Batch { .. })
     }
 
-    /// Checks a claim against the settings.
+    /// Checks the claim and its id against the settings.
     pub fn check(&self, id: &str, settings: &LendingSettings) -> Result<(), ClaimError> {
         check_name("id", id).map_err(|error| ClaimError::Id(error.to_string()))?;
         if id.len() > MAX_NAME_BYTES {
@@ -137,27 +138,28 @@
     }
 }
 
-/// A claim's record. What was over is kept for a while, so that a submission that is
-/// carried out late or repeated doesn't bring it back.
+/// The stored record of a claim. The record of a finished claim is kept for some time, so that a late
+/// or repeated submission doesn't make the claim active again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRecord {
-    /// It asks for its machines.
+    /// The claim requests its machines.
     #[serde(rename = "stands")]
     Active(Claim),
-    /// Whoever asked needs them no more.
+    /// The claim was withdrawn by its submitter.
     Withdrawn,
-    /// Its work is complete.
+    /// The work of the claim is complete.
     Done,
 }
 
-/// An active claim, and its place in admission order.
+/// An active claim and its position in admission order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveClaim {
-    /// Its id.
+    /// The id of the claim.
     pub id: ClaimId,
-    /// What it asks for.
+    /// The request.
     pub claim: Claim,
-    /// The revision at which it was accepted: claims are served in this order.
+    /// The revision of the state service at which the claim was stored. Claims are served in this
+    /// order.
     pub admission_order: u64,
 }
--- a/crates/stonewheel-lending/src/holder.rs
+++ b/crates/stonewheel-lending/src/holder.rs
@@ -1,4 +1,5 @@
-//! Who lends and reclaims: one controller at a time, with a fencing token that rises.
+//! The record of the ledger's holder: the one controller that lends and reclaims machines, with a
+//! fencing token that increases with each holder.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -7,21 +8,21 @@
 /// The key of the holder's record.
 pub const HOLDER_KEY: &str = "sp/l/holder";
 
-/// The holder's record.
+/// The record of the ledger's holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct HolderRecord {
-    /// The fencing token: it rises with each holder.
+    /// The fencing token, which increases with each holder.
     pub epoch: u64,
-    /// Who holds; none: it was given back.
+    /// The controller that holds the ledger. None: its holder released the ledger.
     #[schemars(with = "serde_json::Value")]
     pub owner: Option<Owner>,
-    /// How many shards the ledger has. It is settled by the first holder.
+    /// The number of shards of the ledger. The first holder sets it, and it never changes.
     pub shards: u32,
 }
 
 impl HolderRecord {
-    /// The record of the next holder. `shards`: what the first one lays the ledger out
-    /// for.
+    /// Returns the record of the next holder. `shards`: the number of shards if this is the first
+    /// holder.
     pub fn successor(before: Option<&Self>, owner: Owner, shards: u32) -> Self {
         let owner = Some(owner);
         match before {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The record once its holder gave it back.
+    /// Returns the record after its holder released the ledger.
     pub fn released_by_holder(&self) -> Self {
         Self { owner: None, ..self.clone() }
     }
--- a/crates/stonewheel-lending/src/ledger/entry.rs
+++ b/crates/stonewheel-lending/src/ledger/entry.rs
@@ -1,4 +1,4 @@
-//! One machine's loan: its states, and the only changes between them.
+//! The ledger entry of one machine: the loan, its states, and the allowed transitions between them.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -6,33 +6,33 @@
 
 use crate::names::{ClaimId, TeamName};
 
-/// Changes that an entry remembers: the latest.
+/// The number of latest changes that an entry keeps in its history.
 pub const MAX_HISTORY_CHANGES: usize = 3;
 
-/// A loan, unique for ever. Later ones are greater.
+/// The id of a loan. It is never reused, and later loans have greater ids.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct LoanId {
     /// The fencing token of the holder that made it.
     pub epoch: u64,
-    /// Its number among that holder's loans.
+    /// The number of the loan among that holder's loans.
     pub number: u64,
 }
 
-/// What a machine is lent for, and how far its reclaim is.
+/// The state of a loan, and of the reclaim of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum LoanState {
-    /// Revocable work outside its team's guarantee may run.
+    /// Revocable work of a claim outside its team's guarantee may run.
     Lent,
-    /// The borrower's work may run.
+    /// The borrower's work may run; the machine covers no other team's guarantee.
     Granted,
-    /// The work is to be halted.
+    /// The work is to be halted; no acknowledgement of the halt is recorded yet.
     ReclaimRequested,
-    /// The halt was acknowledged; the work saves.
+    /// The halt was acknowledged; the work saves a checkpoint.
     Checkpointing,
-    /// There is proof that the work is gone.
+    /// A report proves that the work has ended.
     Released,
 }
 
@@ -41,73 +41,73 @@
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "Why")]
 pub enum ChangeReason {
-    /// A machine was free.
+    /// The machine was free.
     Free,
-    /// A claim inside its guarantee asked for it.
+    /// A claim inside its team's guarantee needs the machine.
     Claimed,
     /// The borrower's claim was withdrawn or is done.
     Over,
-    /// A machine of the gang is missing or leaves.
+    /// A machine of the gang is missing or about to be taken out of service.
     Incomplete,
-    /// The machine will be taken back.
+    /// The machine is about to be taken out of service.
     Leaving,
-    /// Too few machines are left to cover all guarantees without it.
+    /// Too few machines are left to cover all guarantees without this machine.
     Uncovered,
-    /// The claimant needs it no more.
+    /// The reclaim was withdrawn: no claimant needs the machine any more.
     Withdrawn,
     /// The halt was acknowledged.
     Halted,
-    /// A report shows that the run ended.
+    /// A report proves that the run has ended.
     Ended,
-    /// The machine's return was answered.
+    /// The return of the machine was confirmed.
     Retired,
 }
 
-/// One change.
+/// A change of an entry's state, as kept in its history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Change {
-    /// The state that it led to.
+    /// The state after the change.
     pub state: LoanState,
-    /// Why.
+    /// Why the state changed.
     #[serde(rename = "why")]
     pub reason: ChangeReason,
 }
 
-/// A machine's entry in the ledger. A machine without one is available.
+/// A machine's entry in the ledger. A machine without an entry is available.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Entry {
-    /// The loan.
+    /// The id of the current loan.
     pub loan: LoanId,
-    /// How far it is.
+    /// The state of the loan.
     pub state: LoanState,
     /// The team whose guarantee the machine covers, if it covers one.
     pub lender: Option<TeamName>,
-    /// The team that it is lent or granted to.
+    /// The team that the machine is lent or granted to.
     pub borrower: TeamName,
-    /// The claim whose work may run there.
+    /// The claim whose work may run on the machine.
     pub claim: ClaimId,
-    /// The claim that it is reclaimed for.
+    /// The claim that the machine is reclaimed for.
     pub claimant: Option<ClaimId>,
-    /// Whether it was granted when the reclaim was requested.
+    /// Whether the machine was granted, not lent, before its reclaim was requested.
     pub granted: bool,
-    /// Milliseconds that the work has to save when it is halted.
+    /// The time that the work has to save a checkpoint when it is halted, in milliseconds.
     pub grace_ms: u64,
-    /// Why it is as it is, the latest last.
+    /// The latest changes of the entry, in order.
     pub history: Vec<Change>,
 }
 
-/// A change that the entry's state doesn't allow.
+/// A transition that the entry's state doesn't allow.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("a loan can't go from {from:?} to {to:?}")]
 pub struct TransitionError {
-    /// The state that it has.
+    /// The current state.
     pub from: LoanState,
-    /// The state that was asked for.
+    /// The requested state.
     pub to: LoanState,
 }
 
 impl Entry {
-    /// A machine that was available, lent to work outside a guarantee.
+    /// Creates the entry of an available machine that is lent to work outside its guarantee.
     pub fn lend(
         loan: LoanId,
         lender: Option<TeamName>,
@@ -121,7 +121,7 @@
         Self { state: LoanState::Lent, granted, history, ..entry }
     }
 
-    /// A machine that was available, granted.
+    /// Creates the entry of an available machine that is granted.
     pub fn grant(loan: LoanId, borrower: TeamName, claim: ClaimId, reason: ChangeReason) -> Self {
         Self {
             loan,
@@ -136,12 +136,12 @@
         }
     }
 
-    /// Whether its work may run, as far as the ledger goes.
+    /// Whether the ledger allows the claim's work to run on the machine.
     pub fn may_run(&self) -> bool {
         matches!(self.state, LoanState::Lent | LoanState::Granted)
     }
 
-    /// Whether its work may still be there, and is to go.
+    /// Whether the claim's work has to stop and may not have ended yet.
     pub fn is_stopping(&self) -> bool {
         matches!(self.state, LoanState::ReclaimRequested | LoanState::Checkpointing)
     }
@@ -163,7 +163,7 @@
         Ok(next)
     }
 
-    /// The work is to be stopped, for a claimant if there is one.
+    /// Returns the entry with a reclaim requested, for the claimant if there is one.
     pub fn request(
         &self,
         claimant: Option<ClaimId>,
@@ -174,7 +174,7 @@
         Ok(Self { claimant, grace_ms, ..next })
     }
 
-    /// The request is taken back; no halt has left for it.
+    /// Returns the entry with the reclaim request withdrawn. Only valid if no halt was sent for it.
     pub fn withdraw(&self) -> Result<Self, TransitionError> {
         let allowed = self.state == LoanState::ReclaimRequested;
         let back = if self.granted { LoanState::Granted } else { LoanState::Lent };
@@ -182,23 +182,24 @@
         Ok(Self { claimant: None, grace_ms: 0, ..next })
     }
 
-    /// The halt was acknowledged.
+    /// Returns the entry once the halt was acknowledged.
     pub fn halted(&self) -> Result<Self, TransitionError> {
         let allowed = self.state == LoanState::ReclaimRequested;
         self.change(LoanState::Checkpointing, ChangeReason::Halted, allowed)
     }
 
-    /// There is proof that the work is gone.
+    /// Returns the entry once a report proves that the work has ended.
     pub fn release(&self, reason: ChangeReason) -> Result<Self, TransitionError> {
         self.change(LoanState::Released, reason, self.state != LoanState::Released)
     }
 
-    /// Nobody waits for it any more.
+    /// Returns the entry without a claimant.
     pub fn without_claimant(&self) -> Self {
         Self { claimant: None, ..self.clone() }
     }
 
-    /// Granted to its claimant, once the work before is gone.
+    /// Returns the entry granted to its claimant under a new loan. Only a released machine can be
+    /// granted: the work of the loan before has ended.
     pub fn grant_to_claimant(
         &self,
         loan: LoanId,
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -1,4 +1,5 @@
-//! Who has which machine: entries in shards, as last read, and the writes for changes.
+//! The ledger: which claim each machine is lent or granted to. Holds the entries as last read from
+//! their shards, and prepares the writes for changes.
 
 mod entry;
 mod shard;
@@ -24,39 +25,40 @@
 #[derive(Clone, Debug, Default)]
 struct StoredShard {
     version: u64,
-    /// None: it can't be read.
+    /// None if there is no record or it can't be parsed.
     shard: Option<Arc<Shard>>,
 }
 
-/// The ledger as last read. Shards are parsed anew only when they changed.
+/// The ledger as last read. A shard is parsed again only when its version changed.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     shards: Vec<StoredShard>,
     entries: BTreeMap<MachineName, Entry>,
     unreadable: usize,
-    /// The largest value that the state service takes, in bytes.
+    /// The largest value that the state service accepts, in bytes.
     value_bytes: usize,
 }
 
-/// A transaction's part of a change of the ledger.
+/// The write of one changed shard, as part of a transaction.
 #[derive(Debug)]
 pub struct ShardWrite {
-    /// The shard's version before.
+    /// The condition that the shard still has the version that was read.
     pub condition: Condition,
-    /// The shard as it is to be.
+    /// The write of the changed shard.
     pub write: Write,
-    /// The changes that it makes.
+    /// The changes that the write contains.
     pub transitions: Vec<Transition>,
 }
 
 impl Ledger {
-    /// An empty ledger of so many shards, over values of so many bytes.
+    /// Creates an empty ledger with a number of shards. `value_bytes`: the largest value that the
+    /// state service accepts.
     pub fn new(shards: u32, value_bytes: usize) -> Self {
         let shards = vec![StoredShard::default(); shards as usize];
         Self { shards, value_bytes, ..Self::default() }
     }
 
-    /// Takes over the current records.
+    /// Updates the ledger from the current records.
     pub fn refresh(&mut self, records: &Records) {
         for number in 0..self.shards.len() {
             let key = shard_key(number as u32);
@@ -86,23 +88,24 @@
         }
     }
 
-    /// How many shards it has.
+    /// Returns the number of shards.
     pub fn shards(&self) -> u32 {
         self.shards.len() as u32
     }
 
-    /// Shards that can't be read.
+    /// Returns the number of shards that can't be parsed.
     pub fn unreadable(&self) -> usize {
         self.unreadable
     }
 
-    /// Whether a machine's shard can be read. Without it, the machine may have an entry.
+    /// Whether the shard of a machine can be read. If it can't, the machine may have an entry that is
+    /// not known here.
     pub fn can_read(&self, machine: &str) -> bool {
         let number = shard_of(machine, self.shards()) as usize;
         self.shards.get(number).is_some_and(|stored| !stored.is_unreadable())
     }
 
-    /// Whether a machine's entry can be written: its shard can be read, and has room.
+    /// Whether a machine's entry can be written: its shard can be read and has capacity for the entry.
     pub fn can_write(&self, machine: &str) -> bool {
         let stored = self.shards.get(shard_of(machine, self.shards()) as usize);
         stored.is_some_and(|stored| match &stored.shard {
@@ -111,28 +114,28 @@
         })
     }
 
-    /// A machine's entry; none: it is available, if the ledger knows it.
+    /// Returns a machine's entry. None: the machine is available, provided that its shard can be read.
     pub fn get(&self, machine: &str) -> Option<&Entry> {
         self.entries.get(machine)
     }
 
-    /// All entries, by machine.
+    /// Returns all entries, by machine.
     pub fn entries(&self) -> impl Iterator<Item = (&MachineName, &Entry)> {
         self.entries.iter()
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether the ledger has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The writes for some changes, one a shard. Changes of shards that can't be read
-    /// are left out, and so are those for which a shard has no room.
+    /// Returns the writes for a set of changes, one per shard. Leaves out changes of shards that can't
+    /// be read, and new entries for which a shard has no capacity.
     pub fn writes(&self, transitions: Vec<Transition>) -> Result<Vec<ShardWrite>, StateError> {
         let mut by_shard: BTreeMap<u32, Vec<Transition>> = BTreeMap::new();
         for transition in
@@ -155,18 +158,18 @@
             if shard.set(&change, self.value_bytes) {
                 transitions.push(change);
             } else {
-                error!(shard = number, machine = %change.machine, "ledger shard full");
+                error!(shard = number, machine = %change.machine, "ledger shard full, change not written");
             }
         }
         let key = shard_key(number);
         let condition = Condition { key: key.clone(), version: stored.version };
-        // An empty shard goes: a version of 0 is as good as an empty one.
+        // An empty shard is deleted: a missing record (version 0) is read as an empty shard.
         let write =
             if shard.entries.is_empty() { Write::Delete { key } } else { put(key, &shard, None)? };
         Ok(ShardWrite { condition, write, transitions })
     }
 
-    /// Makes a change in memory only, for plans and simulations.
+    /// Applies a change in memory only, for plans and simulations.
     pub fn set(&mut self, transition: &Transition) {
         match &transition.after {
             Some(entry) => self.entries.insert(transition.machine.clone(), entry.clone()),
--- a/crates/stonewheel-lending/src/ledger/shard.rs
+++ b/crates/stonewheel-lending/src/ledger/shard.rs
@@ -1,4 +1,4 @@
-//! A part of the ledger that is one value of the state service.
+//! Shards of the ledger. Each shard is stored as one value of the state service.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,25 @@
 use super::{entry::Entry, transition::Transition};
 use crate::names::{MAX_NAME_BYTES, MachineName, PREFIX};
 
-/// What the longest entry takes, its machine's name included.
+/// The size of the longest possible entry in bytes, including its machine's name.
 pub const MAX_ENTRY_BYTES: usize = 512;
-/// Shards are laid out for this part of the entries that fit, since names don't spread
-/// evenly over them.
+/// The number of entries that fit into a shard is divided by this when shards are counted, since the
+/// hash doesn't spread machine names evenly over the shards.
 const FILL_DIVISOR: usize = 3;
 
-/// The key of a shard.
+/// Returns the key of a shard.
 pub fn shard_key(number: u32) -> String {
     format!("{PREFIX}s/{number}")
 }
 
-/// How many shards so many machines take, over values of so many bytes.
+/// Returns the number of shards for a number of machines, if a value has at most `value_bytes`.
 pub fn shard_count(machines: u32, value_bytes: usize) -> u32 {
     let entries_per_shard = (value_bytes / MAX_ENTRY_BYTES / FILL_DIVISOR).max(1);
     machines.div_ceil(entries_per_shard as u32).max(1)
 }
 
-/// The shard that a machine belongs to, by a hash of its name that never changes
-/// (FNV-1a).
+/// Returns the shard that a machine belongs to. The hash of its name (FNV-1a) must never change,
+/// since stored shards depend on it.
 pub fn shard_of(machine: &str, shards: u32) -> u32 {
     const OFFSET: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
@@ -34,22 +34,22 @@
     machine.bytes().fold(OFFSET, mix) % shards.max(1)
 }
 
-/// Some machines' entries.
+/// The entries of the machines whose names hash to this shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Shard {
-    /// The entries.
+    /// The entries, by machine.
     pub entries: BTreeMap<MachineName, Entry>,
 }
 
 impl Shard {
-    /// Whether a machine has an entry here, or room for one.
+    /// Whether the shard has an entry of a machine, or capacity to add one.
     pub fn has_capacity_for(&self, machine: &str, value_bytes: usize) -> bool {
         let fits = (self.entries.len() + 1) * MAX_ENTRY_BYTES <= value_bytes;
         self.entries.contains_key(machine) || (fits && machine.len() <= MAX_NAME_BYTES)
     }
 
-    /// Makes a change; false if there is no room for it. What only changes an entry
-    /// always has room: it was counted at its longest.
+    /// Applies a change. Returns false if the shard has no capacity for a new entry. Changing an
+    /// existing entry always succeeds, since every entry is counted at its maximum size.
     pub fn set(&mut self, change: &Transition, value_bytes: usize) -> bool {
         let Some(entry) = &change.after else {
             self.entries.remove(&change.machine);
--- a/crates/stonewheel-lending/src/ledger/transition.rs
+++ b/crates/stonewheel-lending/src/ledger/transition.rs
@@ -1,13 +1,13 @@
-//! A change of one machine's entry.
+//! Changes of single ledger entries.
 
 use super::entry::Entry;
 use crate::names::MachineName;
 
-/// One machine's change.
+/// A change of one machine's ledger entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
     /// The machine.
     pub machine: MachineName,
-    /// Its entry afterwards; none: it is available.
+    /// The machine's entry after the change. None: the machine is available.
     pub after: Option<Entry>,
 }
