--- a/crates/stonewheel-lending/src/accounts.rs
+++ b/crates/stonewheel-lending/src/accounts.rs
@@ -1,4 +1,5 @@
-//! Who is inside a guarantee, and what teams hold.
+//! Accounting: which claims are inside their teams' guarantees, and which machines claims and teams
+//! use.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,8 +9,9 @@
     settings::{LendingSettings, Teams},
 };
 
-/// Which claims are inside their teams' guarantees: those that fit together with all
-/// before them, the ones that can't be stopped first, each group in admission order.
+/// Returns, for each claim, whether it is inside its team's guarantee. A claim is inside if it fits
+/// into the guarantee together with all claims of the team that are counted before it. Irrevocable
+/// claims are counted first, then revocable ones, each group in admission order.
 pub fn inside_guarantee(claims: &[ActiveClaim], teams: &Teams, grace_s: f64) -> Vec<bool> {
     let mut inside = vec![false; claims.len()];
     let mut asked: HashMap<&TeamName, u32> = HashMap::new();
@@ -27,7 +29,7 @@
     inside
 }
 
-/// What each team's claims inside its guarantee ask for.
+/// Returns the number of machines that each team's claims inside its guarantee request.
 pub fn entitlements(
     claims: &[ActiveClaim],
     inside: &[bool],
@@ -41,49 +43,50 @@
     entitlements
 }
 
-/// What one claim has.
+/// The machines of one claim.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimAccount {
-    /// It is inside its team's guarantee.
+    /// Whether the claim is inside its team's guarantee.
     pub inside: bool,
-    /// Its machines can be taken back within the grace period.
+    /// Whether the claim's machines can be reclaimed within the grace period.
     pub revocable: bool,
-    /// Machines that its work may run on.
+    /// Machines that the claim's work may run on.
     pub assigned: BTreeSet<MachineName>,
-    /// Machines that its work is to leave.
+    /// Machines on which the claim's work has to stop.
     pub stopping: BTreeSet<MachineName>,
-    /// Machines that are reclaimed for it.
+    /// Machines that are being reclaimed for the claim.
     pub incoming: BTreeSet<MachineName>,
 }
 
-/// What a team uses, in machines.
+/// The numbers of machines that a team uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamAccount {
-    /// Machines that its work may be on, those included that it is to leave.
+    /// Machines that the team's work may be on, including those on which it has to stop.
     pub used: u32,
-    /// Machines that are reclaimed for it from other teams' work.
+    /// Machines that are being reclaimed for the team from work of other teams, or are released for it.
     pub incoming: u32,
-    /// Machines that claims inside its guarantee may run on.
+    /// Machines that the team's claims inside its guarantee may run on.
     pub inside_assigned: u32,
 }
 
-/// All that is held, kept up to date as entries change.
+/// The accounts of all claims and teams, updated whenever a ledger entry changes.
 #[derive(Clone, Debug)]
 pub struct Accounts {
-    /// One for each claim, in admission order.
+    /// The accounts of all active claims, in admission order.
     pub claims: Vec<ClaimAccount>,
     index_by_claim: HashMap<ClaimId, usize>,
     claim_teams: Vec<TeamName>,
     teams: HashMap<TeamName, TeamAccount>,
-    /// Machines that outside work which can't be stopped runs on, or still leaves.
+    /// The number of machines with irrevocable work outside its guarantee, including machines on which
+    /// that work is still stopping.
     pub outside_irrevocable: u32,
-    /// Machines that work is to leave, and that have no claimant.
+    /// Machines on which work has to stop and that have no claimant.
     pub unclaimed: BTreeSet<MachineName>,
-    /// Machines that are lent, by the team in whose name.
+    /// Lent machines, by the team whose guarantee they cover.
     pub lent: HashMap<TeamName, BTreeSet<MachineName>>,
 }
 
-/// Whether an entry is added to the accounts or taken out.
+/// Whether an entry is added to the accounts or removed.
 #[derive(Clone, Copy, PartialEq)]
 enum Sign {
     Add,
@@ -91,7 +94,7 @@
 }
 
 impl Accounts {
-    /// Nothing held yet.
+    /// Creates the accounts of a set of claims, without any machines.
     pub fn new(claims: &[ActiveClaim], settings: &LendingSettings) -> Self {
         let grace_s = settings.times.grace_s;
         let inside = inside_guarantee(claims, &settings.teams, grace_s);
@@ -115,28 +118,29 @@
         }
     }
 
-    /// The index of an active claim.
+    /// Returns the index of an active claim.
     pub fn index_of(&self, claim: &str) -> Option<usize> {
         self.index_by_claim.get(claim).copied()
     }
 
-    /// What a team uses.
+    /// Returns the account of a team.
     pub fn team(&self, team: &TeamName) -> TeamAccount {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Machines of a team's guarantee that it holds, or that are lent in its name.
+    /// Returns how many machines of a team's guarantee are assigned to its claims inside the guarantee
+    /// or lent on its behalf.
     pub fn covered(&self, team: &TeamName) -> u32 {
         let lent = self.lent.get(team).map_or(0, BTreeSet::len);
         self.team(team).inside_assigned + lent as u32
     }
 
-    /// Takes an entry into account.
+    /// Adds a ledger entry to the accounts.
     pub fn add(&mut self, machine: &MachineName, entry: &Entry) {
         self.account(machine, entry, Sign::Add);
     }
 
-    /// Takes an entry out again.
+    /// Removes a ledger entry from the accounts.
     pub fn remove(&mut self, machine: &MachineName, entry: &Entry) {
         self.account(machine, entry, Sign::Remove);
     }
@@ -155,7 +159,7 @@
         if let Some(index) = borrower {
             let account = &mut self.claims[index];
             let (inside, irrevocable) = (account.inside, !account.inside && !account.revocable);
-            // Until it is proven gone it covers nobody's guarantee.
+            // Until the work has provably ended, the machine covers no guarantee.
             if irrevocable && entry.state != LoanState::Released {
                 update_count(&mut self.outside_irrevocable, sign);
             }
@@ -178,7 +182,7 @@
             return;
         };
         update_set(&mut self.claims[index].incoming, machine, sign);
-        // A machine that the same team leaves is counted already.
+        // A machine on which work of the same team is stopping is already counted as used.
         let team = &self.claim_teams[index];
         if entry.state == LoanState::Released || *team != entry.borrower {
             update_count(&mut self.teams.entry(team.clone()).or_default().incoming, sign);
--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -1,4 +1,4 @@
-//! The bound on how long a claim inside its guarantee waits.
+//! The bounds on how long a claim inside its guarantee waits for its machines.
 
 use stonewheel_coordination::ADOPTION_PARTS;
 use tokio::time::Duration;
@@ -8,28 +8,30 @@
     settings::{LendingSettings, Times},
 };
 
-/// The claim, the halt's acknowledgement, the end and the release are each seen within
-/// one probe interval.
+/// Probe intervals per reclaim: the claim, the acknowledgement of the halt, the end of the work and
+/// the release are each observed within one.
 const PROBES_PER_RECLAIM: u32 = 4;
-/// Request, release and grant are each one write.
+/// Writes per reclaim: request, release and grant.
 const WRITES_PER_RECLAIM: u32 = 3;
-/// Halt, end, return of a silent machine, start.
+/// Calls to machines per reclaim: halt, termination, return of an unreachable machine, and start.
 const COMMANDS_PER_RECLAIM: u32 = 4;
-/// The new holder probes once before it adopts and once before it plans.
+/// Probe intervals per takeover: the new holder probes once before it acquires the ledger and once before
+/// it plans.
 const PROBES_PER_TAKEOVER: u32 = 2;
 
 /// Bounds that follow from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// From a claim inside its guarantee to its start, while one holder acts.
+    /// The time from the submission of a claim inside its guarantee to the start of its work, while
+    /// the holder of the ledger doesn't change.
     pub reclaim: Duration,
-    /// How much longer it takes when the holder is lost meanwhile.
+    /// The additional time if the holder fails meanwhile.
     pub takeover: Duration,
 }
 
 impl Bounds {
-    /// `session`: how long a controller's session outlives its last renewal.
-    /// `state_timeout`: how long a write may take. `members`: controllers.
+    /// Computes the bounds. `session`: how long a controller's session stays valid after its last
+    /// renewal. `state_timeout`: how long a write may take. `members`: the number of controllers.
     pub fn of(
         settings: &LendingSettings,
         session: Duration,
--- a/crates/stonewheel-lending/src/claims.rs
+++ b/crates/stonewheel-lending/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims as last read. A record is parsed again only when its version changed.
+//! All claims as last read. A record is parsed again only when its version changed.
 
 use std::collections::HashMap;
 
@@ -6,15 +6,15 @@
 
 use crate::claim::{ActiveClaim, ClaimId, ClaimRecord, claim_key, claims_prefix};
 
-/// A claim's record, and its version.
+/// A claim's record and its version.
 #[derive(Clone, Debug)]
 struct StoredClaim {
     version: u64,
-    /// None: it can't be read, and counts as no claim.
+    /// None if the record can't be parsed; it is then ignored.
     record: Option<ClaimRecord>,
 }
 
-/// All claims.
+/// All stored claims.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Claims {
     stored: HashMap<ClaimId, StoredClaim>,
@@ -22,7 +22,7 @@
 }
 
 impl Claims {
-    /// Takes over the current records.
+    /// Updates the claims from the current records.
     pub fn refresh(&mut self, records: &Records) {
         let prefix = claims_prefix();
         let mut changed = false;
@@ -45,6 +45,7 @@
         }
     }
 
+    /// Rebuilds the list of active claims in admission order.
     fn sort_active(&mut self) {
         let active = self.stored.iter().filter_map(|(id, stored)| match &stored.record {
             Some(ClaimRecord::Active(claim)) => Some(ActiveClaim {
@@ -58,18 +59,18 @@
         self.active.sort_by(|a, b| (a.admission_order, &a.id).cmp(&(b.admission_order, &b.id)));
     }
 
-    /// Active claims, in admission order.
+    /// Returns the active claims in admission order.
     pub fn active(&self) -> &[ActiveClaim] {
         &self.active
     }
 
-    /// A claim's record and version.
+    /// Returns a claim's record and version.
     pub fn get(&self, id: &str) -> Option<(&ClaimRecord, u64)> {
         let stored = self.stored.get(id)?;
         stored.record.as_ref().map(|record| (record, stored.version))
     }
 
-    /// Finished claims, with their records' versions.
+    /// Returns the finished claims with the versions of their records.
     pub fn finished(&self) -> impl Iterator<Item = (&ClaimId, u64)> {
         let is_finished = |stored: &&StoredClaim| {
             matches!(stored.record, Some(ClaimRecord::Withdrawn | ClaimRecord::Done))
--- a/crates/stonewheel-lending/src/counters.rs
+++ b/crates/stonewheel-lending/src/counters.rs
@@ -1,31 +1,31 @@
-//! What a holder did, for operators.
+//! Counters of lending for operators, logged when it stops.
 
 use std::{fmt, time::Duration};
 
-/// Counts since this process began.
+/// Counters since the start of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Machines lent to work outside a guarantee.
+    /// Machines lent to work outside its guarantee.
     pub loans: u64,
     /// Machines granted.
     pub grants: u64,
-    /// Machines whose reclaim was requested.
+    /// Reclaims requested.
     pub reclaims: u64,
-    /// Requests that were withdrawn before the halt left.
+    /// Reclaim requests withdrawn before a halt was sent.
     pub withdrawn: u64,
-    /// Saves that took too long and were ended.
+    /// Checkpoints terminated because they exceeded the grace period.
     pub ended_saves: u64,
-    /// Seconds of work that were lost, each machine's counted.
+    /// Seconds of work lost by terminated checkpoints, summed over machines.
     pub lost_work_s: f64,
-    /// Silent machines that were returned.
+    /// Machines returned after their worker lease expired.
     pub retired: u64,
-    /// Orders that were refused since a higher token was seen.
+    /// Calls rejected as stale: the machine had seen a higher fencing token or was in another session.
     pub stale_commands: u64,
-    /// Transactions of the ledger.
+    /// Transactions committed to the ledger.
     pub transactions: u64,
-    /// Claims inside their guarantee that got all their machines.
+    /// Claims that waited and then got all their machines.
     pub served: u64,
-    /// The longest time that one of these waited here.
+    /// The longest wait of these claims, as observed by this controller.
     pub longest_wait: Duration,
 }
 
--- a/crates/stonewheel-lending/src/executor.rs
+++ b/crates/stonewheel-lending/src/executor.rs
@@ -1,5 +1,5 @@
-//! The executor of one controller: it takes claims, and while it holds the ledger plans,
-//! writes and gives orders.
+//! The executor of one controller. It accepts claims; while it holds the ledger it also plans, writes
+//! the planned changes, and sends commands to machines.
 
 mod api;
 mod calls;
--- a/crates/stonewheel-lending/src/executor/api.rs
+++ b/crates/stonewheel-lending/src/executor/api.rs
@@ -1,4 +1,4 @@
-//! Types of the executor's interface.
+//! Types of the executor's public interface.
 
 use thiserror::Error;
 
@@ -7,29 +7,29 @@
     planner::{Plan, PlannerInput, WaitReason},
 };
 
-/// A planner: [`crate::planner::plan`], or in tests a broken one that a checker must
-/// find.
+/// A planner function: [`crate::planner::plan`], or in tests a faulty one that the checker must
+/// detect.
 pub type Planner = fn(&PlannerInput<'_>) -> Plan;
 
-/// Sizes of the state service's values and transactions.
+/// Limits of the state service.
 #[derive(Clone, Copy, Debug)]
 pub struct StateLimits {
-    /// Bytes of the largest value.
+    /// The size of the largest value, in bytes.
     pub value_bytes: usize,
-    /// Writes of the largest transaction.
+    /// The number of writes of the largest transaction.
     pub transaction_writes: usize,
 }
 
-/// Why a claim was not taken, or not withdrawn.
+/// Why the submission or withdrawal of a claim failed.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ClaimFailure {
-    /// It was refused, and nothing was changed.
+    /// The call was rejected, and nothing was changed.
     #[error(transparent)]
     Refused(#[from] ClaimError),
-    /// The state service can't be reached: certainly not carried out.
+    /// The state service can't be reached. The call was not carried out.
     #[error("the state service can't be reached")]
     Unavailable,
-    /// It may have been carried out: the same call again tells.
+    /// The call may have been carried out. Repeating the same call is safe and finds out.
     #[error("the outcome is not known; ask again")]
     Unknown,
 }
@@ -37,15 +37,15 @@
 /// The status of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStatus {
-    /// It was never submitted, or its record was deleted.
+    /// The claim was never submitted, or its record was deleted.
     Unknown,
-    /// It was withdrawn, or its work is complete.
+    /// The claim was withdrawn, or its work is complete.
     Finished,
-    /// This controller doesn't hold the ledger; the named one does, if any.
+    /// The claim is active, but this controller doesn't hold the ledger.
     HeldElsewhere {
-        /// The holder.
+        /// The controller that holds the ledger, if any.
         holder: Option<String>,
     },
-    /// What it waits for, by the last plan. None: not planned yet.
+    /// The claim is active, with its wait reason by the last plan. None: not planned yet.
     Active(Option<WaitReason>),
 }
--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -1,5 +1,5 @@
-//! The holder's calls to machines: orders that follow from the ledger as committed, and
-//! the return of silent machines.
+//! The holder's calls to machines: commands that follow from the committed ledger, and the return of
+//! machines whose worker lease expired.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -17,7 +17,7 @@
     planner::MachineView,
 };
 
-/// Calls to machines that are under way at once.
+/// The maximum number of calls to machines in flight at the same time.
 const MAX_CONCURRENT_CALLS: usize = 64;
 
 /// A call to a machine.
@@ -26,16 +26,17 @@
     Retire,
 }
 
-/// Calls to make now.
+/// The calls that are due.
 #[derive(Default)]
 struct DueCalls {
     commands: Vec<MachineCommand>,
-    /// Machines to return.
+    /// Machines whose worker lease expired, which are returned.
     expired: Vec<MachineName>,
 }
 
 impl Executor {
-    /// Sends the orders that are due, and returns silent machines.
+    /// Sends the commands that are due, and returns machines whose worker lease expired. Each call
+    /// runs as a task of its own.
     pub(super) fn send_due_commands(self: &Arc<Self>, epoch: u64, stop: &CancellationToken) {
         let due = self.due_calls(epoch, Instant::now());
         for command in due.commands {
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Calls to make now. Each is recorded as in flight, and halts as sent.
+    /// Returns the calls that are due, if this controller still holds the ledger under `epoch`.
+    /// Records each call as in flight, and each halt as sent.
     fn due_calls(&self, epoch: u64, now: Instant) -> DueCalls {
         let mut claims = lock(&self.claims);
         let mut guard = lock(&self.term);
@@ -84,6 +86,7 @@
         DueCalls { commands: allowed, expired }
     }
 
+    /// Counts a termination command that interrupts a checkpoint after its grace period.
     fn count_terminated_checkpoint(
         &self,
         term: &Term,
@@ -102,7 +105,7 @@
         let mut counters = lock(&self.counters);
         counters.ended_saves += 1;
         counters.lost_work_s += run.map_or(0.0, |run| run.unsaved_s);
-        warn!(machine = %command.machine, loan = ?command.loan, "grace period exceeded, ending checkpoint");
+        warn!(machine = %command.machine, loan = ?command.loan, "grace period exceeded, terminating checkpoint");
     }
 
     fn spawn_call(
@@ -127,7 +130,8 @@
             Call::Command(command) => timeout(call_timeout, self.host.send(command)).await,
             Call::Retire => timeout(call_timeout, self.host.retire(&machine, epoch)).await,
         };
-        let outcome = outcome.unwrap_or_else(|_| Err(HostError::Unavailable("no answer".into())));
+        let outcome =
+            outcome.unwrap_or_else(|_| Err(HostError::Unavailable("call timed out".into())));
         if let Err(error) = &outcome {
             debug!(%machine, %error, "machine call failed");
         }
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -1,4 +1,4 @@
-//! Planning, and writing what was planned.
+//! Planning, and writing the planned changes.
 
 use std::collections::HashMap;
 
@@ -19,22 +19,23 @@
     unmanaged::{combine, is_unmanaged},
 };
 
-/// Changes that one plan begins, in transactions.
+/// The number of transactions that the changes of one plan may fill.
 const TRANSACTIONS_PER_PLAN: usize = 4;
-/// What a transaction may take, in bytes; the rest of its limit is for conditions.
+/// The maximum size of the values in one transaction, in bytes. The rest of the state service's limit
+/// is left for conditions.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
-/// Records of finished claims are kept for so many reclaim bounds.
+/// How long records of finished claims are kept, as a multiple of the reclaim bound.
 const FINISHED_RETENTION_BOUNDS: u32 = 4;
 
-/// What is to be written.
+/// A plan, with the writes that carry it out.
 pub(super) struct PreparedPlan {
     plan: Plan,
     writes: Vec<ShardWrite>,
 }
 
 impl Executor {
-    /// Plans from the records and an observation. None: another term has begun, or a write
-    /// can't be encoded.
+    /// Plans from the current records and an observation. Returns none if the term of `epoch` has
+    /// ended or a write can't be encoded.
     pub(super) fn plan(&self, epoch: u64, observation: Observation) -> Option<PreparedPlan> {
         let now = Instant::now();
         let mut claims = lock(&self.claims);
@@ -71,13 +72,14 @@
             max_changes: self.limits.transaction_writes * TRANSACTIONS_PER_PLAN,
         });
         plan.reasons.retain(|claim, _| !is_unmanaged(claim));
-        // Numbers of a plan that is not written are not used again.
+        // Loan numbers of a plan that isn't written are never reused.
         term.next_number = plan.next_number;
         let writes = term.ledger.writes(plan.transitions.clone()).ok()?;
         self.record_wait_reasons(term, &plan, now);
         Some(PreparedPlan { plan, writes })
     }
 
+    /// Records the wait reason of each claim, and logs and counts changes.
     fn record_wait_reasons(&self, term: &mut Term, plan: &Plan, now: Instant) {
         let mut counters = lock(&self.counters);
         for (claim, reason) in &plan.reasons {
@@ -97,7 +99,8 @@
         term.reasons.clone_from(&plan.reasons);
     }
 
-    /// Writes what was planned. False if anything failed, or may have.
+    /// Writes the planned changes and deletes the records of claims that finished long ago. Returns
+    /// false if a write failed or its outcome is unknown.
     pub(super) async fn execute(
         &self,
         holder: &Versioned<HolderRecord>,
@@ -127,6 +130,7 @@
         self.delete_finished(&fence).await
     }
 
+    /// Marks a claim as done.
     async fn record_completion(&self, fence: &Condition, claim: &ClaimId) -> bool {
         let key = claim_key(claim);
         let version = match lock(&self.claims).get(claim) {
@@ -142,8 +146,8 @@
         written.is_ok()
     }
 
-    /// Deletes the records of claims that finished long ago: no submission of them can still
-    /// be in flight.
+    /// Deletes the records of claims that finished long ago. After that time no submission of them can
+    /// still be in flight that would make them active again.
     async fn delete_finished(&self, fence: &Condition) -> bool {
         let now = Instant::now();
         let retention = self.bounds.reclaim * FINISHED_RETENTION_BOUNDS;
@@ -175,6 +179,7 @@
         self.commit(conditions, writes).await.is_ok()
     }
 
+    /// Counts and logs the changes of a committed transaction.
     fn record_transitions(&self, transitions: &[Transition]) {
         let mut counters = lock(&self.counters);
         counters.transactions += 1;
@@ -196,7 +201,7 @@
     }
 }
 
-/// Divides writes into transactions.
+/// Divides writes into transactions of at most `max_writes` writes and [`MAX_TRANSACTION_BYTES`] bytes.
 fn batches(writes: Vec<ShardWrite>, max_writes: usize) -> Vec<Vec<ShardWrite>> {
     let mut batches: Vec<Vec<ShardWrite>> = Vec::new();
     let mut bytes = 0;
--- a/crates/stonewheel-lending/src/executor/state.rs
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -1,5 +1,5 @@
-//! The executor's state: what one controller keeps always, and what only the holder of the
-//! ledger keeps.
+//! The executor's state: the part that every controller keeps, and the part that only the holder of
+//! the ledger keeps for its term.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -19,7 +19,7 @@
     reserve::Reserve, settings::LendingSettings,
 };
 
-/// What the holder of the ledger keeps for its term.
+/// The state of the ledger's holder during its term.
 pub(super) struct Term {
     pub(super) ledger: Ledger,
     pub(super) observations: MachineObservations,
@@ -48,7 +48,7 @@
 }
 
 impl Executor {
-    /// Over the coordination of this controller and the machines' host.
+    /// Creates the executor of this controller. `seed` initializes the random numbers for back-off.
     pub fn new(
         coordinator: Arc<Coordinator>,
         settings: LendingSettings,
@@ -76,17 +76,17 @@
         })
     }
 
-    /// How long claims inside their guarantees wait at the most.
+    /// Returns the bounds on how long claims inside their guarantees wait.
     pub fn bounds(&self) -> Bounds {
         self.bounds
     }
 
-    /// What this controller did so far.
+    /// Returns the counters of this controller.
     pub fn counters(&self) -> Counters {
         *lock(&self.counters)
     }
 
-    /// Whether this process held the ledger at its last step.
+    /// Whether this controller held the ledger at its last step.
     pub fn holds_ledger(&self) -> bool {
         lock(&self.term).is_some()
     }
@@ -108,7 +108,8 @@
         self.coordinator.commit_under(session, conditions, writes).await
     }
 
-    /// Begins a term with empty state: that of an earlier one is not valid any more.
+    /// Begins a term with empty state, unless the term of this holder record has begun already. The
+    /// state of an earlier term is no longer valid.
     pub(super) fn begin_term(&self, holder: &HolderRecord) {
         let mut term = lock(&self.term);
         if term.as_ref().is_some_and(|term| term.observations.epoch == holder.epoch) {
@@ -129,7 +130,8 @@
             waits_since: HashMap::new(),
             finished_since: HashMap::new(),
             next_number: 1,
-            // What serving gave back to the former holder is not known here.
+            // This holder doesn't know which machines serving released under the former holder, so
+            // it lends nothing until their retention has passed.
             may_lend_from: if is_first { now } else { now + times.release_retention() },
         });
     }
--- a/crates/stonewheel-lending/src/executor/submission.rs
+++ b/crates/stonewheel-lending/src/executor/submission.rs
@@ -13,22 +13,22 @@
     holder::{HOLDER_KEY, HolderRecord},
 };
 
-/// How often a write of a claim with an unknown outcome is tried.
+/// The maximum number of attempts to write a claim while the outcome is unknown.
 const MAX_CLAIM_ATTEMPTS: u32 = 8;
 
-/// What a claim's record leaves to do.
+/// Whether a claim's record has to be written.
 enum ClaimWrite {
-    /// Nothing: its record says this already.
+    /// The stored record already has the requested content or a later state.
     AlreadyWritten,
-    /// It is to be written.
+    /// The record has to be written.
     Needed,
-    /// Another claim has the id.
+    /// A different claim has the id.
     IdTaken,
 }
 
 impl Executor {
-    /// Submits a claim. When this returns it is durable, whatever becomes of this
-    /// controller. A repeat has no further effect.
+    /// Submits a claim. Once this returns `Ok`, the claim is durable even if this controller fails.
+    /// Repeating the call has no further effect.
     pub async fn submit(&self, id: &str, claim: &Claim) -> Result<(), ClaimFailure> {
         claim.check(id, &self.settings)?;
         let record = ClaimRecord::Active(claim.clone());
@@ -40,7 +40,7 @@
         .await
     }
 
-    /// Withdraws a claim. A submission that is still on its way has no effect
+    /// Withdraws a claim. A submission of the same id that is still in flight has no effect
     /// afterwards.
     pub async fn withdraw(&self, id: &str) -> Result<(), ClaimFailure> {
         self.write_claim(id, &ClaimRecord::Withdrawn, |stored| match stored {
@@ -75,14 +75,14 @@
             match self.coordinator.commit(vec![condition], vec![write]).await {
                 Ok(_) => return Ok(()),
                 Err(StateError::Refused(_)) => return Err(ClaimFailure::Unavailable),
-                // It shows in the records whether it was carried out.
+                // The outcome is unknown; the refreshed records show whether the write was carried out.
                 Err(_) => self.coordinator.refresh().await,
             }
         }
         Err(ClaimFailure::Unknown)
     }
 
-    /// The status of a claim.
+    /// Returns the status of a claim.
     pub fn status(&self, id: &str) -> ClaimStatus {
         let records = self.coordinator.records();
         match records.get::<ClaimRecord>(&claim_key(id)).map(|stored| stored.value) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Active claims, as last read.
+    /// Returns the active claims as last read, in admission order.
     pub fn active_claims(&self) -> Vec<ActiveClaim> {
         lock(&self.claims).active().to_vec()
     }
--- a/crates/stonewheel-lending/src/executor/term.rs
+++ b/crates/stonewheel-lending/src/executor/term.rs
@@ -1,4 +1,4 @@
-//! The executor's loop: acquiring and releasing the ledger, and the steps of its holder.
+//! The executor's loop: acquires and releases the ledger, and runs the steps of its holder.
 
 use std::sync::Arc;
 
@@ -15,11 +15,11 @@
     ledger::shard_count,
 };
 
-/// Steps are at least this part of a probe interval apart.
+/// The minimum interval between steps is the probe interval divided by this.
 const MIN_STEP_INTERVAL_DIVISOR: u32 = 8;
 
 impl Executor {
-    /// Runs until it is cancelled.
+    /// Runs until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         tokio::select! {
             () = self.clone().run_steps(&stop) => {}
@@ -49,7 +49,8 @@
             let holder = records.get::<HolderRecord>(HOLDER_KEY);
             (records.loaded(), holder, records.version(HOLDER_KEY))
         };
-        // A record that can't be read: its token is not known, so nobody may act.
+        // The holder's record can't be parsed: its fencing token is unknown, so no controller may act
+        // as the holder.
         if !loaded || (holder.is_none() && version > 0) {
             *lock(&self.term) = None;
             return;
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Lets another controller hold the ledger.
+    /// Releases the ledger, so that another controller can acquire it.
     async fn release_ledger(&self, stored: &Versioned<HolderRecord>) {
         let Ok(write) = put(HOLDER_KEY.into(), &stored.value.released_by_holder(), None) else {
             return;
@@ -88,6 +89,7 @@
         }
     }
 
+    /// Acquires the ledger if its owner is gone and it is this controller's turn to succeed.
     async fn acquire_if_due(&self, holder: Option<&Versioned<HolderRecord>>) {
         let owner = holder.and_then(|stored| stored.value.owner.as_ref());
         if !self.session_valid() || !lock(&self.succession).may_adopt(&self.coordinator, owner) {
@@ -110,6 +112,7 @@
         }
     }
 
+    /// One step of the holder: observes the machines, plans, writes the changes, and sends commands.
     async fn step_as_holder(
         self: &Arc<Self>,
         holder: &Versioned<HolderRecord>,
@@ -120,8 +123,8 @@
             timeout(self.settings.times.command_timeout(), self.host.observe(epoch)).await;
         let observation = match observed {
             Ok(Ok(observation)) => observation,
-            Ok(Err(error)) => return debug!(%error, "machine observation failed"),
-            Err(_) => return debug!("machine observation timed out"),
+            Ok(Err(error)) => return debug!(%error, "machine observation failed, step skipped"),
+            Err(_) => return debug!("machine observation timed out, step skipped"),
         };
         if !self.session_valid() {
             return;
@@ -129,7 +132,7 @@
         let Some(prepared) = self.plan(epoch, observation) else { return };
         let written = self.execute(holder, prepared).await;
         if !written {
-            // Whether a write was carried out shows in the records.
+            // The refreshed records show which writes were carried out.
             self.coordinator.refresh().await;
         }
         if self.session_valid() {
--- a/crates/stonewheel-lending/src/host.rs
+++ b/crates/stonewheel-lending/src/host.rs
@@ -1,4 +1,4 @@
-//! The interface to the machines: their reports, and orders to them.
+//! The interface to the machines: their reports, and the commands sent to them.
 
 use std::collections::BTreeSet;
 
@@ -14,41 +14,42 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Its work is complete.
+    /// The work is complete.
     Done,
-    /// It was stopped, and its progress is safe.
+    /// The run was stopped after its progress was saved.
     Saved,
-    /// It was stopped, or its gang lost a machine: it resumes from its last checkpoint.
+    /// The run was stopped without saving, or its gang lost a machine. The work resumes from its last
+    /// checkpoint.
     Lost,
-    /// It could not be started on this machine.
+    /// The run could not be started on this machine.
     Failed,
-    /// It was halted before it started, and never will.
+    /// The run was halted before it started, and can't start any more.
     NeverStarted,
 }
 
-/// What a run does.
+/// The state of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It runs.
+    /// The work runs.
     Running,
-    /// It was halted and saves.
+    /// The run was halted and saves a checkpoint.
     Saving,
-    /// It is gone.
+    /// The run has ended.
     Ended(Exit),
 }
 
-/// The latest run on a machine. Runs of earlier loans are gone, and can't start again.
+/// The latest run on a machine. Runs of earlier loans have ended and can't start again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunReport {
-    /// The loan that it runs under.
+    /// The loan that the work runs under.
     pub loan: LoanId,
-    /// The claim that it belongs to.
+    /// The claim that the run belongs to.
     pub claim: ClaimId,
-    /// What it does.
+    /// The state of the run.
     pub state: RunState,
     /// Seconds of work since its last checkpoint.
     pub unsaved_s: f64,
-    /// Whether a periodic checkpoint is under way.
+    /// Whether a periodic checkpoint is in progress.
     pub checkpointing: bool,
 }
 
@@ -57,110 +58,112 @@
 pub struct MachineReport {
     /// The machine.
     pub machine: MachineName,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: u8,
-    /// Its session: orders that name another one are refused.
+    /// The session of the machine. Commands that name another session are rejected.
     pub session: u64,
-    /// Rises with each report of a session.
+    /// The sequence number of the report, which increases within a session.
     pub sequence: u64,
-    /// The highest token that it has seen: it refuses orders with a lower one.
+    /// The highest fencing token that the machine has seen. It rejects commands with a lower token.
     pub token: u64,
-    /// Time since its last heartbeat.
+    /// Time since the last heartbeat of the machine.
     pub heartbeat_age: Duration,
-    /// It will be taken back.
+    /// Whether the machine is about to be taken out of service.
     pub leaving: bool,
-    /// The latest run on it.
+    /// The latest run on the machine.
     pub run: Option<RunReport>,
 }
 
-/// Revocable work outside its team's guarantee that a scheduler placed on a machine
-/// without a claim: a loan that has no entry yet.
+/// Revocable work outside its team's guarantee that a scheduler placed on a machine without a claim.
+/// The planner treats it as a loan that has no ledger entry yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnmanagedWorkload {
     /// The machine.
     pub machine: MachineName,
-    /// The team whose work it is.
+    /// The team that the work belongs to.
     pub team: TeamName,
-    /// How it saves.
+    /// The kind of work, with its checkpoint times.
     pub work: Work,
     /// Seconds of work since its last checkpoint.
     pub unsaved_s: f64,
 }
 
-/// What is known of all machines.
+/// The reports of all machines at one time.
 #[derive(Clone, Debug, Default)]
 pub struct Observation {
     /// The latest report of each machine.
     pub reports: Vec<MachineReport>,
-    /// Machines of which it is certain that they and all on them are gone.
+    /// Machines that are known to be gone, together with everything that ran on them.
     pub gone: BTreeSet<MachineName>,
-    /// Work that may be taken off machines without an entry. Machines with other work and
-    /// no entry are not reported.
+    /// Work that may be preempted on machines without a ledger entry. Machines that have other work
+    /// and no ledger entry are not reported.
     pub unmanaged_workloads: Vec<UnmanagedWorkload>,
 }
 
-/// What a machine is to do.
+/// The action that a command requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandKind {
-    /// Run a claim's work, which spans so many machines.
+    /// Start the work of a claim.
     Start {
         /// The claim.
         claim: ClaimId,
-        /// The machines of its gang, or 1.
+        /// The number of machines of the gang, or 1 for a replica.
         machines: u32,
     },
-    /// Save within the grace period, and exit. A loan that has not started is void.
+    /// Save a checkpoint within the grace period and exit. Work that has not started yet must never
+    /// start under this loan.
     Halt {
-        /// Time to save; zero: exit at once.
+        /// Time to save. Zero: exit immediately.
         grace: Duration,
     },
-    /// Exit at once, even while saving.
+    /// Exit immediately, even while saving a checkpoint.
     Terminate,
 }
 
-/// An order to a machine. Every order may be repeated: it has its effect once.
+/// A command to a machine. Commands are idempotent and may be repeated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineCommand {
     /// The machine.
     pub machine: MachineName,
-    /// The session that is meant.
+    /// The session of the machine that the command is for.
     pub session: u64,
     /// The holder's fencing token.
     pub token: u64,
-    /// The loan that is meant.
+    /// The loan that the command is for.
     pub loan: LoanId,
-    /// What to do.
+    /// The requested action.
     pub kind: CommandKind,
 }
 
-/// Why an order was not carried out, or may not have been.
+/// Why a call to a machine failed. Except for `Unavailable`, the call was not carried out.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum HostError {
     /// The machine has seen a higher token, or is in another session.
-    #[error("the order is out of date")]
+    #[error("rejected by the machine: stale fencing token or session")]
     Stale,
-    /// The machine can't do it: something else runs there.
-    #[error("the machine is busy")]
+    /// The machine can't carry out the command, since other work runs on it.
+    #[error("the machine is busy with other work")]
     Busy,
-    /// It may have been carried out or not; a repeat is safe.
+    /// The call may have been carried out or not. It is safe to repeat.
     #[error("unavailable: {0}")]
     Unavailable(String),
 }
 
-/// Observes the machines, and sends orders to them.
+/// Observes the machines, and sends commands to them.
 pub trait MachineHost: Send + Sync {
-    /// Whether this controller can reach the machines now: if not it doesn't hold the
-    /// ledger.
+    /// Whether this controller can reach the machines now. A controller that can't reach them releases
+    /// the ledger and doesn't acquire it.
     fn eligible(&self) -> bool {
         true
     }
 
-    /// The machines' latest heartbeats, which are answered under this token.
+    /// Returns the latest heartbeats of the machines. Heartbeats are answered with this fencing token.
     fn observe(&self, token: u64) -> BoxFuture<'_, Result<Observation, HostError>>;
 
-    /// Gives an order.
+    /// Sends a command to a machine.
     fn send(&self, command: &MachineCommand) -> BoxFuture<'_, Result<(), HostError>>;
 
-    /// Returns a machine for good. Once this is answered, it and all on it are gone.
+    /// Returns a machine permanently. Once this returns `Ok`, the machine and everything on it are
+    /// gone.
     fn retire(&self, machine: &MachineName, token: u64) -> BoxFuture<'_, Result<(), HostError>>;
 }
--- a/crates/stonewheel-lending/src/observations.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -1,5 +1,5 @@
-//! What the holder of the ledger observed of the machines. A successor begins with
-//! nothing.
+//! The holder's observations of the machines. They are kept in memory: the next holder starts
+//! without any.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -15,9 +15,9 @@
     settings::Times,
 };
 
-/// A machine without a heartbeat for so many probe intervals counts as unreachable.
+/// A machine without a heartbeat for this number of probe intervals counts as unreachable.
 const STALE_INTERVALS: u32 = 3;
-/// A machine that failed a start is quarantined for so many worker leases.
+/// How long a machine that failed to start a run is quarantined, in worker leases.
 const QUARANTINE_LEASES: u32 = 10;
 
 /// A machine's latest report, and when the machine sent it.
@@ -27,14 +27,14 @@
     received_at: Instant,
 }
 
-/// A loan's state, and since when this holder has observed it.
+/// A loan's state, and when this holder first observed the loan in it.
 #[derive(Clone, Copy, Debug)]
 struct StateSince {
     state: LoanState,
     since: Instant,
 }
 
-/// What one holder observed during its term.
+/// The observations of one holder during its term.
 #[derive(Debug)]
 pub(crate) struct MachineObservations {
     times: Times,
@@ -79,7 +79,7 @@
     }
 
     fn record_report(&mut self, report: MachineReport, now: Instant) {
-        // A copy of an earlier report may come late.
+        // A copy of an earlier report may arrive late and must not replace a newer one.
         let newest =
             self.reports.get(&report.machine).map(|s| (s.report.session, s.report.sequence));
         if newest.is_some_and(|newest| newest > (report.session, report.sequence)) {
@@ -94,12 +94,13 @@
         self.reports.insert(report.machine.clone(), ReceivedReport { report, received_at });
     }
 
-    /// Machines that are certainly gone.
+    /// Returns the machines that are known to be gone: reported as gone, or returned by this holder.
     pub fn gone(&self) -> BTreeSet<MachineName> {
         self.gone.union(&self.retired).cloned().collect()
     }
 
-    /// Records since when each loan is in its state.
+    /// Records when each loan entered its current state, and forgets loans that are no longer in the
+    /// ledger.
     pub fn track_loans(&mut self, ledger: &Ledger, now: Instant) {
         let mut loan_states = HashMap::with_capacity(ledger.len());
         for (_, entry) in ledger.entries() {
@@ -112,7 +113,7 @@
         self.halted.retain(|loan| current.contains_key(loan));
     }
 
-    /// How long a loan has been in its state, as far as this holder observed.
+    /// Returns how long a loan has been in its state, counted from when this holder first observed it.
     pub fn age(&self, entry: &Entry, now: Instant) -> Duration {
         let known = self.state_since(entry);
         known.map_or(Duration::ZERO, |known| now.saturating_duration_since(known.since))
@@ -122,7 +123,7 @@
         self.loan_states.get(&entry.loan).copied().filter(|known| known.state == entry.state)
     }
 
-    /// What is known of the machines.
+    /// Returns the planner's view of each reported machine.
     pub fn views(&self, now: Instant) -> BTreeMap<MachineName, MachineView> {
         let stale_after = self.times.probe_interval() * STALE_INTERVALS;
         let view = |(name, received): (&MachineName, &ReceivedReport)| {
@@ -140,7 +141,8 @@
         self.reports.iter().map(view).collect()
     }
 
-    /// Machines with an entry that were silent for longer than a lease.
+    /// Returns the machines with a ledger entry whose worker lease expired: no heartbeat arrived for a
+    /// lease's time, counted at the earliest from the start of this holder's term.
     pub fn expired_leases(&self, ledger: &Ledger, now: Instant) -> Vec<MachineName> {
         let lease = self.times.worker_lease();
         let is_expired = |machine: &MachineName| {
@@ -153,24 +155,26 @@
         machines.filter(is_present).filter(|machine| is_expired(machine)).cloned().collect()
     }
 
-    /// Loans for which this holder sent a halt.
+    /// Returns the loans whose work this holder has sent a halt command to.
     pub fn halted(&self) -> &HashSet<LoanId> {
         &self.halted
     }
 
-    /// Records that a halt is about to be sent: it may take effect whatever its answer.
+    /// Records that a halt is about to be sent. It may take effect even if the call fails.
     pub fn record_halt(&mut self, loan: LoanId) {
         self.halted.insert(loan);
     }
 
-    /// Whether a call to a machine may begin now; if so it is recorded as in flight.
+    /// Returns whether a call to a machine may begin now, and if so records it as in flight. A call
+    /// waits for the back-off, for the call in flight to the same machine, and while `max_calls` calls
+    /// are in flight.
     pub fn begin_call(&mut self, machine: &MachineName, max_calls: usize, now: Instant) -> bool {
         let due = self.backoffs.get(machine).is_none_or(|backoff| backoff.due(now));
         let available = self.in_flight.len() < max_calls && !self.in_flight.contains(machine);
         due && available && self.in_flight.insert(machine.clone())
     }
 
-    /// Records how a call ended.
+    /// Records the end of a call. A failed call delays the next one to the same machine.
     pub fn end_call(&mut self, machine: &MachineName, failed: bool, rng: &mut StdRng) {
         self.in_flight.remove(machine);
         if failed {
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Records that a machine's return was answered.
+    /// Records that the return of a machine was confirmed.
     pub fn record_retired(&mut self, machine: MachineName) {
         self.reports.remove(&machine);
         self.retired.insert(machine);
--- a/crates/stonewheel-lending/src/orders.rs
+++ b/crates/stonewheel-lending/src/orders.rs
@@ -1,6 +1,5 @@
-//! Orders to machines: pure, from the ledger as committed and what machines reported.
-//! Every order follows from an entry, is repeated until reports show its effect, and has
-//! it once.
+//! Derives the commands to machines, as a pure function of the committed ledger and the machines'
+//! reports. Commands are idempotent, and a command is repeated until the reports show its effect.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,7 +13,7 @@
     settings::LendingSettings,
 };
 
-/// What orders follow from.
+/// Everything that the commands are derived from.
 #[derive(Clone, Copy)]
 pub struct CommandInput<'a> {
     /// The operators' settings.
@@ -23,25 +22,25 @@
     pub claims: &'a [ActiveClaim],
     /// The ledger as committed.
     pub ledger: &'a Ledger,
-    /// What is known of the machines.
+    /// The holder's view of each machine.
     pub machines: &'a BTreeMap<MachineName, MachineView>,
-    /// How long an entry has been in its state.
+    /// Returns how long an entry has been in its state.
     pub age: &'a dyn Fn(&Entry) -> Duration,
     /// The holder's fencing token.
     pub epoch: u64,
 }
 
-/// One claim's entries.
+/// The ledger entries of one claim, by state.
 #[derive(Default)]
 struct ClaimEntries<'a> {
-    /// None: it was withdrawn or is done.
+    /// None if the claim was withdrawn or is done.
     claim: Option<&'a Claim>,
     running: Vec<(&'a MachineName, &'a Entry)>,
     requested: Vec<(&'a MachineName, &'a Entry)>,
     saving: Vec<(&'a MachineName, &'a Entry)>,
 }
 
-/// Orders that are due.
+/// Returns the commands that are due.
 pub fn due_commands(input: &CommandInput<'_>) -> Vec<MachineCommand> {
     let active: HashMap<&ClaimId, &Claim> =
         input.claims.iter().map(|active| (&active.id, &active.claim)).collect();
@@ -78,7 +77,7 @@
     Some(MachineCommand { machine, session, token: input.epoch, loan: entry.loan, kind })
 }
 
-/// Ends of runs that have no entry in the ledger.
+/// Terminates runs whose loan has no entry in the ledger.
 fn terminations_of_unknown_runs(input: &CommandInput<'_>) -> Vec<MachineCommand> {
     let termination = |(machine, view): (&MachineName, &MachineView)| {
         let run = view.run.as_ref().filter(|_| view.confirmed)?;
@@ -99,7 +98,7 @@
     input.machines.iter().filter_map(termination).collect()
 }
 
-/// Starts of work that has all the machines it needs, durably.
+/// Starts work whose machines are all recorded in the ledger: the whole gang, or a single replica.
 fn starts(
     input: &CommandInput<'_>,
     claims: &[(&ClaimId, ClaimEntries<'_>)],
@@ -122,22 +121,22 @@
     commands
 }
 
-/// Whether a machine shows nothing of a loan: neither its start nor its end.
+/// Whether the machine has neither started nor ended a run of the loan.
 fn not_started(view: &MachineView, entry: &Entry) -> bool {
     view.confirmed && view.run.as_ref().is_none_or(|run| run.loan < entry.loan)
 }
 
-/// A run whose halts are due.
+/// A run that is to be halted.
 struct DueHalt<'a> {
     entries: &'a [(&'a MachineName, &'a Entry)],
     zone: u8,
     age: Duration,
-    /// It needs no time to save.
+    /// Whether the run gets no time to save.
     immediate: bool,
 }
 
-/// Halts of runs, all machines of one at the same time, and of a zone not all at once
-/// while the bound allows it.
+/// Halts the runs whose reclaim was requested, each on all its machines at the same time. Limits how
+/// many runs of a zone save at the same time, but delays no halt beyond the configured spread.
 fn halts(input: &CommandInput<'_>, claims: &[(&ClaimId, ClaimEntries<'_>)]) -> Vec<MachineCommand> {
     let times = &input.settings.times;
     let mut saving: HashMap<u8, u32> = HashMap::new();
@@ -151,7 +150,7 @@
         if saving_begun {
             *saving.entry(zone).or_default() += 1;
         }
-        // A gang whose requests are not all durable is halted when they are.
+        // A gang is halted only once the reclaim of all its machines is recorded in the ledger.
         let partially_requested =
             entries.claim.is_some_and(Claim::is_gang) && !entries.running.is_empty();
         if entries.requested.is_empty() || partially_requested {
@@ -183,8 +182,8 @@
     command(input, machine, entry, CommandKind::Halt { grace })
 }
 
-/// A checkpoint that exceeds its grace period is ended; a machine that has lost its halt
-/// is sent it again.
+/// Terminates a checkpoint that exceeds its grace period. Before that, repeats the halt for a machine
+/// that has lost it.
 fn terminate_or_repeat_halt(
     input: &CommandInput<'_>,
     machine: &MachineName,
--- a/crates/stonewheel-lending/src/reserve.rs
+++ b/crates/stonewheel-lending/src/reserve.rs
@@ -1,5 +1,5 @@
-//! How many free machines are kept for each team: what it gave back a short while ago,
-//! and what its load rose by within one reclaim's time.
+//! The reserve of free machines for each team: as many as the team released recently, or as many as
+//! its demand recently rose by within the time of one reclaim, whichever is more.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,10 +7,10 @@
 
 use crate::{claim::TeamName, settings::Teams};
 
-/// The largest value within a sliding window.
+/// The maximum value within a sliding window.
 #[derive(Clone, Debug, Default)]
 struct WindowMaximum {
-    /// Values that fall, each with the time at which it was last true.
+    /// Decreasing values, each with the latest time at which it was recorded.
     values: VecDeque<TimedValue>,
 }
 
@@ -36,12 +36,12 @@
     }
 }
 
-/// The recent demand of one team inside its guarantee.
+/// The recent demand of one team's claims inside its guarantee.
 #[derive(Clone, Debug, Default)]
 struct Demand {
     current: u32,
     peak: WindowMaximum,
-    /// The least demand within a reclaim's time, as the largest of `u32::MAX - demand`.
+    /// The lowest demand within the time of a reclaim, as the maximum of `u32::MAX - demand`.
     lowest: WindowMaximum,
     rise: WindowMaximum,
 }
@@ -56,8 +56,9 @@
 }
 
 impl Reserve {
-    /// `settle`: how long what was given back is kept. `memory`: how long a rise is
-    /// remembered. `reclaim`: the time of a reclaim, within which a rise counts.
+    /// `release_retention`: how long released machines stay reserved. `rise_retention`: how long a rise
+    /// of demand is taken into account. `reclaim_time`: the time of a reclaim; demand that rises faster
+    /// can't be served by reclaims in time.
     pub fn new(
         release_retention: Duration,
         rise_retention: Duration,
@@ -66,7 +67,7 @@
         Self { release_retention, rise_retention, reclaim_time, teams: BTreeMap::new() }
     }
 
-    /// Records what each team's claims inside its guarantee ask for now.
+    /// Records the number of machines that each team's claims inside its guarantee request now.
     pub fn record(&mut self, now: Instant, entitlements: &BTreeMap<TeamName, u32>) {
         for (team, machines) in entitlements {
             let demand = self.teams.entry(team.clone()).or_default();
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Machines to keep free for each team.
+    /// Returns the number of free machines to reserve for each team, at most what its demand is below
+    /// its guarantee.
     pub fn machines(&self, teams: &Teams) -> BTreeMap<TeamName, u32> {
         let reserved = |(name, demand): (&TeamName, &Demand)| {
             let below_guarantee = teams.get(name)?.guarantee.saturating_sub(demand.current);
--- a/crates/stonewheel-lending/src/reserve/tests.rs
+++ b/crates/stonewheel-lending/src/reserve/tests.rs
@@ -5,8 +5,8 @@
     [(TeamName::from("blue"), Team { guarantee: 10, ceiling: 20 })].into()
 }
 
-fn note(reserve: &mut Reserve, at: Instant, asked: u32) -> u32 {
-    reserve.record(at, &[(TeamName::from("blue"), asked)].into());
+fn record(reserve: &mut Reserve, recorded_at: Instant, machines: u32) -> u32 {
+    reserve.record(recorded_at, &[(TeamName::from("blue"), machines)].into());
     reserve.machines(&teams())["blue"]
 }
 
@@ -16,29 +16,34 @@
 }
 
 #[test]
-fn what_a_team_gave_back_is_kept_for_a_while() {
+fn released_machines_stay_reserved_for_the_retention_period() {
     let (mut reserve, start) = (reserve(), Instant::now());
-    let at = |s: u64| start + Duration::from_secs(s);
-    assert_eq!(note(&mut reserve, at(0), 8), 0);
-    assert_eq!(note(&mut reserve, at(10), 2), 6, "it fell by six");
-    assert_eq!(note(&mut reserve, at(50), 2), 6);
-    assert_eq!(note(&mut reserve, at(71), 2), 0, "and stayed there");
+    let after = |s: u64| start + Duration::from_secs(s);
+    assert_eq!(record(&mut reserve, after(0), 8), 0);
+    assert_eq!(record(&mut reserve, after(10), 2), 6, "demand fell by six");
+    assert_eq!(record(&mut reserve, after(50), 2), 6);
+    assert_eq!(record(&mut reserve, after(71), 2), 0, "retention has passed");
 }
 
 #[test]
-fn a_rise_within_a_reclaim_is_expected_again_up_to_the_guarantee() {
+fn rise_within_reclaim_time_reserves_up_to_the_guarantee() {
     let (mut reserve, start) = (reserve(), Instant::now());
-    let at = |s: u64| start + Duration::from_secs(s);
-    note(&mut reserve, at(0), 1);
-    assert_eq!(note(&mut reserve, at(5), 5), 4, "it rose by four");
-    assert_eq!(note(&mut reserve, at(100), 8), 2, "no more than the guarantee lacks");
-    assert_eq!(note(&mut reserve, at(200), 1), 4);
-    assert_eq!(note(&mut reserve, at(900), 1), 0, "forgotten");
+    let after = |s: u64| start + Duration::from_secs(s);
+    record(&mut reserve, after(0), 1);
+    assert_eq!(record(&mut reserve, after(5), 5), 4, "demand rose by four");
+    assert_eq!(
+        record(&mut reserve, after(100), 8),
+        2,
+        "at most what demand is below the guarantee"
+    );
+    assert_eq!(record(&mut reserve, after(200), 1), 4);
+    assert_eq!(record(&mut reserve, after(900), 1), 0, "rise retention has passed");
 }
 
 #[test]
-fn a_slow_rise_is_no_reason_for_a_reserve() {
+fn slow_rise_reserves_nothing() {
     let (mut reserve, start) = (reserve(), Instant::now());
-    let kept = (0..8).map(|n| note(&mut reserve, start + Duration::from_secs(30 * n), n as u32));
-    assert_eq!(kept.max(), Some(0));
+    let reserved = (0..8)
+        .map(|step| record(&mut reserve, start + Duration::from_secs(30 * step), step as u32));
+    assert_eq!(reserved.max(), Some(0));
 }
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings of this part.
+//! The operators' settings of lending.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,11 +8,12 @@
 
 use crate::names::{MAX_NAME_BYTES, TeamName};
 
-/// How the sections of this part are called.
+/// The names of the settings sections of lending.
 const SECTIONS: PartSections =
     PartSections { general: "lending", prefix: "lending-team ", table: "teams" };
 
-/// A worker's lease holds at least so many probes: fewer say nothing of a machine.
+/// The minimum number of probes within a worker lease. With fewer, missing heartbeats
+/// don't show reliably that a machine is lost.
 const MIN_PROBES_PER_LEASE: f64 = 3.0;
 
 /// Times and sizes; times in seconds.
@@ -22,31 +23,32 @@
     /// Seconds between two probes of the machines.
     #[garde(range(min = 0.001, max = 1e4))]
     pub look_s: f64,
-    /// How long an order to a machine may take.
+    /// How long a call to a machine may take.
     #[garde(range(min = 0.001, max = 1e4))]
     pub order_s: f64,
-    /// How long stopped work may save. Work that takes longer is lent no machine of another team.
+    /// How long work may save a checkpoint when it is stopped. Work that takes longer is irrevocable
+    /// and is lent no machine that covers a guarantee.
     #[garde(range(max = 1e5), custom(at_least("look_s", self.look_s)))]
     pub grace_s: f64,
-    /// How long a machine may be silent before it is returned.
+    /// How long a machine may go without a heartbeat before it is returned.
     #[garde(range(max = 1e5), custom(at_least("three times look_s", self.look_s * MIN_PROBES_PER_LEASE)))]
     pub worker_lease_s: f64,
-    /// How long a halt may wait for others in its zone.
+    /// How long a halt may be delayed while other runs in its zone save.
     #[garde(range(min = 0.0, max = 1e5))]
     pub spread_s: f64,
-    /// Runs of one zone that save at the same time.
+    /// The maximum number of runs of one zone that are halted to save at the same time.
     #[garde(range(min = 1.0, max = 1e6), custom(whole))]
     pub halts_a_zone: f64,
-    /// How long machines that serving gave back are kept for it.
+    /// How long machines that a team's claims inside its guarantee released stay reserved for the team.
     #[garde(range(max = 1e6), custom(at_least("grace_s", self.grace_s)))]
     pub settle_s: f64,
-    /// How long the largest rise of the load is remembered.
+    /// How long the largest rise of a team's demand is taken into account for its reserve.
     #[garde(range(max = 1e7), custom(at_least("settle_s", self.settle_s)))]
     pub memory_s: f64,
     /// GPUs of a machine.
     #[garde(range(min = 0.0, max = 1e6))]
     pub machine_gpus: f64,
-    /// Machines that the ledger is laid out for.
+    /// The number of machines that the ledger's shards are sized for.
     #[garde(range(min = 1.0, max = 1e7), custom(whole))]
     pub expected_machines: f64,
 }
@@ -54,16 +56,16 @@
 /// A team's guarantee and limit, in machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Machines that it gets within the bound, whenever it claims them.
+    /// The number of machines that the team gets within the bound whenever it claims them.
     pub guarantee: u32,
-    /// Machines that its work uses at the most.
+    /// The maximum number of machines that the team's work uses.
     pub ceiling: u32,
 }
 
 /// The teams, by name.
 pub type Teams = BTreeMap<TeamName, Team>;
 
-/// All settings of this part.
+/// All settings of lending.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LendingSettings {
     /// Times and sizes.
@@ -72,13 +74,13 @@
     pub teams: Teams,
 }
 
-/// Whether a section belongs to this part.
+/// Whether a settings section belongs to lending.
 pub fn is_section(name: &str) -> bool {
     SECTIONS.contain(name)
 }
 
-/// Reads the sections of this part out of an INI file's. None if there is no section
-/// `lending`. Sections of other parts are passed over.
+/// Reads the sections of lending from the sections of an INI file, and ignores others. Returns none if
+/// there is no section `lending`.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<LendingSettings>, FieldError> {
@@ -88,7 +90,7 @@
 }
 
 fn general(mut section: Section<'_>) -> Result<Times, FieldError> {
-    /// Machines that a ledger is laid out for by default.
+    /// The default number of machines that the ledger's shards are sized for.
     const DEFAULT_EXPECTED_MACHINES: f64 = 4000.0;
     let look_s = section.number("look_s", Some(1.0))?;
     let grace_s = section.number("grace_s", None)?;
@@ -134,44 +136,44 @@
 }
 
 impl Times {
-    /// Seconds between two probes of the machines.
+    /// Returns the time between two probes of the machines.
     pub fn probe_interval(&self) -> Duration {
         Duration::from_secs_f64(self.look_s)
     }
 
-    /// How long an order may take.
+    /// Returns how long a call to a machine may take.
     pub fn command_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.order_s)
     }
 
-    /// How long stopped work may save.
+    /// Returns how long work may save a checkpoint when it is stopped.
     pub fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 
-    /// How long a machine may be silent.
+    /// Returns how long a machine may go without a heartbeat before it is returned.
     pub fn worker_lease(&self) -> Duration {
         Duration::from_secs_f64(self.worker_lease_s)
     }
 
-    /// How long a halt may wait for others.
+    /// Returns how long a halt may be delayed while other runs in its zone save.
     pub fn halt_spread(&self) -> Duration {
         Duration::from_secs_f64(self.spread_s)
     }
 
-    /// How long machines that serving gave back are kept for it.
+    /// Returns how long released machines stay reserved for their team.
     pub fn release_retention(&self) -> Duration {
         Duration::from_secs_f64(self.settle_s)
     }
 
-    /// How long the largest rise is remembered.
+    /// Returns how long the largest rise of a team's demand is taken into account.
     pub fn rise_retention(&self) -> Duration {
         Duration::from_secs_f64(self.memory_s)
     }
 }
 
 impl LendingSettings {
-    /// The sum of all guarantees.
+    /// Returns the sum of all guarantees, in machines.
     pub fn guaranteed(&self) -> u32 {
         self.teams.values().map(|team| team.guarantee).sum()
     }
--- a/crates/stonewheel-lending/src/unmanaged.rs
+++ b/crates/stonewheel-lending/src/unmanaged.rs
@@ -1,5 +1,5 @@
-//! Unmanaged workloads: work that a scheduler placed on a machine without a claim. For a
-//! plan it counts as a loan of that machine.
+//! Unmanaged workloads: work that a scheduler placed on a machine without a claim. The planner treats
+//! each as a loan of its machine.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
     planner::MachineView,
 };
 
-/// The ids of claims for unmanaged workloads begin with this, and no other: names don't
-/// have a colon. Ids are stored with the loans that are reclaimed, so it never changes.
+/// The prefix of the ids of claims for unmanaged workloads. No submitted claim has it, since names
+/// can't contain a colon. The ids are stored with reclaimed loans, so the prefix must never change.
 const UNMANAGED_CLAIM_PREFIX: &str = "resident:";
 
 /// Whether a claim represents an unmanaged workload.
@@ -19,15 +19,16 @@
     claim.starts_with(UNMANAGED_CLAIM_PREFIX)
 }
 
-/// Claims and ledger for a plan, unmanaged workloads included.
+/// The claims and the ledger for a plan, including unmanaged workloads.
 pub(crate) struct CombinedState {
     pub claims: Vec<ActiveClaim>,
     pub ledger: Ledger,
     pub next_number: u64,
 }
 
-/// Adds a claim outside all guarantees and a loan for each unmanaged workload on a machine
-/// that has no entry. `next_number`: the number of the holder's next loan.
+/// Adds a claim outside all guarantees and a loan for each unmanaged workload on a machine without a
+/// ledger entry. Also sets the run in the machine's view, so that the loan appears as running.
+/// `next_number`: the number of the holder's next loan.
 pub(crate) fn combine(
     claims: &[ActiveClaim],
     ledger: &Ledger,
@@ -57,7 +58,8 @@
         let entry =
             Entry::lend(loan, None, workload.team.clone(), claim.clone(), ChangeReason::Free);
         combined.ledger.set(&Transition { machine: machine.clone(), after: Some(entry) });
-        // Of a team without a guarantee, so outside of one, and after all others.
+        // The empty team name has no guarantee, so the claim is outside of any. The highest admission
+        // order places the claim after all others.
         let (team, work) = (TeamName::from(""), workload.work);
         let unmanaged_claim = Claim { team, machines: 1, gpus: 0.0, work };
         combined.claims.push(ActiveClaim {
