--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -14,9 +14,9 @@
 /// Writes per reclaim: request, release and grant.
 const WRITES_PER_RECLAIM: u32 = 3;
 /// Calls to machines per reclaim: halt, termination, return of an unreachable machine, and start.
-const COMMANDS_PER_RECLAIM: u32 = 4;
-/// Probe intervals per takeover: the new holder probes once before it acquires the ledger and once before
-/// it plans.
+const CALLS_PER_RECLAIM: u32 = 4;
+/// Probe intervals per takeover: the new holder probes once before it acquires the
+/// ledger and once before it plans.
 const PROBES_PER_TAKEOVER: u32 = 2;
 
 /// Bounds that follow from the settings.
@@ -50,7 +50,7 @@
 fn reclaim(times: &Times, state_timeout: Duration) -> Duration {
     let probing = times.probe_interval() * PROBES_PER_RECLAIM;
     let writing = state_timeout * WRITES_PER_RECLAIM;
-    let commanding = times.command_timeout() * COMMANDS_PER_RECLAIM + max_pause(times);
+    let calling = times.command_timeout() * CALLS_PER_RECLAIM + max_pause(times);
     let saving = times.halt_spread() + times.grace_period();
-    probing + writing + commanding + saving + times.worker_lease()
+    probing + writing + calling + saving + times.worker_lease()
 }
--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -62,22 +62,22 @@
     #[error("machines: must be at least 1")]
     NoMachines,
     /// The claim requests more machines than the team may use.
-    #[error("machines: {asked} are more than the ceiling of {ceiling} of team {team}")]
+    #[error("machines: {requested} are more than the ceiling of {ceiling} of team {team}")]
     AboveCeiling {
         /// The number of machines requested.
-        asked: u32,
+        requested: u32,
         /// The ceiling of the team.
         ceiling: u32,
         /// The team.
         team: String,
     },
     /// The work fits no machine.
-    #[error("gpus: {asked} fit no machine of {most}")]
+    #[error("gpus: {requested} fit no machine of {machine_gpus}")]
     FitsNoMachine {
         /// GPUs requested on each machine.
-        asked: f64,
+        requested: f64,
         /// GPUs of a machine.
-        most: f64,
+        machine_gpus: f64,
     },
     /// The named field is negative or not finite.
     #[error("{0}: must be a finite number of at least 0")]
@@ -115,13 +115,17 @@
             return Err(ClaimError::NoMachines);
         }
         if self.machines > team.ceiling {
-            let (asked, ceiling) = (self.machines, team.ceiling);
-            return Err(ClaimError::AboveCeiling { asked, ceiling, team: self.team.to_string() });
+            let (requested, ceiling) = (self.machines, team.ceiling);
+            return Err(ClaimError::AboveCeiling {
+                requested,
+                ceiling,
+                team: self.team.to_string(),
+            });
         }
         self.check_amounts(settings.times.machine_gpus)
     }
 
-    fn check_amounts(&self, most: f64) -> Result<(), ClaimError> {
+    fn check_amounts(&self, machine_gpus: f64) -> Result<(), ClaimError> {
         let check_amount = |name, value: f64| {
             let valid = value.is_finite() && value >= 0.0;
             if valid { Ok(()) } else { Err(ClaimError::NotAnAmount(name)) }
@@ -131,8 +135,8 @@
             check_amount("checkpoint_s", checkpoint_s)?;
             check_amount("save_s", save_s)?;
         }
-        if self.gpus > most {
-            return Err(ClaimError::FitsNoMachine { asked: self.gpus, most });
+        if self.gpus > machine_gpus {
+            return Err(ClaimError::FitsNoMachine { requested: self.gpus, machine_gpus });
         }
         Ok(())
     }
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -66,7 +66,7 @@
             gone: &term.observations.gone(),
             halted: term.observations.halted(),
             reserve: &term.reserve.machines(teams),
-            may_lend: now >= term.may_lend_from,
+            may_lend: now >= term.may_lend_at,
             epoch,
             next_number: combined.map_or(number, |combined| combined.next_number),
             max_changes: self.limits.transaction_writes * TRANSACTIONS_PER_PLAN,
@@ -84,18 +84,18 @@
         let mut counters = lock(&self.counters);
         for (claim, reason) in &plan.reasons {
             if *reason != WaitReason::Served {
-                term.waits_since.entry(claim.clone()).or_insert(now);
+                term.waiting_since.entry(claim.clone()).or_insert(now);
                 if term.reasons.get(claim) != Some(reason) {
                     info!(%claim, ?reason, "claim waiting");
                 }
-            } else if let Some(since) = term.waits_since.remove(claim) {
+            } else if let Some(since) = term.waiting_since.remove(claim) {
                 let waited = now - since;
                 counters.served += 1;
                 counters.longest_wait = counters.longest_wait.max(waited);
                 info!(%claim, waited_s = waited.as_secs_f64(), "claim served");
             }
         }
-        term.waits_since.retain(|claim, _| plan.reasons.contains_key(claim));
+        term.waiting_since.retain(|claim, _| plan.reasons.contains_key(claim));
         term.reasons.clone_from(&plan.reasons);
     }
 
--- a/crates/stonewheel-lending/src/executor/state.rs
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -25,10 +25,10 @@
     pub(super) observations: MachineObservations,
     pub(super) reserve: Reserve,
     pub(super) reasons: BTreeMap<ClaimId, WaitReason>,
-    pub(super) waits_since: HashMap<ClaimId, Instant>,
+    pub(super) waiting_since: HashMap<ClaimId, Instant>,
     pub(super) finished_since: HashMap<ClaimId, Instant>,
     pub(super) next_number: u64,
-    pub(super) may_lend_from: Instant,
+    pub(super) may_lend_at: Instant,
 }
 
 /// The executor of one controller.
@@ -127,12 +127,12 @@
                 self.bounds.reclaim,
             ),
             reasons: BTreeMap::new(),
-            waits_since: HashMap::new(),
+            waiting_since: HashMap::new(),
             finished_since: HashMap::new(),
             next_number: 1,
             // This holder doesn't know which machines serving released under the former holder, so
             // it lends nothing until their retention has passed.
-            may_lend_from: if is_first { now } else { now + times.release_retention() },
+            may_lend_at: if is_first { now } else { now + times.release_retention() },
         });
     }
 }
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -34,7 +34,7 @@
 pub struct Ledger {
     shards: Vec<StoredShard>,
     entries: BTreeMap<MachineName, Entry>,
-    unreadable: usize,
+    unreadable_shards: usize,
     /// The largest value that the state service accepts, in bytes.
     value_bytes: usize,
 }
@@ -75,7 +75,7 @@
         for machine in old.shard.iter().flat_map(|shard| shard.entries.keys()) {
             self.entries.remove(machine);
         }
-        self.unreadable = self.shards.iter().filter(|stored| stored.is_unreadable()).count();
+        self.unreadable_shards = self.shards.iter().filter(|stored| stored.is_unreadable()).count();
         match &self.shards[number].shard {
             Some(shard) => {
                 let entries = shard.entries.iter().map(|(name, e)| (name.clone(), e.clone()));
@@ -94,8 +94,8 @@
     }
 
     /// Returns the number of shards that can't be parsed.
-    pub fn unreadable(&self) -> usize {
-        self.unreadable
+    pub fn unreadable_shards(&self) -> usize {
+        self.unreadable_shards
     }
 
     /// Whether the shard of a machine can be read. If it can't, the machine may have an entry that is
--- a/crates/stonewheel-lending/src/observations.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -20,7 +20,7 @@
 /// How long a machine that failed to start a run is quarantined, in worker leases.
 const QUARANTINE_LEASES: u32 = 10;
 
-/// A machine's latest report, and when the machine sent it.
+/// A machine's latest report, and when its heartbeat was received.
 #[derive(Debug)]
 struct ReceivedReport {
     report: MachineReport,
--- a/crates/stonewheel-lending/src/planner/model.rs
+++ b/crates/stonewheel-lending/src/planner/model.rs
@@ -39,7 +39,7 @@
 
     /// Whether the report proves that the work of a loan has ended on this machine and can't start
     /// again.
-    pub fn proves_gone(&self, loan: LoanId) -> bool {
+    pub fn proves_ended(&self, loan: LoanId) -> bool {
         let Some(run) = self.run.as_ref().filter(|_| self.confirmed) else { return false };
         run.loan > loan || (run.loan == loan && matches!(run.state, RunState::Ended(_)))
     }
--- a/crates/stonewheel-lending/src/planner/plan_builder.rs
+++ b/crates/stonewheel-lending/src/planner/plan_builder.rs
@@ -50,7 +50,7 @@
     /// Whether a machine has no entry and can be lent or granted.
     fn is_free(&self, machine: &MachineName) -> bool {
         let Some(view) = self.input.machines.get(machine) else { return false };
-        let idle = view.run.as_ref().is_none_or(|run| view.proves_gone(run.loan));
+        let idle = view.run.as_ref().is_none_or(|run| view.proves_ended(run.loan));
         view.usable()
             && view.confirmed
             && !view.quarantined
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -48,7 +48,7 @@
     let view = builder.input.machines.get(machine);
     if entry.state == LoanState::Released {
         grant_or_free(builder, machine, entry, view);
-    } else if view.is_some_and(|view| view.proves_gone(entry.loan)) {
+    } else if view.is_some_and(|view| view.proves_ended(entry.loan)) {
         builder.change(machine, entry.release(ChangeReason::Ended));
     } else if entry.may_run() && builder.accounts.index_of(&entry.claim).is_none() {
         builder.change(machine, entry.request(None, 0, ChangeReason::Over));
--- a/crates/stonewheel-lending/src/planner/victims.rs
+++ b/crates/stonewheel-lending/src/planner/victims.rs
@@ -148,10 +148,10 @@
         let runs = account.stopping.is_empty() && !account.assigned.is_empty();
         !account.inside && account.revocable && runs
     });
-    let candidate = |(index, account): (usize, &ClaimAccount)| Candidate {
-        claim_index: index,
+    let candidate = |(claim_index, account): (usize, &ClaimAccount)| Candidate {
+        claim_index,
         machines: account.assigned.len() as u32,
-        loss_s: loss_s(builder, index, account.assigned.iter()),
+        loss_s: loss_s(builder, claim_index, account.assigned.iter()),
     };
     let mut ranked: Vec<Candidate> = lendable.map(candidate).collect();
     // Among equal losses, the claim that was admitted last comes first.
