--- a/crates/stonewheel-lending/src/accounts.rs
+++ b/crates/stonewheel-lending/src/accounts.rs
@@ -63,7 +63,8 @@
 pub struct TeamAccount {
     /// Machines that the team's work may be on, including those on which it has to stop.
     pub used: u32,
-    /// Machines that are being reclaimed for the team from work of other teams, or are released for it.
+    /// Machines that are being reclaimed for the team from work of other teams, or are released for
+    /// it.
     pub incoming: u32,
     /// Machines that the team's claims inside its guarantee may run on.
     pub inside_assigned: u32,
@@ -77,8 +78,8 @@
     index_by_claim: HashMap<ClaimId, usize>,
     claim_teams: Vec<TeamName>,
     teams: HashMap<TeamName, TeamAccount>,
-    /// The number of machines with irrevocable work outside its guarantee, including machines on which
-    /// that work is still stopping.
+    /// The number of machines with irrevocable work outside its guarantee, including machines on
+    /// which that work is still stopping.
     pub outside_irrevocable: u32,
     /// Machines on which work has to stop and that have no claimant.
     pub unclaimed: BTreeSet<MachineName>,
@@ -128,8 +129,8 @@
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Returns how many machines of a team's guarantee are assigned to its claims inside the guarantee
-    /// or lent on its behalf.
+    /// Returns how many machines of a team's guarantee are assigned to its claims inside the
+    /// guarantee or lent on its behalf.
     pub fn covered(&self, team: &TeamName) -> u32 {
         let lent = self.lent.get(team).map_or(0, BTreeSet::len);
         self.team(team).inside_assigned + lent as u32
--- a/crates/stonewheel-lending/src/backoff.rs
+++ b/crates/stonewheel-lending/src/backoff.rs
@@ -1,5 +1,5 @@
-//! Back-off of failed calls to a machine: exponential pauses up to a maximum, with jitter so that not
-//! all machines are called again at the same moment.
+//! Back-off of failed calls to a machine: exponential pauses up to a maximum, with jitter so that
+//! not all machines are called again at the same moment.
 
 use rand::{RngExt, rngs::StdRng};
 use tokio::time::{Duration, Instant};
--- a/crates/stonewheel-lending/src/claim.rs
+++ b/crates/stonewheel-lending/src/claim.rs
@@ -88,8 +88,8 @@
 }
 
 impl Claim {
-    /// Whether machines can be reclaimed from the work within the grace period: it saves checkpoints,
-    /// and saving takes no longer than the grace period.
+    /// Whether machines can be reclaimed from the work within the grace period: it saves
+    /// checkpoints, and saving takes no longer than the grace period.
     pub fn is_revocable(&self, grace_s: f64) -> bool {
         match self.work {
             Work::Serving => false,
@@ -142,8 +142,8 @@
     }
 }
 
-/// The stored record of a claim. The record of a finished claim is kept for some time, so that a late
-/// or repeated submission doesn't make the claim active again.
+/// The stored record of a claim. The record of a finished claim is kept for some time, so that a
+/// late or repeated submission doesn't make the claim active again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRecord {
--- a/crates/stonewheel-lending/src/counters.rs
+++ b/crates/stonewheel-lending/src/counters.rs
@@ -19,7 +19,8 @@
     pub lost_work_s: f64,
     /// Machines returned after their worker lease expired.
     pub retired: u64,
-    /// Calls rejected as stale: the machine had seen a higher fencing token or was in another session.
+    /// Calls rejected as stale: the machine had seen a higher fencing token or was in another
+    /// session.
     pub stale_commands: u64,
     /// Transactions committed to the ledger.
     pub transactions: u64,
--- a/crates/stonewheel-lending/src/executor.rs
+++ b/crates/stonewheel-lending/src/executor.rs
@@ -1,5 +1,5 @@
-//! The executor of one controller. It accepts claims; while it holds the ledger it also plans, writes
-//! the planned changes, and sends commands to machines.
+//! The executor of one controller. It accepts claims; while it holds the ledger it also plans,
+//! writes the planned changes, and sends commands to machines.
 
 mod api;
 mod calls;
--- a/crates/stonewheel-lending/src/executor/calls.rs
+++ b/crates/stonewheel-lending/src/executor/calls.rs
@@ -1,5 +1,5 @@
-//! The holder's calls to machines: commands that follow from the committed ledger, and the return of
-//! machines whose worker lease expired.
+//! The holder's calls to machines: commands that follow from the committed ledger, and the return
+//! of machines whose worker lease expired.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -105,7 +105,11 @@
         let mut counters = lock(&self.counters);
         counters.ended_saves += 1;
         counters.lost_work_s += run.map_or(0.0, |run| run.unsaved_s);
-        warn!(machine = %command.machine, loan = ?command.loan, "grace period exceeded, terminating checkpoint");
+        warn!(
+            machine = %command.machine,
+            loan = ?command.loan,
+            "grace period exceeded, terminating checkpoint"
+        );
     }
 
     fn spawn_call(
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -21,8 +21,8 @@
 
 /// The number of transactions that the changes of one plan may fill.
 const TRANSACTIONS_PER_PLAN: usize = 4;
-/// The maximum size of the values in one transaction, in bytes. The rest of the state service's limit
-/// is left for conditions.
+/// The maximum size of the values in one transaction, in bytes. The rest of the state service's
+/// limit is left for conditions.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 /// How long records of finished claims are kept, as a multiple of the reclaim bound.
 const FINISHED_RETENTION_BOUNDS: u32 = 4;
@@ -146,8 +146,8 @@
         written.is_ok()
     }
 
-    /// Deletes the records of claims that finished long ago. After that time no submission of them can
-    /// still be in flight that would make them active again.
+    /// Deletes the records of claims that finished long ago. After that time no submission of them
+    /// can still be in flight that would make them active again.
     async fn delete_finished(&self, fence: &Condition) -> bool {
         let now = Instant::now();
         let retention = self.bounds.reclaim * FINISHED_RETENTION_BOUNDS;
@@ -201,7 +201,8 @@
     }
 }
 
-/// Divides writes into transactions of at most `max_writes` writes and [`MAX_TRANSACTION_BYTES`] bytes.
+/// Divides writes into transactions of at most `max_writes` writes and [`MAX_TRANSACTION_BYTES`]
+/// bytes.
 fn batches(writes: Vec<ShardWrite>, max_writes: usize) -> Vec<Vec<ShardWrite>> {
     let mut batches: Vec<Vec<ShardWrite>> = Vec::new();
     let mut bytes = 0;
--- a/crates/stonewheel-lending/src/executor/submission.rs
+++ b/crates/stonewheel-lending/src/executor/submission.rs
@@ -75,7 +75,8 @@
             match self.coordinator.commit(vec![condition], vec![write]).await {
                 Ok(_) => return Ok(()),
                 Err(StateError::Refused(_)) => return Err(ClaimFailure::Unavailable),
-                // The outcome is unknown; the refreshed records show whether the write was carried out.
+                // The outcome is unknown; the refreshed records show whether the write was carried
+                // out.
                 Err(_) => self.coordinator.refresh().await,
             }
         }
--- a/crates/stonewheel-lending/src/executor/term.rs
+++ b/crates/stonewheel-lending/src/executor/term.rs
@@ -49,8 +49,8 @@
             let holder = records.get::<HolderRecord>(HOLDER_KEY);
             (records.loaded(), holder, records.version(HOLDER_KEY))
         };
-        // The holder's record can't be parsed: its fencing token is unknown, so no controller may act
-        // as the holder.
+        // The holder's record can't be parsed: its fencing token is unknown, so no controller may
+        // act as the holder.
         if !loaded || (holder.is_none() && version > 0) {
             *lock(&self.term) = None;
             return;
@@ -112,7 +112,8 @@
         }
     }
 
-    /// One step of the holder: observes the machines, plans, writes the changes, and sends commands.
+    /// One step of the holder: observes the machines, plans, writes the changes, and sends
+    /// commands.
     async fn step_as_holder(
         self: &Arc<Self>,
         holder: &Versioned<HolderRecord>,
--- a/crates/stonewheel-lending/src/host.rs
+++ b/crates/stonewheel-lending/src/host.rs
@@ -18,8 +18,8 @@
     Done,
     /// The run was stopped after its progress was saved.
     Saved,
-    /// The run was stopped without saving, or its gang lost a machine. The work resumes from its last
-    /// checkpoint.
+    /// The run was stopped without saving, or its gang lost a machine. The work resumes from its
+    /// last checkpoint.
     Lost,
     /// The run could not be started on this machine.
     Failed,
@@ -74,8 +74,8 @@
     pub run: Option<RunReport>,
 }
 
-/// Revocable work outside its team's guarantee that a scheduler placed on a machine without a claim.
-/// The planner treats it as a loan that has no ledger entry yet.
+/// Revocable work outside its team's guarantee that a scheduler placed on a machine without a
+/// claim. The planner treats it as a loan that has no ledger entry yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnmanagedWorkload {
     /// The machine.
@@ -151,13 +151,14 @@
 
 /// Observes the machines, and sends commands to them.
 pub trait MachineHost: Send + Sync {
-    /// Whether this controller can reach the machines now. A controller that can't reach them releases
-    /// the ledger and doesn't acquire it.
+    /// Whether this controller can reach the machines now. A controller that can't reach them
+    /// releases the ledger and doesn't acquire it.
     fn eligible(&self) -> bool {
         true
     }
 
-    /// Returns the latest heartbeats of the machines. Heartbeats are answered with this fencing token.
+    /// Returns the latest heartbeats of the machines. Heartbeats are answered with this fencing
+    /// token.
     fn observe(&self, token: u64) -> BoxFuture<'_, Result<Observation, HostError>>;
 
     /// Sends a command to a machine.
--- a/crates/stonewheel-lending/src/ledger/mod.rs
+++ b/crates/stonewheel-lending/src/ledger/mod.rs
@@ -98,14 +98,15 @@
         self.unreadable_shards
     }
 
-    /// Whether the shard of a machine can be read. If it can't, the machine may have an entry that is
-    /// not known here.
+    /// Whether the shard of a machine can be read. If it can't, the machine may have an entry that
+    /// is not known here.
     pub fn can_read(&self, machine: &str) -> bool {
         let number = shard_of(machine, self.shards()) as usize;
         self.shards.get(number).is_some_and(|stored| !stored.is_unreadable())
     }
 
-    /// Whether a machine's entry can be written: its shard can be read and has capacity for the entry.
+    /// Whether a machine's entry can be written: its shard can be read and has capacity for the
+    /// entry.
     pub fn can_write(&self, machine: &str) -> bool {
         let stored = self.shards.get(shard_of(machine, self.shards()) as usize);
         stored.is_some_and(|stored| match &stored.shard {
@@ -114,7 +115,8 @@
         })
     }
 
-    /// Returns a machine's entry. None: the machine is available, provided that its shard can be read.
+    /// Returns a machine's entry. None: the machine is available, provided that its shard can be
+    /// read.
     pub fn get(&self, machine: &str) -> Option<&Entry> {
         self.entries.get(machine)
     }
@@ -134,8 +136,8 @@
         self.entries.is_empty()
     }
 
-    /// Returns the writes for a set of changes, one per shard. Leaves out changes of shards that can't
-    /// be read, and new entries for which a shard has no capacity.
+    /// Returns the writes for a set of changes, one per shard. Leaves out changes of shards that
+    /// can't be read, and new entries for which a shard has no capacity.
     pub fn writes(&self, transitions: Vec<Transition>) -> Result<Vec<ShardWrite>, StateError> {
         let mut by_shard: BTreeMap<u32, Vec<Transition>> = BTreeMap::new();
         for transition in
@@ -158,7 +160,11 @@
             if shard.set(&change, self.value_bytes) {
                 transitions.push(change);
             } else {
-                error!(shard = number, machine = %change.machine, "ledger shard full, change not written");
+                error!(
+                    shard = number,
+                    machine = %change.machine,
+                    "ledger shard full, change not written"
+                );
             }
         }
         let key = shard_key(number);
--- a/crates/stonewheel-lending/src/ledger/shard.rs
+++ b/crates/stonewheel-lending/src/ledger/shard.rs
@@ -10,8 +10,8 @@
 
 /// The size of the longest possible entry in bytes, including its machine's name.
 pub const MAX_ENTRY_BYTES: usize = 512;
-/// The number of entries that fit into a shard is divided by this when shards are counted, since the
-/// hash doesn't spread machine names evenly over the shards.
+/// The number of entries that fit into a shard is divided by this when shards are counted, since
+/// the hash doesn't spread machine names evenly over the shards.
 const FILL_DIVISOR: usize = 3;
 
 /// Returns the key of a shard.
--- a/crates/stonewheel-lending/src/lib.rs
+++ b/crates/stonewheel-lending/src/lib.rs
@@ -1,11 +1,11 @@
 //! Lending machines to batch work, and reclaiming them for work that is inside its team's
 //! guarantee.
 //!
-//! A [`claim`] requests machines for a workload. The [`ledger`] records durably which claim each machine
-//! is lent or granted to. [`accounts`] and [`planner`] are pure and compute the next changes, and
-//! [`orders`] derives the commands to machines. An [`Executor`] on each controller accepts claims; the
-//! executor of the controller that holds the ledger plans, writes the changes and sends the commands.
-//! `docs/design/lending.md` defines when a guarantee is kept.
+//! A [`claim`] requests machines for a workload. The [`ledger`] records durably which claim each
+//! machine is lent or granted to. [`accounts`] and [`planner`] are pure and compute the next
+//! changes, and [`orders`] derives the commands to machines. An [`Executor`] on each controller
+//! accepts claims; the executor of the controller that holds the ledger plans, writes the changes
+//! and sends the commands. `docs/design/lending.md` defines when a guarantee is kept.
 
 #![warn(missing_docs)]
 
--- a/crates/stonewheel-lending/src/observations.rs
+++ b/crates/stonewheel-lending/src/observations.rs
@@ -94,13 +94,14 @@
         self.reports.insert(report.machine.clone(), ReceivedReport { report, received_at });
     }
 
-    /// Returns the machines that are known to be gone: reported as gone, or returned by this holder.
+    /// Returns the machines that are known to be gone: reported as gone, or returned by this
+    /// holder.
     pub fn gone(&self) -> BTreeSet<MachineName> {
         self.gone.union(&self.retired).cloned().collect()
     }
 
-    /// Records when each loan entered its current state, and forgets loans that are no longer in the
-    /// ledger.
+    /// Records when each loan entered its current state, and forgets loans that are no longer in
+    /// the ledger.
     pub fn track_loans(&mut self, ledger: &Ledger, now: Instant) {
         let mut loan_states = HashMap::with_capacity(ledger.len());
         for (_, entry) in ledger.entries() {
@@ -113,7 +114,8 @@
         self.halted.retain(|loan| current.contains_key(loan));
     }
 
-    /// Returns how long a loan has been in its state, counted from when this holder first observed it.
+    /// Returns how long a loan has been in its state, counted from when this holder first observed
+    /// it.
     pub fn age(&self, entry: &Entry, now: Instant) -> Duration {
         let known = self.state_since(entry);
         known.map_or(Duration::ZERO, |known| now.saturating_duration_since(known.since))
@@ -141,8 +143,8 @@
         self.reports.iter().map(view).collect()
     }
 
-    /// Returns the machines with a ledger entry whose worker lease expired: no heartbeat arrived for a
-    /// lease's time, counted at the earliest from the start of this holder's term.
+    /// Returns the machines with a ledger entry whose worker lease expired: no heartbeat arrived
+    /// for a lease's time, counted at the earliest from the start of this holder's term.
     pub fn expired_leases(&self, ledger: &Ledger, now: Instant) -> Vec<MachineName> {
         let lease = self.times.worker_lease();
         let is_expired = |machine: &MachineName| {
@@ -166,8 +168,8 @@
     }
 
     /// Returns whether a call to a machine may begin now, and if so records it as in flight. A call
-    /// waits for the back-off, for the call in flight to the same machine, and while `max_calls` calls
-    /// are in flight.
+    /// waits for the back-off, for the call in flight to the same machine, and while `max_calls`
+    /// calls are in flight.
     pub fn begin_call(&mut self, machine: &MachineName, max_calls: usize, now: Instant) -> bool {
         let due = self.backoffs.get(machine).is_none_or(|backoff| backoff.due(now));
         let available = self.in_flight.len() < max_calls && !self.in_flight.contains(machine);
--- a/crates/stonewheel-lending/src/orders.rs
+++ b/crates/stonewheel-lending/src/orders.rs
@@ -135,8 +135,8 @@
     immediate: bool,
 }
 
-/// Halts the runs whose reclaim was requested, each on all its machines at the same time. Limits how
-/// many runs of a zone save at the same time, but delays no halt beyond the configured spread.
+/// Halts the runs whose reclaim was requested, each on all its machines at the same time. Limits
+/// how many runs of a zone save at the same time, but delays no halt beyond the configured spread.
 fn halts(input: &CommandInput<'_>, claims: &[(&ClaimId, ClaimEntries<'_>)]) -> Vec<MachineCommand> {
     let times = &input.settings.times;
     let mut saving: HashMap<u8, u32> = HashMap::new();
@@ -182,8 +182,8 @@
     command(input, machine, entry, CommandKind::Halt { grace })
 }
 
-/// Terminates a checkpoint that exceeds its grace period. Before that, repeats the halt for a machine
-/// that has lost it.
+/// Terminates a checkpoint that exceeds its grace period. Before that, repeats the halt for a
+/// machine that has lost it.
 fn terminate_or_repeat_halt(
     input: &CommandInput<'_>,
     machine: &MachineName,
--- a/crates/stonewheel-lending/src/planner/lend.rs
+++ b/crates/stonewheel-lending/src/planner/lend.rs
@@ -27,8 +27,8 @@
 }
 
 /// Requests the reclaim of machines that are needed to cover the guarantees, but are assigned to
-/// work outside its guarantee that can't be stopped. This happens after machines were lost. Machines
-/// on which the work already runs stay assigned; on the others the work must not start.
+/// work outside its guarantee that can't be stopped. This happens after machines were lost.
+/// Machines on which the work already runs stay assigned; on the others the work must not start.
 fn reclaim_uncovered(builder: &mut PlanBuilder<'_>) {
     let guaranteed = builder.input.settings.guaranteed();
     for index in (0..builder.input.claims.len()).rev() {
--- a/crates/stonewheel-lending/src/planner/model.rs
+++ b/crates/stonewheel-lending/src/planner/model.rs
@@ -19,8 +19,8 @@
     pub session: u64,
     /// Whether a heartbeat arrived within the last few probe intervals.
     pub reachable: bool,
-    /// Whether the latest report confirms the fencing token of this holder. From then on the machine
-    /// rejects commands of earlier holders.
+    /// Whether the latest report confirms the fencing token of this holder. From then on the
+    /// machine rejects commands of earlier holders.
     pub confirmed: bool,
     /// Whether the machine is about to be taken out of service.
     pub leaving: bool,
--- a/crates/stonewheel-lending/src/planner/plan_builder.rs
+++ b/crates/stonewheel-lending/src/planner/plan_builder.rs
@@ -120,8 +120,8 @@
         self.active(index).claim.machines.saturating_sub(obtained as u32)
     }
 
-    /// Returns how many more machines a claim's team may use below its ceiling, beyond those that it
-    /// uses and those being reclaimed for it.
+    /// Returns how many more machines a claim's team may use below its ceiling, beyond those that
+    /// it uses and those being reclaimed for it.
     pub fn headroom(&self, index: usize) -> u32 {
         let team = &self.active(index).claim.team;
         let account = self.accounts.team(team);
--- a/crates/stonewheel-lending/src/planner/serve.rs
+++ b/crates/stonewheel-lending/src/planner/serve.rs
@@ -149,8 +149,8 @@
     adopted
 }
 
-/// Requests the reclaim of whole runs, and makes the claim the claimant of as many of their machines
-/// as it needs and its ceiling allows.
+/// Requests the reclaim of whole runs, and makes the claim the claimant of as many of their
+/// machines as it needs and its ceiling allows.
 fn reclaim(builder: &mut PlanBuilder<'_>, index: usize, to_reclaim: u32, victim_indexes: &[usize]) {
     let grace_ms = grace_ms(builder);
     let id = builder.active(index).id.clone();
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -14,8 +14,8 @@
     ledger::{ChangeReason, Entry, LoanState},
 };
 
-/// Returns the batch claims whose work is complete. If one machine of a gang reports completion, the
-/// whole gang is complete.
+/// Returns the batch claims whose work is complete. If one machine of a gang reports completion,
+/// the whole gang is complete.
 pub(super) fn completed_claims(input: &PlannerInput<'_>) -> Vec<ClaimId> {
     let mut done = BTreeSet::new();
     for (machine, entry) in input.ledger.entries() {
@@ -115,7 +115,8 @@
     } else {
         (leaving, ChangeReason::Leaving)
     };
-    // Work that doesn't save in time loses its progress either way, so an early stop has no benefit.
+    // Work that doesn't save in time loses its progress either way, so an early stop has no
+    // benefit.
     if gang && !revocable && reason == ChangeReason::Incomplete && !partially_stopped && !lost {
         return;
     }
@@ -161,8 +162,8 @@
     }
 }
 
-/// Withdraws the reclaim of complete runs that no claimant needs, or that are inside their guarantee
-/// now, if no halt has been sent to them.
+/// Withdraws the reclaim of complete runs that no claimant needs, or that are inside their
+/// guarantee now, if no halt has been sent to them.
 pub(super) fn withdraw_requests(builder: &mut PlanBuilder<'_>) {
     for index in 0..builder.input.claims.len() {
         let account = &builder.accounts.claims[index];
--- a/crates/stonewheel-lending/src/planner/victims.rs
+++ b/crates/stonewheel-lending/src/planner/victims.rs
@@ -1,5 +1,5 @@
-//! Victim selection: chooses the runs that are preempted for a claim. Runs are preempted on all their
-//! machines, those with the least lost work first.
+//! Victim selection: chooses the runs that are preempted for a claim. Runs are preempted on all
+//! their machines, those with the least lost work first.
 
 use super::plan_builder::PlanBuilder;
 use crate::{
@@ -38,8 +38,8 @@
     AllTeams,
 }
 
-/// Runs chosen so far, and their machines. Machines of the claim's own team count against the team's
-/// ceiling already, so they don't reduce its headroom.
+/// Runs chosen so far, and their machines. Machines of the claim's own team count against the
+/// team's ceiling already, so they don't reduce its headroom.
 #[derive(Debug, Default)]
 struct Chosen {
     runs: Vec<Candidate>,
@@ -115,8 +115,8 @@
     }
 }
 
-/// Removes chosen runs without which the claim still gets its machines, those with the most lost work
-/// first.
+/// Removes chosen runs without which the claim still gets its machines, those with the most lost
+/// work first.
 fn drop_unneeded(
     builder: &PlanBuilder<'_>,
     claim_index: usize,
@@ -160,8 +160,8 @@
 }
 
 /// Returns the seconds of work lost per machine if a run is preempted: the largest loss among its
-/// machines. For an unreachable machine the loss is the worker lease, since it may take that long to
-/// prove that the machine is empty.
+/// machines. For an unreachable machine the loss is the worker lease, since it may take that long
+/// to prove that the machine is empty.
 fn loss_s<'a>(
     builder: &PlanBuilder<'_>,
     claim_index: usize,
--- a/crates/stonewheel-lending/src/reserve.rs
+++ b/crates/stonewheel-lending/src/reserve.rs
@@ -56,9 +56,9 @@
 }
 
 impl Reserve {
-    /// `release_retention`: how long released machines stay reserved. `rise_retention`: how long a rise
-    /// of demand is taken into account. `reclaim_time`: the time of a reclaim; demand that rises faster
-    /// can't be served by reclaims in time.
+    /// `release_retention`: how long released machines stay reserved. `rise_retention`: how long a
+    /// rise of demand is taken into account. `reclaim_time`: the time of a reclaim; demand that
+    /// rises faster can't be served by reclaims in time.
     pub fn new(
         release_retention: Duration,
         rise_retention: Duration,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Returns the number of free machines to reserve for each team, at most what its demand is below
-    /// its guarantee.
+    /// Returns the number of free machines to reserve for each team, at most what its demand is
+    /// below its guarantee.
     pub fn machines(&self, teams: &Teams) -> BTreeMap<TeamName, u32> {
         let reserved = |(name, demand): (&TeamName, &Demand)| {
             let below_guarantee = teams.get(name)?.guarantee.saturating_sub(demand.current);
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -26,8 +26,8 @@
     /// How long a call to a machine may take.
     #[garde(range(min = 0.001, max = 1e4))]
     pub order_s: f64,
-    /// How long work may save a checkpoint when it is stopped. Work that takes longer is irrevocable
-    /// and is lent no machine that covers a guarantee.
+    /// How long work may save a checkpoint when it is stopped. Work that takes longer is
+    /// irrevocable and is lent no machine that covers a guarantee.
     #[garde(range(max = 1e5), custom(at_least("look_s", self.look_s)))]
     pub grace_s: f64,
     /// How long a machine may go without a heartbeat before it is returned.
@@ -39,7 +39,8 @@
     /// The maximum number of runs of one zone that are halted to save at the same time.
     #[garde(range(min = 1.0, max = 1e6), custom(whole))]
     pub halts_a_zone: f64,
-    /// How long machines that a team's claims inside its guarantee released stay reserved for the team.
+    /// How long machines that a team's claims inside its guarantee released stay reserved for the
+    /// team.
     #[garde(range(max = 1e6), custom(at_least("grace_s", self.grace_s)))]
     pub settle_s: f64,
     /// How long the largest rise of a team's demand is taken into account for its reserve.
@@ -79,8 +80,8 @@
     SECTIONS.contain(name)
 }
 
-/// Reads the sections of lending from the sections of an INI file, and ignores others. Returns none if
-/// there is no section `lending`.
+/// Reads the sections of lending from the sections of an INI file, and ignores others. Returns none
+/// if there is no section `lending`.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<LendingSettings>, FieldError> {
--- a/crates/stonewheel-lending/src/unmanaged.rs
+++ b/crates/stonewheel-lending/src/unmanaged.rs
@@ -1,5 +1,5 @@
-//! Unmanaged workloads: work that a scheduler placed on a machine without a claim. The planner treats
-//! each as a loan of its machine.
+//! Unmanaged workloads: work that a scheduler placed on a machine without a claim. The planner
+//! treats each as a loan of its machine.
 
 use std::collections::BTreeMap;
 
@@ -26,8 +26,8 @@
     pub next_number: u64,
 }
 
-/// Adds a claim outside all guarantees and a loan for each unmanaged workload on a machine without a
-/// ledger entry. Also sets the run in the machine's view, so that the loan appears as running.
+/// Adds a claim outside all guarantees and a loan for each unmanaged workload on a machine without
+/// a ledger entry. Also sets the run in the machine's view, so that the loan appears as running.
 /// `next_number`: the number of the holder's next loan.
 pub(crate) fn combine(
     claims: &[ActiveClaim],
@@ -58,8 +58,8 @@
         let entry =
             Entry::lend(loan, None, workload.team.clone(), claim.clone(), ChangeReason::Free);
         combined.ledger.set(&Transition { machine: machine.clone(), after: Some(entry) });
-        // The empty team name has no guarantee, so the claim is outside of any. The highest admission
-        // order places the claim after all others.
+        // The empty team name has no guarantee, so the claim is outside of any. The highest
+        // admission order places the claim after all others.
         let (team, work) = (TeamName::from(""), workload.work);
         let unmanaged_claim = Claim { team, machines: 1, gpus: 0.0, work };
         combined.claims.push(ActiveClaim {
