--- a/crates/stonewheel-lending/src/planner/lend.rs
+++ b/crates/stonewheel-lending/src/planner/lend.rs
@@ -17,18 +17,19 @@
     let guaranteed = builder.input.settings.guaranteed();
     let covered = builder.usable >= guaranteed;
     reclaim_uncovered(builder);
-    let lends = covered && supply == GuaranteedSupply::Sufficient && builder.input.may_lend;
+    let lending_allowed =
+        covered && supply == GuaranteedSupply::Sufficient && builder.input.may_lend;
     for index in 0..builder.input.claims.len() {
         if !builder.accounts.claims[index].inside {
-            let reason = lend_to_claim(builder, index, lends);
+            let reason = lend_to_claim(builder, index, lending_allowed);
             builder.set_wait_reason(index, reason);
         }
     }
 }
 
 /// Requests the reclaim of machines that are needed to cover the guarantees, but are assigned to
-/// work outside its guarantee that can't be stopped. This happens after machines were lost.
-/// Machines on which the work already runs stay assigned; on the others the work must not start.
+/// irrevocable work outside its guarantee. This happens after machines were lost. Machines on which
+/// the work already runs stay assigned; on the others the work must not start (again).
 fn reclaim_uncovered(builder: &mut PlanBuilder<'_>) {
     let guaranteed = builder.input.settings.guaranteed();
     for index in (0..builder.input.claims.len()).rev() {
@@ -48,7 +49,7 @@
     }
 }
 
-fn lend_to_claim(builder: &mut PlanBuilder<'_>, index: usize, lends: bool) -> WaitReason {
+fn lend_to_claim(builder: &mut PlanBuilder<'_>, index: usize, lending_allowed: bool) -> WaitReason {
     let account = &builder.accounts.claims[index];
     let (stopping, revocable) = (!account.stopping.is_empty(), account.revocable);
     let need = builder.missing_machines(index);
@@ -59,7 +60,7 @@
     if need == 0 || (gang && stopping) {
         return WaitReason::Stopping;
     }
-    if !lends {
+    if !lending_allowed {
         return WaitReason::NotLending;
     }
     if builder.is_full() {
@@ -91,9 +92,9 @@
     (builder.free.len() as u32).saturating_sub(reserve)
 }
 
-/// Returns the number of usable machines that neither cover a guarantee nor run work outside its
-/// guarantee that can't be stopped. Only these may be granted to irrevocable work outside its
-/// guarantee, since they could not be reclaimed for a claim inside its guarantee.
+/// Returns the number of usable machines that neither cover a guarantee nor run irrevocable work
+/// outside its guarantee. Only these may be granted to such work: any other machine covers a
+/// guarantee, and could not be reclaimed in time from irrevocable work.
 fn uncommitted_machines(builder: &PlanBuilder<'_>) -> u32 {
     let guaranteed = builder.input.settings.guaranteed();
     builder.usable.saturating_sub(guaranteed + builder.accounts.outside_irrevocable)
--- a/crates/stonewheel-lending/src/planner/settle.rs
+++ b/crates/stonewheel-lending/src/planner/settle.rs
@@ -163,7 +163,8 @@
 }
 
 /// Withdraws the reclaim of complete runs that no claimant needs, or that are inside their
-/// guarantee now, if no halt has been sent to them.
+/// guarantee now, if no halt has been sent to them. Only reclaims that were requested for a claim
+/// are withdrawn, not those for other reasons such as a machine that leaves.
 pub(super) fn withdraw_requests(builder: &mut PlanBuilder<'_>) {
     for index in 0..builder.input.claims.len() {
         let account = &builder.accounts.claims[index];
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -12,8 +12,8 @@
 const SECTIONS: PartSections =
     PartSections { general: "lending", prefix: "lending-team ", table: "teams" };
 
-/// The minimum number of probes within a worker lease. With fewer, missing heartbeats
-/// don't show reliably that a machine is lost.
+/// The minimum number of probes within a worker lease. With fewer, missing heartbeats don't
+/// show reliably that a machine is lost.
 const MIN_PROBES_PER_LEASE: f64 = 3.0;
 
 /// Times and sizes; times in seconds.
