--- a/crates/stonewheel-lending/src/accounts.rs
+++ b/crates/stonewheel-lending/src/accounts.rs
@@ -14,16 +14,16 @@
 /// claims are counted first, then revocable ones, each group in admission order.
 pub fn inside_guarantee(claims: &[ActiveClaim], teams: &Teams, grace_s: f64) -> Vec<bool> {
     let mut inside = vec![false; claims.len()];
-    let mut asked: HashMap<&TeamName, u32> = HashMap::new();
+    let mut requested: HashMap<&TeamName, u32> = HashMap::new();
     for revocable in [false, true] {
         for (index, active) in claims.iter().enumerate() {
             let claim = &active.claim;
             if claim.is_revocable(grace_s) != revocable {
                 continue;
             }
-            let asked = asked.entry(&claim.team).or_default();
-            *asked = asked.saturating_add(claim.machines);
-            inside[index] = teams.get(&claim.team).is_some_and(|team| *asked <= team.guarantee);
+            let requested = requested.entry(&claim.team).or_default();
+            *requested = requested.saturating_add(claim.machines);
+            inside[index] = teams.get(&claim.team).is_some_and(|team| *requested <= team.guarantee);
         }
     }
     inside
--- a/crates/stonewheel-lending/src/host.rs
+++ b/crates/stonewheel-lending/src/host.rs
@@ -47,7 +47,7 @@
     pub claim: ClaimId,
     /// The state of the run.
     pub state: RunState,
-    /// Seconds of work since its last checkpoint.
+    /// Seconds of work since the last checkpoint, which are lost if the run ends without saving.
     pub unsaved_s: f64,
     /// Whether a periodic checkpoint is in progress.
     pub checkpointing: bool,
@@ -84,7 +84,7 @@
     pub team: TeamName,
     /// The kind of work, with its checkpoint times.
     pub work: Work,
-    /// Seconds of work since its last checkpoint.
+    /// Seconds of work since the last checkpoint, which are lost if the run ends without saving.
     pub unsaved_s: f64,
 }
 
