--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -1,35 +1,37 @@
-//! The bound on how long a claim inside its guarantee waits.
+//! The bounds on how long a claim inside its guarantee waits for its machines.
 
 use stonewheel_coordination::ADOPTION_PARTS;
 use tokio::time::Duration;
 
 use crate::{
-    backoff::longest_pause,
+    backoff::max_pause,
     settings::{LendingSettings, Times},
 };
 
-/// The claim, the halt's acknowledgement, the end and the release are each seen within
-/// one probe interval.
-const PROBES: u32 = 4;
-/// Request, release and grant are each one write.
-const WRITES: u32 = 3;
-/// Halt, end, return of a silent machine, start.
-const ORDERS: u32 = 4;
-/// The new holder probes once before it adopts and once before it plans.
-const TAKEOVER_PROBES: u32 = 2;
+/// Probe intervals per reclaim: the claim, the acknowledgement of the halt, the end of the work and
+/// the release are each observed within one.
+const PROBES_PER_RECLAIM: u32 = 4;
+/// Writes per reclaim: request, release and grant.
+const WRITES_PER_RECLAIM: u32 = 3;
+/// Calls to machines per reclaim: halt, termination, return of an unreachable machine, and start.
+const CALLS_PER_RECLAIM: u32 = 4;
+/// Probe intervals per takeover: the new holder probes once before it acquires the
+/// ledger and once before it plans.
+const PROBES_PER_TAKEOVER: u32 = 2;
 
 /// Bounds that follow from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// From a claim inside its guarantee to its start, while one holder acts.
+    /// The time from the submission of a claim inside its guarantee to the start of its work, while
+    /// the holder of the ledger doesn't change.
     pub reclaim: Duration,
-    /// How much longer it takes when the holder is lost meanwhile.
+    /// The additional time if the holder fails meanwhile.
     pub takeover: Duration,
 }
 
 impl Bounds {
-    /// `session`: how long a controller's session outlives its last renewal.
-    /// `state_timeout`: how long a write may take. `members`: controllers.
+    /// Computes the bounds. `session`: how long a controller's session stays valid after its last
+    /// renewal. `state_timeout`: how long a write may take. `members`: the number of controllers.
     pub fn of(
         settings: &LendingSettings,
         session: Duration,
@@ -39,16 +41,16 @@
         let times = &settings.times;
         let takeover = session
             + session / ADOPTION_PARTS * members
-            + times.probe_interval() * TAKEOVER_PROBES
+            + times.probe_interval() * PROBES_PER_TAKEOVER
             + state_timeout;
         Self { reclaim: reclaim(times, state_timeout), takeover }
     }
 }
 
 fn reclaim(times: &Times, state_timeout: Duration) -> Duration {
-    let seen = times.probe_interval() * PROBES;
-    let written = state_timeout * WRITES;
-    let ordered = times.order_timeout() * ORDERS + longest_pause(times);
-    let saved = times.spread() + times.grace_period();
-    seen + written + ordered + saved + times.worker_lease()
+    let probing = times.probe_interval() * PROBES_PER_RECLAIM;
+    let writing = state_timeout * WRITES_PER_RECLAIM;
+    let calling = times.command_timeout() * CALLS_PER_RECLAIM + max_pause(times);
+    let saving = times.halt_spread() + times.grace_period();
+    probing + writing + calling + saving + times.worker_lease()
 }
--- a/crates/stonewheel-lending/src/executor/planning.rs
+++ b/crates/stonewheel-lending/src/executor/planning.rs
@@ -1,4 +1,4 @@
-//! Planning, and writing what was planned.
+//! Planning, and writing the planned changes.
 
 use std::collections::HashMap;
 
@@ -19,27 +19,28 @@
     unmanaged::{combine, is_unmanaged},
 };
 
-/// Changes that one plan begins, in transactions.
-const TRANSACTIONS_A_PLAN: usize = 4;
-/// What a transaction may take, in bytes; the rest of its limit is for conditions.
-const TRANSACTION_BYTES: usize = 48 * 1024;
-/// Records of finished claims are kept for so many reclaim bounds.
-const KEPT_BOUNDS: u32 = 4;
+/// The number of transactions that the changes of one plan may fill.
+const TRANSACTIONS_PER_PLAN: usize = 4;
+/// The maximum size of the values in one transaction, in bytes. The rest of the state service's
+/// limit is left for conditions.
+const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
+/// How long records of finished claims are kept, as a multiple of the reclaim bound.
+const FINISHED_RETENTION_BOUNDS: u32 = 4;
 
-/// What is to be written.
-pub(super) struct Step {
+/// A plan, with the writes that carry it out.
+pub(super) struct PreparedPlan {
     plan: Plan,
     writes: Vec<ShardWrite>,
 }
 
 impl Executor {
-    /// Plans from the records and an observation. None: another term has begun, or a write
-    /// can't be encoded.
-    pub(super) fn plan(&self, epoch: u64, observation: Observation) -> Option<Step> {
+    /// Plans from the current records and an observation. Returns none if the term of `epoch` has
+    /// ended or a write can't be encoded.
+    pub(super) fn plan(&self, epoch: u64, observation: Observation) -> Option<PreparedPlan> {
         let now = Instant::now();
         let mut claims = lock(&self.claims);
-        let mut held = lock(&self.term);
-        let term = held.as_mut().filter(|term| term.observations.epoch == epoch)?;
+        let mut guard = lock(&self.term);
+        let term = guard.as_mut().filter(|term| term.observations.epoch == epoch)?;
         {
             let records = self.coordinator.records();
             term.ledger.refresh(&records);
@@ -50,7 +51,7 @@
         term.observations.track_loans(&term.ledger, now);
         let active = claims.active();
         let teams = &self.settings.teams;
-        let inside = accounts::inside(active, teams, self.settings.times.grace_s);
+        let inside = accounts::inside_guarantee(active, teams, self.settings.times.grace_s);
         term.reserve.record(now, &accounts::entitlements(active, &inside, teams));
         let mut views = term.observations.views(now);
         let number = term.next_number;
@@ -65,47 +66,53 @@
             gone: &term.observations.gone(),
             halted: term.observations.halted(),
             reserve: &term.reserve.machines(teams),
-            may_lend: now >= term.may_lend_from,
+            may_lend: now >= term.may_lend_at,
             epoch,
             next_number: combined.map_or(number, |combined| combined.next_number),
-            max_changes: self.limits.transaction_writes * TRANSACTIONS_A_PLAN,
+            max_changes: self.limits.transaction_writes * TRANSACTIONS_PER_PLAN,
         });
         plan.reasons.retain(|claim, _| !is_unmanaged(claim));
-        // Numbers of a plan that is not written are not used again.
+        // Loan numbers of a plan that isn't written are never reused.
         term.next_number = plan.next_number;
         let writes = term.ledger.writes(plan.transitions.clone()).ok()?;
         self.record_wait_reasons(term, &plan, now);
-        Some(Step { plan, writes })
+        Some(PreparedPlan { plan, writes })
     }
 
+    /// Records the wait reason of each claim, and logs and counts changes.
     fn record_wait_reasons(&self, term: &mut Term, plan: &Plan, now: Instant) {
         let mut counters = lock(&self.counters);
         for (claim, reason) in &plan.reasons {
             if *reason != WaitReason::Served {
-                term.waits_since.entry(claim.clone()).or_insert(now);
+                term.waiting_since.entry(claim.clone()).or_insert(now);
                 if term.reasons.get(claim) != Some(reason) {
                     info!(%claim, ?reason, "claim waiting");
                 }
-            } else if let Some(since) = term.waits_since.remove(claim) {
+            } else if let Some(since) = term.waiting_since.remove(claim) {
                 let waited = now - since;
                 counters.served += 1;
                 counters.longest_wait = counters.longest_wait.max(waited);
                 info!(%claim, waited_s = waited.as_secs_f64(), "claim served");
             }
         }
-        term.waits_since.retain(|claim, _| plan.reasons.contains_key(claim));
+        term.waiting_since.retain(|claim, _| plan.reasons.contains_key(claim));
         term.reasons.clone_from(&plan.reasons);
     }
 
-    /// Writes what was planned. False if anything failed, or may have.
-    pub(super) async fn carry_out(&self, holder: &Versioned<HolderRecord>, step: Step) -> bool {
+    /// Writes the planned changes and deletes the records of claims that finished long ago. Returns
+    /// false if a write failed or its outcome is unknown.
+    pub(super) async fn execute(
+        &self,
+        holder: &Versioned<HolderRecord>,
+        prepared: PreparedPlan,
+    ) -> bool {
         let fence = Condition { key: HOLDER_KEY.into(), version: holder.version };
-        for claim in &step.plan.done {
-            if !self.finish(&fence, claim).await {
+        for claim in &prepared.plan.done {
+            if !self.record_completion(&fence, claim).await {
                 return false;
             }
         }
-        for batch in batches(step.writes, self.limits.transaction_writes) {
+        for batch in batches(prepared.writes, self.limits.transaction_writes) {
             let mut conditions = vec![fence.clone()];
             let mut writes = Vec::new();
             let mut transitions = Vec::new();
@@ -123,7 +130,8 @@
         self.delete_finished(&fence).await
     }
 
-    async fn finish(&self, fence: &Condition, claim: &ClaimId) -> bool {
+    /// Marks a claim as done.
+    async fn record_completion(&self, fence: &Condition, claim: &ClaimId) -> bool {
         let key = claim_key(claim);
         let version = match lock(&self.claims).get(claim) {
             Some((ClaimRecord::Active(_), version)) => version,
@@ -138,25 +146,26 @@
         written.is_ok()
     }
 
-    /// Deletes the records of claims that finished long ago: no submission of them can still
-    /// be in flight.
+    /// Deletes the records of claims that finished long ago. After that time no submission of them
+    /// can still be in flight that would make them active again.
     async fn delete_finished(&self, fence: &Condition) -> bool {
         let now = Instant::now();
-        let kept = self.bounds.reclaim * KEPT_BOUNDS;
-        let old: Vec<(ClaimId, u64)> = {
+        let retention = self.bounds.reclaim * FINISHED_RETENTION_BOUNDS;
+        let expired: Vec<(ClaimId, u64)> = {
             let claims = lock(&self.claims);
-            let mut held = lock(&self.term);
-            let Some(term) = held.as_mut() else { return false };
-            let over: HashMap<ClaimId, u64> =
+            let mut guard = lock(&self.term);
+            let Some(term) = guard.as_mut() else { return false };
+            let finished: HashMap<ClaimId, u64> =
                 claims.finished().map(|(c, v)| (c.clone(), v)).collect();
-            term.finished_since.retain(|claim, _| over.contains_key(claim));
-            for claim in over.keys() {
+            term.finished_since.retain(|claim, _| finished.contains_key(claim));
+            for claim in finished.keys() {
                 term.finished_since.entry(claim.clone()).or_insert(now);
             }
-            let old = over.into_iter().filter(|(c, _)| now >= term.finished_since[c] + kept);
-            old.take(self.limits.transaction_writes).collect()
+            let expired =
+                finished.into_iter().filter(|(c, _)| now >= term.finished_since[c] + retention);
+            expired.take(self.limits.transaction_writes).collect()
         };
-        if old.is_empty() {
+        if expired.is_empty() {
             return true;
         }
         let condition = |(claim, version): &(ClaimId, u64)| Condition {
@@ -164,11 +173,13 @@
             version: *version,
         };
         let mut conditions = vec![fence.clone()];
-        conditions.extend(old.iter().map(condition));
-        let writes = old.iter().map(|(claim, _)| Write::Delete { key: claim_key(claim) }).collect();
+        conditions.extend(expired.iter().map(condition));
+        let writes =
+            expired.iter().map(|(claim, _)| Write::Delete { key: claim_key(claim) }).collect();
         self.commit(conditions, writes).await.is_ok()
     }
 
+    /// Counts and logs the changes of a committed transaction.
     fn record_transitions(&self, transitions: &[Transition]) {
         let mut counters = lock(&self.counters);
         counters.transactions += 1;
@@ -183,15 +194,16 @@
                 LoanState::ReclaimRequested => counters.reclaims += 1,
                 LoanState::Checkpointing | LoanState::Released => {}
             }
-            let why = entry.history.last().map(|change| change.why);
+            let why = entry.history.last().map(|change| change.reason);
             let (claim, state, loan) = (&entry.claim, entry.state, entry.loan);
             info!(%machine, %claim, ?state, ?why, ?loan, claimant = ?entry.claimant, "loan changed");
         }
     }
 }
 
-/// Divides writes into transactions.
-fn batches(writes: Vec<ShardWrite>, most: usize) -> Vec<Vec<ShardWrite>> {
+/// Divides writes into transactions of at most `max_writes` writes and [`MAX_TRANSACTION_BYTES`]
+/// bytes.
+fn batches(writes: Vec<ShardWrite>, max_writes: usize) -> Vec<Vec<ShardWrite>> {
     let mut batches: Vec<Vec<ShardWrite>> = Vec::new();
     let mut bytes = 0;
     for write in writes {
@@ -199,8 +211,8 @@
             Write::Put { value, .. } => value.get().len(),
             Write::Delete { .. } => 0,
         };
-        let room = batches.last().is_some_and(|batch| batch.len() < most);
-        if !room || bytes + size > TRANSACTION_BYTES {
+        let has_capacity = batches.last().is_some_and(|batch| batch.len() < max_writes);
+        if !has_capacity || bytes + size > MAX_TRANSACTION_BYTES {
             batches.push(Vec::new());
             bytes = 0;
         }
--- a/crates/stonewheel-lending/src/unmanaged.rs
+++ b/crates/stonewheel-lending/src/unmanaged.rs
@@ -1,33 +1,34 @@
-//! Unmanaged workloads: work that a scheduler placed on a machine without a claim. For a
-//! plan it counts as a loan of that machine.
+//! Unmanaged workloads: work that a scheduler placed on a machine without a claim. The planner
+//! treats each as a loan of its machine.
 
 use std::collections::BTreeMap;
 
 use crate::{
     claim::{ActiveClaim, Claim, ClaimId, MachineName, TeamName},
     host::{RunReport, RunState, UnmanagedWorkload},
-    ledger::{Entry, Ledger, LoanId, Transition, Why},
+    ledger::{ChangeReason, Entry, Ledger, LoanId, Transition},
     planner::MachineView,
 };
 
-/// The ids of claims for unmanaged workloads begin with this, and no other: names don't
-/// have a colon. Ids are stored with the loans that are reclaimed, so it never changes.
-const PREFIX: &str = "resident:";
+/// The prefix of the ids of claims for unmanaged workloads. No submitted claim has it, since names
+/// can't contain a colon. The ids are stored with reclaimed loans, so the prefix must never change.
+const UNMANAGED_CLAIM_PREFIX: &str = "resident:";
 
 /// Whether a claim represents an unmanaged workload.
 pub(crate) fn is_unmanaged(claim: &str) -> bool {
-    claim.starts_with(PREFIX)
+    claim.starts_with(UNMANAGED_CLAIM_PREFIX)
 }
 
-/// Claims and ledger for a plan, unmanaged workloads included.
+/// The claims and the ledger for a plan, including unmanaged workloads.
 pub(crate) struct CombinedState {
     pub claims: Vec<ActiveClaim>,
     pub ledger: Ledger,
     pub next_number: u64,
 }
 
-/// Adds a claim outside all guarantees and a loan for each unmanaged workload on a machine
-/// that has no entry. `next_number`: the number of the holder's next loan.
+/// Adds a claim outside all guarantees and a loan for each unmanaged workload on a machine without
+/// a ledger entry. Also sets the run in the machine's view, so that the loan appears as running.
+/// `next_number`: the number of the holder's next loan.
 pub(crate) fn combine(
     claims: &[ActiveClaim],
     ledger: &Ledger,
@@ -41,12 +42,12 @@
     for workload in unmanaged {
         let machine = &workload.machine;
         let Some(view) = views.get_mut(machine) else { continue };
-        if ledger.get(machine).is_some() || !ledger.takes(machine) {
+        if ledger.get(machine).is_some() || !ledger.can_write(machine) {
             continue;
         }
         let loan = LoanId { epoch, number: combined.next_number };
         combined.next_number += 1;
-        let claim = ClaimId::from(format!("{PREFIX}{machine}"));
+        let claim = ClaimId::from(format!("{UNMANAGED_CLAIM_PREFIX}{machine}"));
         view.run = Some(RunReport {
             loan,
             claim: claim.clone(),
@@ -54,12 +55,18 @@
             unsaved_s: workload.unsaved_s,
             checkpointing: false,
         });
-        let entry = Entry::lend(loan, None, workload.team.clone(), claim.clone(), Why::Free);
+        let entry =
+            Entry::lend(loan, None, workload.team.clone(), claim.clone(), ChangeReason::Free);
         combined.ledger.set(&Transition { machine: machine.clone(), after: Some(entry) });
-        // Of a team without a guarantee, so outside of one, and after all others.
+        // The empty team name has no guarantee, so the claim is outside of any. The highest
+        // admission order places the claim after all others.
         let (team, work) = (TeamName::from(""), workload.work);
-        let claim_of_it = Claim { team, machines: 1, gpus: 0.0, work };
-        combined.claims.push(ActiveClaim { id: claim, claim: claim_of_it, order: u64::MAX });
+        let unmanaged_claim = Claim { team, machines: 1, gpus: 0.0, work };
+        combined.claims.push(ActiveClaim {
+            id: claim,
+            claim: unmanaged_claim,
+            admission_order: u64::MAX,
+        });
     }
     combined
 }
