--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -277,11 +277,11 @@
         };
         let session = self.coordinator.session();
         model.plan(&Situation {
-            me: self.coordinator.me(),
+            me: self.coordinator.identity(),
             records: &self.coordinator.records(),
             session,
             settings: &self.settings,
-            session_ttl: self.coordinator.timing().session,
+            session_ttl: self.coordinator.timing().session_ttl,
             new_job: &new_job,
             jitter,
             now: Instant::now(),
@@ -345,7 +345,7 @@
     }
 
     fn use_key(&self, model: &Model) -> String {
-        use_key(&model.name, &self.coordinator.me().member)
+        use_key(&model.name, &self.coordinator.identity().member)
     }
 
     fn order(&self, model: &Model, record: &Versioned<ActivationRecord>) -> Option<ReplicaOrder> {
--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -324,7 +324,7 @@
             wanted: self.held() > 0,
             marked,
             idle_here: quiet && now >= idle_at,
-            used: records.names(&use_prefix(&self.name)).next().is_some(),
+            used: records.key_suffixes(&use_prefix(&self.name)).next().is_some(),
             requested: &progress.requested,
             observed: &progress.observed,
             stopped: progress.stopped,
--- a/crates/stonewheel-activation/tests/common/controllers.rs
+++ b/crates/stonewheel-activation/tests/common/controllers.rs
@@ -51,7 +51,7 @@
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runs");
             runtime.block_on(async move {
                 let stop = CancellationToken::new();
-                let timing = Timing { session, state_timeout: session / 4 };
+                let timing = Timing { session_ttl: session, state_timeout: session / 4 };
                 let incarnation = at as u64;
                 let coordinator =
                     coordinated(&state, &client, (at, size), incarnation, timing, &stop);
--- a/crates/stonewheel-coordination/src/coordinator.rs
+++ b/crates/stonewheel-coordination/src/coordinator.rs
@@ -25,7 +25,7 @@
 
 /// One controller's part in the coordination. All parts of a controller share it.
 pub struct Coordinator {
-    me: Owner,
+    identity: Owner,
     members: Vec<String>,
     timing: Timing,
     store: Store,
@@ -39,9 +39,9 @@
 impl Coordinator {
     /// `me`: this process. `members`: the names of all controllers, this one among
     /// them.
-    pub fn new(me: Owner, members: Vec<String>, timing: Timing, store: Store) -> Arc<Self> {
+    pub fn new(identity: Owner, members: Vec<String>, timing: Timing, store: Store) -> Arc<Self> {
         Arc::new(Self {
-            me,
+            identity,
             members,
             timing,
             store,
@@ -53,8 +53,8 @@
     }
 
     /// This process.
-    pub fn me(&self) -> &Owner {
-        &self.me
+    pub fn identity(&self) -> &Owner {
+        &self.identity
     }
 
     /// The names of all controllers.
@@ -70,7 +70,7 @@
     /// The time between two renewals of a session, and so how soon a lost one may be
     /// there again.
     pub fn renewal_interval(&self) -> Duration {
-        self.timing.session / RENEWALS_PER_LEASE
+        self.timing.session_ttl / RENEWALS_PER_LEASE
     }
 
     /// The records, as last read.
@@ -138,7 +138,7 @@
         loop {
             let loaded = lock(&self.records).loaded;
             let result =
-                if loaded { self.follow(self.timing.session).await } else { self.load().await };
+                if loaded { self.follow(self.timing.session_ttl).await } else { self.load().await };
             match result {
                 Ok(()) => {}
                 Err(StateError::RevisionTooOld) => lock(&self.records).loaded = false,
@@ -178,7 +178,7 @@
         mut conditions: Vec<Condition>,
         writes: Vec<Write>,
     ) -> Result<u64, StateError> {
-        let key = session_key(&self.me.member);
+        let key = session_key(&self.identity.member);
         conditions.push(Condition { key, version: session.version });
         let result = self.commit(conditions, writes).await;
         if matches!(result, Err(StateError::LeaseExpired)) {
@@ -191,7 +191,7 @@
 
     /// Gives up a session that the records say is gone.
     fn check_session(&self) {
-        let version = lock(&self.records).version(&session_key(&self.me.member));
+        let version = lock(&self.records).version(&session_key(&self.identity.member));
         let mut session = lock(&self.session);
         if session.is_some_and(|session| session.version != version) {
             *session = None;
@@ -231,10 +231,10 @@
             sleep(self.retry_delay()).await;
         }
         let sent_at = Instant::now();
-        let lease = self.store.grant_lease(self.timing.session).await?;
-        let key = session_key(&self.me.member);
+        let lease = self.store.grant_lease(self.timing.session_ttl).await?;
+        let key = session_key(&self.identity.member);
         let version = lock(&self.records).version(&key);
-        let value = Session { incarnation: self.me.incarnation };
+        let value = Session { incarnation: self.identity.incarnation };
         let writes = vec![put(key.clone(), &value, Some(lease))?];
         let version = match self.commit(vec![Condition { key, version }], writes).await {
             Ok(version) => version,
@@ -243,7 +243,7 @@
                 return Err(error);
             }
         };
-        let valid_until = valid_until(sent_at, self.timing.session);
+        let valid_until = valid_until(sent_at, self.timing.session_ttl);
         let session = HeldSession { lease, version, valid_until };
         *lock(&self.session) = Some(session);
         Ok(session)
@@ -265,7 +265,7 @@
             match self.store.renew_lease(session.lease).await {
                 Ok(()) => {
                     if let Some(held) = lock(&self.session).as_mut() {
-                        held.valid_until = valid_until(sent_at, self.timing.session);
+                        held.valid_until = valid_until(sent_at, self.timing.session_ttl);
                     }
                     self.notify_change();
                 }
--- a/crates/stonewheel-coordination/src/lib.rs
+++ b/crates/stonewheel-coordination/src/lib.rs
@@ -24,7 +24,7 @@
 pub use session::{HeldSession, Owner, Session, Timing, session_key};
 pub use stonewheel_state::Versioned;
 pub use store::{Store, put};
-pub use succession::{ADOPTION_PARTS, Succession};
+pub use succession::{ADOPTION_DELAY_DIVISOR, Succession};
 
 /// All keys of coordinated parts begin with this.
 pub const PREFIX: &str = "sp/";
--- a/crates/stonewheel-coordination/src/records.rs
+++ b/crates/stonewheel-coordination/src/records.rs
@@ -110,7 +110,7 @@
     }
 
     /// The keys that begin with a prefix, in order, without it.
-    pub fn names<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a str> {
+    pub fn key_suffixes<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a str> {
         let from = self.held.range(prefix.to_owned()..);
         from.map_while(move |(key, _)| key.strip_prefix(prefix))
     }
@@ -123,7 +123,7 @@
 
     /// The names of the controllers that have a session, in order.
     pub fn live_members(&self) -> Vec<String> {
-        self.names(&session_key("")).map(str::to_owned).collect()
+        self.key_suffixes(&session_key("")).map(str::to_owned).collect()
     }
 
     /// How many live controllers come before this one, by name: who acts for one that
--- a/crates/stonewheel-coordination/src/records/tests.rs
+++ b/crates/stonewheel-coordination/src/records/tests.rs
@@ -66,5 +66,5 @@
     let mut records = Records::default();
     records.apply(events(vec![put("sp/x", "\"text\"", 6)], 6));
     assert_eq!((records.get::<u32>("sp/x"), records.version("sp/x")), (None, 6));
-    assert_eq!(records.names("sp/").collect::<Vec<_>>(), ["x"]);
+    assert_eq!(records.key_suffixes("sp/").collect::<Vec<_>>(), ["x"]);
 }
--- a/crates/stonewheel-coordination/src/session.rs
+++ b/crates/stonewheel-coordination/src/session.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// How long a controller's session outlives its last renewal.
-    pub session: Duration,
+    pub session_ttl: Duration,
     /// How long one call to the state service may take.
     pub state_timeout: Duration,
 }
--- a/crates/stonewheel-coordination/src/store.rs
+++ b/crates/stonewheel-coordination/src/store.rs
@@ -31,7 +31,7 @@
         let mut since = String::new();
         let mut began = None;
         loop {
-            self.requests.take_leaving(1.0, Reserve::Quarter).await;
+            self.requests.take_with_reserve(1.0, Reserve::Quarter).await;
             let page = self.api.list(PREFIX, &since).await?;
             began.get_or_insert(page.revision);
             if let Some(last) = page.items.last() {
@@ -48,7 +48,7 @@
     /// What changed after a revision; waits for it up to `wait`.
     pub(crate) async fn watch(&self, since: u64, wait: Duration) -> Result<Events, StateError> {
         let reserve = if wait.is_zero() { Reserve::Quarter } else { Reserve::Half };
-        self.requests.take_leaving(1.0, reserve).await;
+        self.requests.take_with_reserve(1.0, reserve).await;
         self.api.watch(PREFIX, since, wait).await
     }
 
--- a/crates/stonewheel-coordination/src/succession.rs
+++ b/crates/stonewheel-coordination/src/succession.rs
@@ -6,7 +6,7 @@
 
 /// Controllers adopt one after the other, in the order of their names: each gives the one
 /// before it this part of a session's time.
-pub const ADOPTION_PARTS: u32 = 16;
+pub const ADOPTION_DELAY_DIVISOR: u32 = 16;
 
 /// Since when this controller has observed that the owner of something is gone.
 #[derive(Debug, Default)]
@@ -23,11 +23,11 @@
         let (is_alive, rank) = {
             let records = coordinator.records();
             let is_alive = owner.is_some_and(|owner| records.is_alive(owner));
-            (is_alive, records.rank(&coordinator.me().member))
+            (is_alive, records.rank(&coordinator.identity().member))
         };
         let since = self.gone_since.unwrap_or(now);
         self.gone_since = (!is_alive).then_some(since);
-        let pause = coordinator.timing().session / ADOPTION_PARTS * rank;
+        let pause = coordinator.timing().session_ttl / ADOPTION_DELAY_DIVISOR * rank;
         !is_alive && now >= since + pause
     }
 }
--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -1,6 +1,6 @@
 //! The bound on how long a claim inside its guarantee waits.
 
-use stonewheel_coordination::ADOPTION_PARTS;
+use stonewheel_coordination::ADOPTION_DELAY_DIVISOR;
 use tokio::time::Duration;
 
 use crate::{
@@ -38,7 +38,7 @@
     ) -> Self {
         let times = &settings.times;
         let takeover = session
-            + session / ADOPTION_PARTS * members
+            + session / ADOPTION_DELAY_DIVISOR * members
             + times.probe_interval() * TAKEOVER_PROBES
             + state_timeout;
         Self { reclaim: reclaim(times, state_timeout), takeover }
--- a/crates/stonewheel-lending/src/claims.rs
+++ b/crates/stonewheel-lending/src/claims.rs
@@ -27,7 +27,7 @@
         let prefix = claims_prefix();
         let mut changed = false;
         let mut count = 0;
-        for id in records.names(&prefix) {
+        for id in records.key_suffixes(&prefix) {
             count += 1;
             let version = records.version(&claim_key(id));
             if self.stored.get(id).is_none_or(|stored| stored.version != version) {
--- a/crates/stonewheel-lending/src/executor/state.rs
+++ b/crates/stonewheel-lending/src/executor/state.rs
@@ -59,7 +59,7 @@
     ) -> Arc<Self> {
         let timing = coordinator.timing();
         let members = coordinator.members().len() as u32;
-        let bounds = Bounds::of(&settings, timing.session, timing.state_timeout, members);
+        let bounds = Bounds::of(&settings, timing.session_ttl, timing.state_timeout, members);
         Arc::new(Self {
             coordinator,
             settings,
--- a/crates/stonewheel-lending/src/executor/term.rs
+++ b/crates/stonewheel-lending/src/executor/term.rs
@@ -54,7 +54,7 @@
             *lock(&self.term) = None;
             return;
         }
-        let me = Some(self.coordinator.me());
+        let me = Some(self.coordinator.identity());
         let mine = holder.as_ref().filter(|held| held.value.owner.as_ref() == me);
         let eligible = self.host.eligible();
         match mine {
@@ -94,7 +94,7 @@
         }
         let machines = self.settings.times.expected_machines as u32;
         let shards = shard_count(machines, self.limits.value_bytes);
-        let me = self.coordinator.me().clone();
+        let me = self.coordinator.identity().clone();
         let next = HolderRecord::successor(holder.map(|held| &held.value), me, shards);
         let version = holder.map_or(0, |held| held.version);
         let condition = Condition { key: HOLDER_KEY.into(), version };
--- a/crates/stonewheel-protocol/src/workers.rs
+++ b/crates/stonewheel-protocol/src/workers.rs
@@ -41,7 +41,7 @@
     Error,
     /// Its start was refused: the machine has too little room.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientCapacity,
     /// Its start was refused: another attempt of the task is still there.
     Busy,
     /// The command named an attempt that the worker doesn't know.
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -8,7 +8,7 @@
 
 use futures_util::future::join_all;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
-use stonewheel_coordination::{ADOPTION_PARTS, Coordinator, Succession, Versioned, put};
+use stonewheel_coordination::{ADOPTION_DELAY_DIVISOR, Coordinator, Succession, Versioned, put};
 use stonewheel_protocol::Condition;
 use stonewheel_state::{StateError, lock};
 use thiserror::Error;
@@ -260,7 +260,7 @@
     }
 
     fn owns(&self, record: &Versioned<ServiceRecord>) -> bool {
-        record.value.owner.as_ref() == Some(self.coordinator.me())
+        record.value.owner.as_ref() == Some(self.coordinator.identity())
     }
 
     fn job_base(&self) -> u64 {
@@ -277,7 +277,7 @@
         let mut observer = lock(&service.observer);
         observer.follow(&record.value, now);
         decide(&Facts {
-            me: self.coordinator.me(),
+            me: self.coordinator.identity(),
             record: &record.value,
             session_valid: session.is_some_and(|session| now < session.valid_until),
             owner_alive,
@@ -316,7 +316,7 @@
         match reason {
             // A change of the records wakes the task by itself; this is for adoption.
             Reason::NotOwner | Reason::NoSession | Reason::Nothing => {
-                now + self.coordinator.timing().session / ADOPTION_PARTS
+                now + self.coordinator.timing().session_ttl / ADOPTION_DELAY_DIVISOR
             }
             _ => due.map_or(probe, |due| due.min(probe)),
         }
--- a/crates/stonewheel-state/src/budget.rs
+++ b/crates/stonewheel-state/src/budget.rs
@@ -102,11 +102,11 @@
 
     /// Waits for `amount` tokens and takes them.
     pub async fn take(&self, amount: f64) {
-        self.take_leaving(amount, Reserve::Nothing).await;
+        self.take_with_reserve(amount, Reserve::Nothing).await;
     }
 
     /// Waits for `amount` tokens beyond a reserve and takes them.
-    pub async fn take_leaving(&self, amount: f64, reserve: Reserve) {
+    pub async fn take_with_reserve(&self, amount: f64, reserve: Reserve) {
         while let Err(wait) = self.try_take(amount, reserve) {
             // Timers fire in steps of a millisecond; shorter waits would spin.
             tokio::time::sleep(wait.max(Duration::from_millis(1))).await;
--- a/crates/stonewheel-state/src/budget/tests.rs
+++ b/crates/stonewheel-state/src/budget/tests.rs
@@ -6,10 +6,10 @@
     let begun = Instant::now();
     // Eight tokens: watches may take four of them, reads two more.
     for _ in 0..4 {
-        budget.take_leaving(1.0, Reserve::Half).await;
+        budget.take_with_reserve(1.0, Reserve::Half).await;
     }
     for _ in 0..2 {
-        budget.take_leaving(1.0, Reserve::Quarter).await;
+        budget.take_with_reserve(1.0, Reserve::Quarter).await;
     }
     assert_eq!(begun.elapsed(), Duration::ZERO);
     assert!(budget.try_take(1.0, Reserve::Half).is_err());
@@ -25,7 +25,7 @@
 async fn even_a_tiny_budget_lets_a_watch_through_in_the_end() {
     let budget = Budget::new(0.5);
     for _ in 0..3 {
-        budget.take_leaving(1.0, Reserve::Half).await;
+        budget.take_with_reserve(1.0, Reserve::Half).await;
     }
 }
 
--- a/crates/stonewheel-state/src/writer.rs
+++ b/crates/stonewheel-state/src/writer.rs
@@ -30,9 +30,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WriterLimits {
     /// Puts and deletes a second that this controller may use.
-    pub own_writes_per_s: f64,
+    pub controller_writes_per_s: f64,
     /// Puts and deletes a second that the service takes from all.
-    pub all_writes_per_s: f64,
+    pub service_writes_per_s: f64,
     /// Puts and deletes of one transaction.
     pub transaction_writes: usize,
     /// Conditions of one transaction.
@@ -78,8 +78,8 @@
             // others write little then; if they do, the service refuses some
             // and those are tried again.
             writes: Budget::with_burst(
-                limits.own_writes_per_s,
-                limits.all_writes_per_s * WRITE_BURST,
+                limits.controller_writes_per_s,
+                limits.service_writes_per_s * WRITE_BURST,
             ),
             queue: Mutex::default(),
             queued: Notify::new(),
--- a/crates/stonewheel-testing/src/coordination.rs
+++ b/crates/stonewheel-testing/src/coordination.rs
@@ -25,8 +25,8 @@
 ) -> Arc<Coordinator> {
     let api = state.client(client);
     let limits = WriterLimits {
-        own_writes_per_s: WRITES_PER_S,
-        all_writes_per_s: WRITES_PER_S,
+        controller_writes_per_s: WRITES_PER_S,
+        service_writes_per_s: WRITES_PER_S,
         transaction_writes: 24,
         transaction_conditions: 96,
         timeout: timing.state_timeout,
@@ -46,5 +46,5 @@
 
 /// The usual times of a controller under paused time.
 pub fn timing(session: Duration) -> Timing {
-    Timing { session, state_timeout: Duration::from_secs(1) }
+    Timing { session_ttl: session, state_timeout: Duration::from_secs(1) }
 }
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -44,7 +44,7 @@
                 }
             }
             ExitCause::Error => self.record_failure(key, &id, now),
-            ExitCause::NoRoom | ExitCause::Busy => {
+            ExitCause::InsufficientCapacity | ExitCause::Busy => {
                 // What is known of the machine is wrong; its heartbeats will correct it.
                 let until = now + self.settings.heartbeat_interval() * REFUSAL_QUARANTINE_INTERVALS;
                 if let Some(machine) = self.fleet.machines.get_mut(&id) {
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -14,7 +14,7 @@
         node.settings.members.iter().map(|member| member.member.clone()).collect();
     members.push(owner.member.clone());
     let timing = Timing {
-        session: node.settings.worker_lease(),
+        session_ttl: node.settings.worker_lease(),
         state_timeout: node.settings.state_timeout(),
     };
     let store = Store::new(node.state.clone(), node.requests.clone(), node.writer());
--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -122,7 +122,7 @@
 
     /// The version of a marker, as the state service has it now.
     async fn marker_version(&self, marker: &str) -> Result<Option<u64>, Unavailable> {
-        self.requests.take_leaving(1.0, Reserve::Quarter).await;
+        self.requests.take_with_reserve(1.0, Reserve::Quarter).await;
         let page = self.state.list(marker, "").await.map_err(|_| Unavailable::State)?;
         Ok(page.items.iter().find(|item| item.key == marker).map(|item| item.version))
     }
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -189,7 +189,7 @@
     let spacing = spacing(&node, 2.0);
     loop {
         load_until_success(&node, retry_interval).await;
-        node.requests.take_leaving(1.0, Reserve::Half).await;
+        node.requests.take_with_reserve(1.0, Reserve::Half).await;
         let revision = lock(&node.watch_cache).revision;
         let requested_at = Instant::now();
         match node.state.watch(KEY_PREFIX, revision, wait).await {
@@ -234,7 +234,7 @@
         let _ = tokio::time::timeout(idle, node.read_requested.notified()).await;
         let loaded = lock(&node.watch_cache).loaded;
         if loaded {
-            node.requests.take_leaving(1.0, Reserve::Quarter).await;
+            node.requests.take_with_reserve(1.0, Reserve::Quarter).await;
         }
         // Whoever came while the budget was awaited shares the read.
         let waiting = std::mem::take(&mut *lock(&node.waiting_readers));
--- a/src/state.rs
+++ b/src/state.rs
@@ -19,8 +19,8 @@
 pub fn writer(api: Arc<dyn StateApi>, settings: &Settings, requests: Arc<Budget>) -> Writer {
     let limits = settings.state_limits();
     let own = WriterLimits {
-        own_writes_per_s: settings.follower_share(limits.writes_per_s),
-        all_writes_per_s: limits.writes_per_s,
+        controller_writes_per_s: settings.follower_share(limits.writes_per_s),
+        service_writes_per_s: limits.writes_per_s,
         transaction_writes: limits.transaction_writes,
         transaction_conditions: limits.transaction_conditions(),
         timeout: settings.state_timeout(),
--- a/tests/wire_samples.rs
+++ b/tests/wire_samples.rs
@@ -144,7 +144,7 @@
     both_ways(&ExitCause::Peers, r#""peers""#);
     both_ways(&ExitCause::Alone, r#""alone""#);
     both_ways(&ExitCause::Error, r#""error""#);
-    both_ways(&ExitCause::NoRoom, r#""full""#);
+    both_ways(&ExitCause::InsufficientCapacity, r#""full""#);
     both_ways(&ExitCause::Busy, r#""busy""#);
     both_ways(&ExitCause::Unknown, r#""unknown""#);
     both_ways(&CommandKind::Start, r#""run""#);
