--- a/crates/stonewheel-state/src/api.rs
+++ b/crates/stonewheel-state/src/api.rs
@@ -1,4 +1,4 @@
-//! What the controllers ask of the state service, and how it may fail.
+//! The interface of the state service as the controllers use it, and its errors.
 
 use std::time::Duration;
 
@@ -8,53 +8,57 @@
 use stonewheel_protocol::{Events, ItemPage, Transaction};
 use thiserror::Error;
 
-/// Why the state service did not do as asked, or may not have.
+/// The error of a request to the state service. The variants differ in whether the
+/// request may still have taken effect.
 #[derive(Clone, Debug, Error)]
 pub enum StateError {
-    /// 503 or 429: certainly not carried out.
-    #[error("refused with {0}")]
+    /// Status 503 or 429. The request had no effect and may be retried.
+    #[error("state service refused the request with status {0}")]
     Refused(StatusCode),
-    /// 400: malformed, or larger than the service takes. Certainly not carried
-    /// out, and no repeat will be.
-    #[error("rejected: {0}")]
+    /// Status 400: the request is malformed or exceeds a limit of the service. It had
+    /// no effect, and a retry would fail in the same way. Holds the response body.
+    #[error("state service rejected the request: {0}")]
     Rejected(String),
-    /// 409: these keys had another version. Certainly not carried out.
-    #[error("conflict on {0:?}")]
+    /// Status 409: these keys don't have the versions that the transaction expects.
+    /// It had no effect.
+    #[error("transaction conflicts on keys {0:?}")]
     Conflict(Vec<String>),
-    /// 404 or 400 on a lease: it has expired or was revoked.
-    #[error("no such lease")]
+    /// Status 404, or 400 with a body that names the lease: the lease has expired or
+    /// was revoked.
+    #[error("lease expired or revoked")]
     LeaseExpired,
-    /// 410: the service keeps no changes that old, so a watch can't go on from
-    /// this revision. All records must be read again.
-    #[error("revision too old")]
+    /// Status 410: the service no longer keeps the changes after this revision, so a
+    /// watch can't resume from it. All records must be read again.
+    #[error("watch revision is too old")]
     RevisionTooOld,
-    /// It may have been carried out, or may still be.
-    #[error("unsure: {0}")]
+    /// The request may have taken effect, or may still take effect later.
+    #[error("outcome of the request is unknown: {0}")]
     OutcomeUnknown(#[from] CallError),
 }
 
-/// What the controllers ask of the state service. Behind a trait so that tests
-/// run against a store in memory.
+/// The requests that controllers make to the state service. A trait, so that tests can
+/// run against an in-memory store.
 pub trait StateApi: Send + Sync {
-    /// A page of the items whose keys begin with `prefix`, in the order of the
-    /// keys, after the key `since` (empty: from the first).
+    /// Returns one page of the items whose keys begin with `prefix`, in key order.
+    /// The page starts after the key `since`, or at the first item if `since` is empty.
     fn list(&self, prefix: &str, since: &str) -> BoxFuture<'_, Result<ItemPage, StateError>>;
 
-    /// Carries out a transaction, if all its conditions hold, and returns the
-    /// revision that it got.
+    /// Commits a transaction if all its conditions hold, and returns the revision that
+    /// the service assigned to it.
     fn transact(&self, transaction: &Transaction) -> BoxFuture<'_, Result<u64, StateError>>;
 
-    /// Grants a lease that expires after `ttl` unless it is renewed.
+    /// Creates a lease that expires after `ttl` unless it is renewed, and returns its
+    /// number.
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<u64, StateError>>;
 
-    /// Renews a lease for its whole time.
+    /// Renews a lease: it then expires after its full time to live, counted from now.
     fn renew_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>>;
 
-    /// Ends a lease at once, and deletes the keys that are attached to it.
+    /// Ends a lease immediately, which deletes the keys that are attached to it.
     fn revoke_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>>;
 
-    /// The changes to keys that begin with `prefix` after the revision `since`.
-    /// Without any it waits for the first, for `wait` at most.
+    /// Returns the changes to keys that begin with `prefix` after the revision `since`.
+    /// If there is none yet, the request waits for the first one, for `wait` at most.
     fn watch(
         &self,
         prefix: &str,
--- a/crates/stonewheel-state/src/budget.rs
+++ b/crates/stonewheel-state/src/budget.rs
@@ -1,5 +1,5 @@
-//! This controller's share of the requests and writes that the state service
-//! allows.
+//! Client-side rate limits: each controller keeps to its share of the requests and writes
+//! that the state service accepts.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -7,45 +7,46 @@
 
 use crate::lock;
 
-/// A token bucket that holds one second's worth, as the service's own does. One
-/// token is one request, or one write.
+/// A token bucket with the capacity of one second's rate, like the limiter of the state
+/// service. One token allows one request, or one write.
 ///
-/// What can wait leaves a reserve for what can't: else the watch and the reads
-/// of a controller with a small share would take all of it, and a user's write
-/// would wait behind them.
+/// Requests that can be delayed leave a [`Reserve`] of tokens to urgent ones. Without it,
+/// the watches and reads of a controller with a small share would use all tokens, and
+/// users' writes would wait behind them.
 pub struct Budget {
-    level: Mutex<Level>,
+    bucket: Mutex<Bucket>,
 }
 
-struct Level {
-    /// Tokens a second.
+struct Bucket {
+    /// Tokens that are added per second.
     rate: f64,
-    /// Tokens that may gather beyond a second's worth.
+    /// Capacity in tokens, if that is more than one second's rate.
     burst: f64,
-    /// Tokens held when the level was last updated.
+    /// Tokens in the bucket at `updated_at`.
     tokens: f64,
     updated_at: Instant,
 }
 
-impl Level {
+impl Bucket {
     fn capacity(&self) -> f64 {
         self.rate.max(self.burst).max(1.0)
     }
 
-    /// The tokens held by now, in a bucket of this capacity.
+    /// Returns the tokens in the bucket now, limited to `capacity`.
     fn tokens_now(&self, capacity: f64) -> f64 {
         (self.tokens + self.rate * self.updated_at.elapsed().as_secs_f64()).min(capacity)
     }
 }
 
-/// How much of a full bucket a request must leave to more urgent ones.
+/// The share of a full bucket that must remain after a request, for more urgent ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reserve {
-    /// Writes and renewals of leases.
+    /// For requests that can't be delayed: writes, and requests that create, renew or
+    /// revoke leases.
     Nothing,
-    /// Reads that users wait for.
+    /// For reads that users wait for.
     Quarter,
-    /// Watches: a read brings the same changes.
+    /// For watches, the least urgent requests: a read returns the same changes.
     Half,
 }
 
@@ -60,44 +61,49 @@
 }
 
 impl Budget {
-    /// A full bucket of `rate` tokens a second that holds one second's worth.
+    /// Returns a full bucket of `rate` tokens per second with the capacity of one second's
+    /// rate.
     pub fn new(rate: f64) -> Self {
         Self::with_burst(rate, 0.0)
     }
 
-    /// A budget that gathers up to `burst` tokens, if that is more than a
-    /// second's worth.
+    /// Returns a full bucket of `rate` tokens per second with a capacity of `burst`
+    /// tokens, or of one second's rate if that is more.
     pub fn with_burst(rate: f64, burst: f64) -> Self {
         let tokens = rate.max(burst).max(1.0);
-        Self { level: Mutex::new(Level { rate, burst, tokens, updated_at: Instant::now() }) }
+        Self { bucket: Mutex::new(Bucket { rate, burst, tokens, updated_at: Instant::now() }) }
     }
 
-    /// Sets the tokens a second: the share of a controller depends on whether it leads.
+    /// Sets the tokens that are added per second. The share of a controller changes when
+    /// it becomes the leader or ceases to be.
     pub fn set_rate(&self, rate: f64) {
-        lock(&self.level).rate = rate;
+        lock(&self.bucket).rate = rate;
     }
 
-    /// Takes `amount` tokens. The error is how long to wait before trying again.
+    /// Takes `amount` tokens if `reserve` remains after them. The error is the time until
+    /// there are enough tokens.
     fn try_take(&self, amount: f64, reserve: Reserve) -> Result<(), Duration> {
-        let mut level = lock(&self.level);
-        // More than a full bucket holds is gathered for a large amount only.
-        let capacity = level.capacity().max(amount);
-        level.tokens = level.tokens_now(capacity);
-        level.updated_at = Instant::now();
-        // A reserve that a full bucket can't hold would never be met.
+        let mut bucket = lock(&self.bucket);
+        // An amount above the capacity raises the capacity while a caller waits for it;
+        // otherwise the bucket could never hold enough tokens.
+        let capacity = bucket.capacity().max(amount);
+        bucket.tokens = bucket.tokens_now(capacity);
+        bucket.updated_at = Instant::now();
+        // Amount and reserve together may exceed a full bucket, which then has to
+        // suffice: otherwise the request would wait forever.
         let needed = (amount + capacity * reserve.share()).min(capacity);
-        if level.tokens < needed {
-            return Err(Duration::from_secs_f64((needed - level.tokens) / level.rate.max(0.01)));
+        if bucket.tokens < needed {
+            return Err(Duration::from_secs_f64((needed - bucket.tokens) / bucket.rate.max(0.01)));
         }
-        level.tokens -= amount;
+        bucket.tokens -= amount;
         Ok(())
     }
 
-    /// Whole tokens held beyond a reserve.
+    /// Returns the number of whole tokens that can be taken now while `reserve` remains.
     pub(crate) fn available(&self, reserve: Reserve) -> usize {
-        let level = lock(&self.level);
-        let capacity = level.capacity();
-        (level.tokens_now(capacity) - capacity * reserve.share()).max(0.0) as usize
+        let bucket = lock(&self.bucket);
+        let capacity = bucket.capacity();
+        (bucket.tokens_now(capacity) - capacity * reserve.share()).max(0.0) as usize
     }
 
     /// Waits for `amount` tokens and takes them.
@@ -105,10 +111,11 @@
         self.take_with_reserve(amount, Reserve::Nothing).await;
     }
 
-    /// Waits for `amount` tokens beyond a reserve and takes them.
+    /// Waits until `amount` tokens can be taken while `reserve` remains, and takes them.
     pub async fn take_with_reserve(&self, amount: f64, reserve: Reserve) {
         while let Err(wait) = self.try_take(amount, reserve) {
-            // Timers fire in steps of a millisecond; shorter waits would spin.
+            // Timers have a resolution of one millisecond: with shorter waits this loop
+            // would spin.
             tokio::time::sleep(wait.max(Duration::from_millis(1))).await;
         }
     }
--- a/crates/stonewheel-state/src/http.rs
+++ b/crates/stonewheel-state/src/http.rs
@@ -1,4 +1,4 @@
-//! The state service over HTTP.
+//! The HTTP client of the state service.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,14 +11,14 @@
 
 use crate::{StateApi, StateError};
 
-/// Connections that are kept for later calls.
+/// The number of idle connections that are kept open for reuse.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Items that one call lists at most.
+/// The page size of a list request, in items.
 const LIST_LIMIT: usize = 500;
-/// What the body of a 400 says if the lease of a transaction has expired.
+/// The text in the body of a 400 response to a transaction whose lease has expired.
 const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
-/// The state service over HTTP.
+/// The state service, reached over HTTP.
 pub struct HttpState {
     client: HttpClient,
     address: SocketAddr,
@@ -26,15 +26,15 @@
 }
 
 impl HttpState {
-    /// `timeout`: how long one call may take. `idle_timeout`: how long an unused
-    /// connection is kept.
+    /// Returns a client of the state service at `address`. One call may take `timeout`;
+    /// an unused connection is kept open for `idle_timeout`.
     pub fn new(address: SocketAddr, timeout: Duration, idle_timeout: Duration) -> Self {
         let client = HttpClient::new(MAX_IDLE_CONNECTIONS, idle_timeout, timeout);
         Self { client, address, timeout }
     }
 
-    /// What a response that is not 200 means.
-    fn error_of(response: &Response) -> StateError {
+    /// Maps a response whose status is not 200 to its error.
+    fn error_from_response(response: &Response) -> StateError {
         match response.status.as_u16() {
             503 | 429 => StateError::Refused(response.status),
             410 => StateError::RevisionTooOld,
@@ -60,7 +60,7 @@
         if response.status == StatusCode::OK {
             Ok(response)
         } else {
-            Err(Self::error_of(&response))
+            Err(Self::error_from_response(&response))
         }
     }
 }
@@ -73,7 +73,7 @@
             path.push_str(since);
         }
         Box::pin(async move {
-            // A page may hold half a megabyte; the response takes its time.
+            // A page may have half a megabyte, so it gets twice the usual time.
             let response = self.call::<()>(Method::GET, path, None, self.timeout * 2).await?;
             Ok(response.parse()?)
         })
--- a/crates/stonewheel-state/src/lib.rs
+++ b/crates/stonewheel-state/src/lib.rs
@@ -1,6 +1,6 @@
-//! The state service, a consensus-backed key-value store: its client behind a
-//! trait, the budget of requests and writes, and the writer that packs changes
-//! into transactions.
+//! Access to the state service, a consensus-backed key-value store: the client trait with
+//! its HTTP implementation, rate limits for requests and writes, and a writer that groups
+//! changes into transactions.
 
 #![warn(missing_docs)]
 
--- a/crates/stonewheel-state/src/writer.rs
+++ b/crates/stonewheel-state/src/writer.rs
@@ -1,4 +1,4 @@
-//! Group commit: changes that wait together leave in one transaction.
+//! Group commit: changes that are queued at the same time are sent in one transaction.
 
 mod group;
 mod pending_change;
@@ -26,25 +26,25 @@
 use group::GroupLimits;
 use pending_change::PendingChange;
 
-/// What one writer may ask of the state service.
+/// The limits of one writer. The limits on transactions are those of the state service.
 #[derive(Clone, Copy, Debug)]
 pub struct WriterLimits {
-    /// Puts and deletes a second that this controller may use.
+    /// Puts and deletes per second that this controller may make.
     pub controller_writes_per_s: f64,
-    /// Puts and deletes a second that the service takes from all.
+    /// Puts and deletes per second that the service accepts from all controllers together.
     pub service_writes_per_s: f64,
-    /// Puts and deletes of one transaction.
+    /// The most puts and deletes in one transaction.
     pub transaction_writes: usize,
-    /// Conditions of one transaction.
+    /// The most conditions in one transaction.
     pub transaction_conditions: usize,
-    /// How long one call may take.
+    /// The time-out of one call, which also bounds the retries after a 429.
     pub timeout: Duration,
 }
 
-/// Group commit: changes that wait together leave in one transaction.
+/// Group commit: changes that are queued at the same time are sent in one transaction.
 ///
-/// A transaction fails as a whole, so a change that conflicts is taken out
-/// (its owner gets the error) and the others are tried again without it.
+/// A transaction fails as a whole. A change that conflicts is therefore removed from its
+/// group, its caller gets the error, and the other changes are sent again without it.
 pub struct Writer {
     api: Arc<dyn StateApi>,
     requests: Arc<Budget>,
@@ -55,31 +55,34 @@
     timeout: Duration,
 }
 
-/// The share of the service's own burst that one controller may use.
-const WRITE_BURST: f64 = 0.5;
+/// The share of the service's write burst (one second's writes) that one controller may
+/// use.
+const WRITE_BURST_SHARE: f64 = 0.5;
 
-/// What a transaction's body holds besides its changes, at the most.
+/// An upper bound on the bytes of a transaction's body besides its changes.
 const MAX_ENVELOPE_BYTES: usize = 4096;
 
-/// Transactions under way at once: one slow answer must not stop all writing.
+/// The most transactions that wait for their responses at the same time. More than one, so
+/// that a slow response doesn't block all writes.
 pub const MAX_IN_FLIGHT: usize = 3;
 
-/// The pause after a 429, as a part of the time that one call may take.
-const RETRY_DELAY_PARTS: u32 = 8;
+/// The delay before the retry after a 429 is the time-out of a call divided by this.
+const RETRY_DELAY_DIVISOR: u32 = 8;
 
 impl Writer {
-    /// Writes through `api` within `limits`; `requests` is shared with whoever else
-    /// asks the state service.
+    /// Returns a writer that sends transactions through `api` within `limits`. The budget
+    /// `requests` is shared with this controller's other requests to the state service.
     pub fn new(api: Arc<dyn StateApi>, limits: WriterLimits, requests: Arc<Budget>) -> Self {
         Self {
             api,
             requests,
-            // The jobs of a pipeline come to one controller at once. Mostly the
-            // others write little then; if they do, the service refuses some
-            // and those are tried again.
+            // All jobs of a pipeline are submitted to one controller within a short time,
+            // hence the burst beyond this controller's share. The other controllers
+            // usually write little meanwhile; if they do write, the service refuses some
+            // transactions with a 429, and these are retried.
             writes: Budget::with_burst(
                 limits.controller_writes_per_s,
-                limits.service_writes_per_s * WRITE_BURST,
+                limits.service_writes_per_s * WRITE_BURST_SHARE,
             ),
             queue: Mutex::default(),
             queued: Notify::new(),
@@ -92,33 +95,35 @@
         }
     }
 
-    /// Sets how many writes a second this controller may use.
+    /// Sets the number of writes per second that this controller may make.
     pub fn set_write_rate(&self, rate: f64) {
         self.writes.set_rate(rate);
     }
 
-    /// How many writes could leave now and still leave a reserve for urgent ones.
+    /// Returns the number of writes that could be sent now while half of the write budget
+    /// remains for urgent ones; 0 while changes are queued.
     pub fn available_writes(&self) -> usize {
         if lock(&self.queue).is_empty() { self.writes.available(Reserve::Half) } else { 0 }
     }
 
-    /// Commits a change and returns the revision it got.
+    /// Commits a change and returns its revision.
     ///
     /// # Errors
     ///
-    /// If the change was not carried out, or may not have been.
+    /// If the change was not committed, or if it is unknown whether it was; see
+    /// [`StateError`].
     pub async fn commit(
         &self,
         conditions: Vec<Condition>,
         writes: Vec<Write>,
     ) -> Result<u64, StateError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         lock(&self.queue).push_back(PendingChange { conditions, writes, reply });
         self.queued.notify_one();
-        answer.await.unwrap_or(Err(StateError::OutcomeUnknown(CallError::Timeout)))
+        result.await.unwrap_or(Err(StateError::OutcomeUnknown(CallError::Timeout)))
     }
 
-    /// Sends what is committed, until told to stop.
+    /// Sends queued changes until `stop` is cancelled and the queue is empty.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let slots = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
         loop {
@@ -134,8 +139,8 @@
         }
     }
 
-    /// Waits for changes, and takes as many as one transaction holds. None once
-    /// told to stop, unless there is some work left.
+    /// Waits until changes are queued, and takes as many of them as fit one transaction.
+    /// Returns `None` once `stop` is cancelled and the queue is empty.
     async fn next_group(&self, stop: &CancellationToken) -> Option<Vec<PendingChange>> {
         loop {
             let group = group::take_group(&mut lock(&self.queue), &self.group_limits);
@@ -149,22 +154,24 @@
         }
     }
 
+    /// Sends a group of changes and reports the result to the caller of each one.
     async fn send(&self, mut group: Vec<PendingChange>) {
         let deadline = Instant::now() + self.timeout;
         loop {
             let transaction = group::merge(&group);
             self.requests.take(1.0).await;
             match self.api.transact(&transaction).await {
-                // Our budget should prevent this; others' bursts may not.
+                // This controller's budget keeps to its share, but bursts of several
+                // controllers together can exceed the limits of the service.
                 Err(StateError::Refused(StatusCode::TOO_MANY_REQUESTS))
                     if Instant::now() < deadline =>
                 {
-                    tokio::time::sleep(self.timeout / RETRY_DELAY_PARTS).await;
+                    tokio::time::sleep(self.timeout / RETRY_DELAY_DIVISOR).await;
                 }
-                // One that is too large, or attached to a lease that has ended, must
-                // not take the others with it.
+                // A change that is too large or attached to an expired lease must not make
+                // the other changes fail.
                 Err(StateError::Rejected(_) | StateError::LeaseExpired) if group.len() > 1 => {
-                    return self.send_each_alone(group).await;
+                    return self.send_individually(group).await;
                 }
                 Err(StateError::Conflict(keys)) if group.len() > 1 => {
                     group = group::without_conflicting(group, &keys);
@@ -172,17 +179,18 @@
                         return;
                     }
                 }
-                result => return group::answer_all(group, &result),
+                result => return group::complete_all(group, &result),
             }
         }
     }
 
-    async fn send_each_alone(&self, group: Vec<PendingChange>) {
+    /// Sends each change in a transaction of its own.
+    async fn send_individually(&self, group: Vec<PendingChange>) {
         for change in group {
             self.requests.take(1.0).await;
             self.writes.take(change.writes.len() as f64).await;
             let transaction = group::merge(std::slice::from_ref(&change));
-            change.answer(self.api.transact(&transaction).await);
+            change.complete(self.api.transact(&transaction).await);
         }
     }
 }
--- a/crates/stonewheel-state/src/writer/group.rs
+++ b/crates/stonewheel-state/src/writer/group.rs
@@ -1,4 +1,4 @@
-//! Changes that leave in one transaction.
+//! Groups of changes that are sent in one transaction.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 use super::pending_change::PendingChange;
 use crate::api::StateError;
 
-/// What one transaction holds at most.
+/// The limits of one transaction.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GroupLimits {
     pub(super) writes: usize,
@@ -15,9 +15,10 @@
     pub(super) bytes: usize,
 }
 
-/// Takes as many waiting changes as one transaction holds, in their order, and one
-/// at least: alone it may exceed a limit. Conditions on one key must agree, else the
-/// later change waits for the next group.
+/// Takes as many changes from the front of the queue as fit one transaction. The first
+/// change is taken even if it exceeds a limit by itself; the service decides about it.
+/// A change that conflicts with one of the group stays in the queue, with all changes
+/// after it, for the next group.
 pub(super) fn take_group(
     queue: &mut VecDeque<PendingChange>,
     limits: &GroupLimits,
@@ -27,10 +28,10 @@
     while let Some(next) = queue.front() {
         writes += next.writes.len();
         conditions += next.conditions.len();
-        bytes += next.bytes();
+        bytes += next.max_bytes();
         let full = writes > limits.writes || conditions > limits.conditions || bytes > limits.bytes;
-        let clash = group.iter().any(|change| change.clashes_with(next));
-        if (full || clash) && !group.is_empty() {
+        let conflict = group.iter().any(|change| change.conflicts_with(next));
+        if (full || conflict) && !group.is_empty() {
             break;
         }
         group.extend(queue.pop_front());
@@ -38,7 +39,7 @@
     group
 }
 
-/// The transaction that holds every change as a whole.
+/// Merges the changes into one transaction. Equal conditions are included once.
 pub(super) fn merge(group: &[PendingChange]) -> Transaction {
     let mut transaction = Transaction::default();
     for change in group {
@@ -52,16 +53,17 @@
     transaction
 }
 
-/// Gives one result to every change of a group.
-pub(super) fn answer_all(group: Vec<PendingChange>, result: &Result<u64, StateError>) {
+/// Reports one result to the callers of all changes of a group.
+pub(super) fn complete_all(group: Vec<PendingChange>, result: &Result<u64, StateError>) {
     for change in group {
-        change.answer(result.clone());
+        change.complete(result.clone());
     }
 }
 
-/// Answers the changes that conflict on these keys, and returns the others, which can
-/// be tried again. If none conflicts, another try would fail like this one: then all
-/// are answered.
+/// Reports a conflict to the callers of the changes that have a condition on one of these
+/// keys, and returns the other changes, which can be retried. If no change has such a
+/// condition, a retry would fail in the same way: the conflict is then reported to all
+/// callers, and nothing is returned.
 pub(super) fn without_conflicting(
     group: Vec<PendingChange>,
     keys: &[String],
@@ -70,9 +72,9 @@
         group.into_iter().partition(|change| change.depends_on(keys));
     let conflict = Err(StateError::Conflict(keys.to_vec()));
     if failed.is_empty() {
-        answer_all(rest, &conflict);
+        complete_all(rest, &conflict);
         return Vec::new();
     }
-    answer_all(failed, &conflict);
+    complete_all(failed, &conflict);
     rest
 }
