--- a/crates/stonewheel-coordination/src/coordinator.rs
+++ b/crates/stonewheel-coordination/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! One controller's part in the coordination: its session, its watch of the shared
-//! records, and its writes.
+//! The coordination client of one controller: keeps the controller's session, watches the
+//! shared records and commits writes.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -18,12 +18,13 @@
     store::{Store, put},
 };
 
-/// How often a session is renewed within the time of its lease.
+/// The number of renewals of a session within the time to live of its lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// What failed is tried again after this part of its usual time.
-const RETRY_DELAY_PARTS: u32 = 4;
+/// A failed request is retried after its time-out or interval divided by this.
+const RETRY_DELAY_DIVISOR: u32 = 4;
 
-/// One controller's part in the coordination. All parts of a controller share it.
+/// The coordination client of one controller. The activator, the rollout executor and the
+/// lending executor of a controller share one.
 pub struct Coordinator {
     identity: Owner,
     members: Vec<String>,
@@ -32,13 +33,13 @@
     records: Mutex<Records>,
     session: Mutex<Option<HeldSession>>,
     session_lost: Notify,
-    /// Counts changes of records and session.
+    /// The number of changes of records and session so far.
     changes: watch::Sender<u64>,
 }
 
 impl Coordinator {
-    /// `me`: this process. `members`: the names of all controllers, this one among
-    /// them.
+    /// Returns a coordinator for the process `identity`. `members` are the names of all
+    /// controllers, including this one.
     pub fn new(identity: Owner, members: Vec<String>, timing: Timing, store: Store) -> Arc<Self> {
         Arc::new(Self {
             identity,
@@ -52,7 +53,7 @@
         })
     }
 
-    /// This process.
+    /// The identity of this process, which it records as the owner of what it adopts.
     pub fn identity(&self) -> &Owner {
         &self.identity
     }
@@ -62,29 +63,30 @@
         &self.members
     }
 
-    /// Durations that follow from the settings of the deployment.
+    /// The durations that the coordination uses.
     pub fn timing(&self) -> Timing {
         self.timing
     }
 
-    /// The time between two renewals of a session, and so how soon a lost one may be
-    /// there again.
+    /// The time between two renewals of a session. A lost session may be open again after
+    /// about this time.
     pub fn renewal_interval(&self) -> Duration {
         self.timing.session_ttl / RENEWALS_PER_LEASE
     }
 
-    /// The records, as last read.
+    /// The shared records as this controller last read them. Blocks their update until the
+    /// guard is dropped.
     pub fn records(&self) -> MutexGuard<'_, Records> {
         lock(&self.records)
     }
 
-    /// The session, if this process holds one. Its lease may have expired meanwhile: see
-    /// [`HeldSession::valid_until`].
+    /// The session, if this process holds one. The session's lease may have expired without
+    /// this process having noticed: see [`HeldSession::valid_until`].
     pub fn session(&self) -> Option<HeldSession> {
         *lock(&self.session)
     }
 
-    /// A receiver that is notified when records or session change.
+    /// Returns a receiver that is notified when the records or the session change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
@@ -93,38 +95,39 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Runs until told to stop, and then ends the session, so that others adopt at once
-    /// what this process owned.
+    /// Watches the records and keeps a session until `stop` is cancelled. Then ends the
+    /// session, so that other controllers needn't wait for the expiry of its lease before
+    /// they adopt what this process owned.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let loops = TaskTracker::new();
         loops.spawn(run_until(stop.clone(), self.clone().watch_records()));
         loops.spawn(run_until(stop.clone(), self.clone().keep_session()));
         loops.close();
         loops.wait().await;
-        let held = lock(&self.session).take();
-        if let Some(session) = held {
+        let session = lock(&self.session).take();
+        if let Some(session) = session {
             let _ =
                 timeout(self.timing.state_timeout, self.store.revoke_lease(session.lease)).await;
         }
     }
 
-    // Records.
-
-    /// The pause after a failure.
+    /// The delay before a failed request is retried.
     pub fn retry_delay(&self) -> Duration {
-        self.timing.state_timeout / RETRY_DELAY_PARTS
+        self.timing.state_timeout / RETRY_DELAY_DIVISOR
     }
 
+    /// Reads all records, and then the changes that were made while they were read.
     async fn load(&self) -> Result<(), StateError> {
-        let (items, began) = self.store.read_all().await?;
-        let since = self.store.watch(began, Duration::ZERO).await?;
-        lock(&self.records).replace(items, began, since);
+        let (items, start_revision) = self.store.read_all().await?;
+        let changes = self.store.watch(start_revision, Duration::ZERO).await?;
+        lock(&self.records).replace(items, start_revision, changes);
         self.check_session();
         self.notify_change();
         Ok(())
     }
 
-    async fn follow(&self, wait: Duration) -> Result<(), StateError> {
+    /// Applies the changes since the last read; waits for the first one up to `wait`.
+    async fn apply_changes(&self, wait: Duration) -> Result<(), StateError> {
         let revision = lock(&self.records).revision;
         let events = self.store.watch(revision, wait).await?;
         if lock(&self.records).apply(events) {
@@ -137,41 +140,47 @@
     async fn watch_records(self: Arc<Self>) {
         loop {
             let loaded = lock(&self.records).loaded;
-            let result =
-                if loaded { self.follow(self.timing.session_ttl).await } else { self.load().await };
+            let result = if loaded {
+                self.apply_changes(self.timing.session_ttl).await
+            } else {
+                self.load().await
+            };
             match result {
                 Ok(()) => {}
                 Err(StateError::RevisionTooOld) => lock(&self.records).loaded = false,
                 Err(error) => {
-                    debug!(%error, "shared records not read");
+                    debug!(%error, "failed to read shared records; retrying");
                     sleep(self.retry_delay()).await;
                 }
             }
         }
     }
 
-    /// Reads what changed, if the state service answers, and pauses.
+    /// Applies the latest changes to the records, if the state service answers, and then
+    /// waits for the delay before a retry.
     pub async fn refresh(&self) {
-        if let Err(StateError::RevisionTooOld) = self.follow(Duration::ZERO).await {
+        if let Err(StateError::RevisionTooOld) = self.apply_changes(Duration::ZERO).await {
             lock(&self.records).loaded = false;
         }
         sleep(self.retry_delay()).await;
     }
 
-    /// Commits, and records what was committed before the watch brings it. If the
-    /// outcome is unknown, it shows in the records later.
+    /// Commits a change and applies it to the records immediately, before the watch
+    /// delivers it. If the outcome is unknown and the change was made, the watch applies it
+    /// to the records later.
     pub async fn commit(
         &self,
         conditions: Vec<Condition>,
         writes: Vec<Write>,
     ) -> Result<u64, StateError> {
         let revision = self.store.commit(conditions, writes.clone()).await?;
-        lock(&self.records).record(&writes, revision);
+        lock(&self.records).apply_committed(&writes, revision);
         Ok(revision)
     }
 
-    /// Commits on condition that this process still holds `session`: a process that
-    /// lost it, or was suspended past the expiry of its lease, gets a conflict.
+    /// Commits a change on the condition that this process still holds `session`. A process
+    /// that lost the session, or was suspended until after the expiry of its lease, gets a
+    /// conflict.
     pub async fn commit_under(
         &self,
         session: HeldSession,
@@ -187,9 +196,7 @@
         result
     }
 
-    // Session.
-
-    /// Gives up a session that the records say is gone.
+    /// Drops the session if, according to the records, its key was deleted or replaced.
     fn check_session(&self) {
         let version = lock(&self.records).version(&session_key(&self.identity.member));
         let mut session = lock(&self.session);
@@ -199,6 +206,7 @@
         }
     }
 
+    /// Drops the session that is attached to this lease.
     fn lose_session(&self, lease: u64) {
         let mut session = lock(&self.session);
         if session.is_some_and(|session| session.lease == lease) {
@@ -209,23 +217,26 @@
         self.notify_change();
     }
 
+    /// Opens a session, and a new one whenever it is lost.
     async fn keep_session(self: Arc<Self>) {
         loop {
             match self.open_session().await {
                 Ok(session) => {
                     self.notify_change();
                     self.renew_session(session).await;
-                    warn!("session lost");
+                    warn!("controller session lost; opening a new one");
                     self.notify_change();
                 }
                 Err(error) => {
-                    debug!(%error, "session not opened");
+                    debug!(%error, "failed to open controller session; retrying");
                     self.refresh().await;
                 }
             }
         }
     }
 
+    /// Opens a session. Waits until the records are loaded, since its write is conditional on
+    /// the current version of the session's key.
     async fn open_session(&self) -> Result<HeldSession, StateError> {
         while !lock(&self.records).loaded {
             sleep(self.retry_delay()).await;
@@ -249,19 +260,19 @@
         Ok(session)
     }
 
-    /// Renews the session until it is lost.
+    /// Renews the session periodically until it is lost.
     async fn renew_session(&self, session: HeldSession) {
-        let every = self.renewal_interval();
-        let mut wait = every;
+        let interval = self.renewal_interval();
+        let mut wait = interval;
         loop {
-            // A notification of an earlier loss may come here, and is no loss of this
-            // session.
+            // The notification may stem from the loss of an earlier session: the check below
+            // decides whether this session is lost.
             let _ = timeout(wait, self.session_lost.notified()).await;
             if lock(&self.session).is_none_or(|held| held.lease != session.lease) {
                 return;
             }
             let sent_at = Instant::now();
-            wait = every;
+            wait = interval;
             match self.store.renew_lease(session.lease).await {
                 Ok(()) => {
                     if let Some(held) = lock(&self.session).as_mut() {
@@ -274,14 +285,15 @@
                     return;
                 }
                 Err(error) => {
-                    debug!(%error, "session not renewed");
-                    wait = every / RETRY_DELAY_PARTS;
+                    debug!(%error, "failed to renew controller session; retrying");
+                    wait = interval / RETRY_DELAY_DIVISOR;
                 }
             }
         }
     }
 }
 
+/// Runs a task until it completes or `stop` is cancelled.
 async fn run_until(stop: CancellationToken, task: impl Future<Output = ()>) {
     tokio::select! {
         () = task => {}
--- a/crates/stonewheel-coordination/src/lib.rs
+++ b/crates/stonewheel-coordination/src/lib.rs
@@ -1,15 +1,16 @@
-//! Coordination between controllers: each controller's session, the records that they
-//! share, and writes that are refused once their writer was replaced.
+//! Coordination between controllers: a session for each controller, the records that the
+//! controllers share, and fenced writes, which fail once the writer has lost its session.
 //!
-//! A session is a key under a lease, as in etcd: it is there as long as its holder
-//! renews the lease, and others see it end.
+//! A session is a key attached to a lease, as in etcd: the key exists as long as its holder
+//! renews the lease, and the other controllers observe its deletion.
 //!
-//! All keys begin with [`PREFIX`], so that one watch and one session serve all parts:
+//! All keys begin with [`PREFIX`], so that one watch and one session serve all parts of a
+//! controller that are coordinated (activation, lending and rollout):
 //!
-//! | key | value | held by |
+//! | key | value | lifetime |
 //! | --- | --- | --- |
-//! | `sp/c/{member}` | [`Session`] of a controller | that controller's lease |
-//! | `sp/{part}/...` | whatever a part keeps there | see the part |
+//! | `sp/c/{member}` | [`Session`] of a controller | attached to that controller's lease |
+//! | `sp/{part}/...` | records of a part | see the crate of the part |
 
 #![warn(missing_docs)]
 
@@ -26,5 +27,5 @@
 pub use store::{Store, put};
 pub use succession::{ADOPTION_DELAY_DIVISOR, Succession};
 
-/// All keys of coordinated parts begin with this.
+/// The prefix of the keys of all coordinated parts.
 pub const PREFIX: &str = "sp/";
--- a/crates/stonewheel-coordination/src/records.rs
+++ b/crates/stonewheel-coordination/src/records.rs
@@ -1,4 +1,4 @@
-//! The shared records as a controller last read them.
+//! A controller's cache of the shared records.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,41 +10,41 @@
 
 use crate::session::{Owner, Session, session_key};
 
-/// The records, as of `revision`, and what this process committed since.
+/// The records as of `revision`, with the changes that this process committed since.
 #[derive(Debug, Default)]
 pub struct Records {
     pub(crate) revision: u64,
     pub(crate) loaded: bool,
-    held: BTreeMap<String, Versioned<Box<RawValue>>>,
-    /// Keys that this process deleted, with the revision of that: the watch may still
-    /// bring their former values.
+    entries: BTreeMap<String, Versioned<Box<RawValue>>>,
+    /// Keys that this process deleted, with the revision of the deletion. The watch may
+    /// still deliver older values of these keys, which must not be restored.
     deleted: HashMap<String, u64>,
 }
 
 impl Records {
-    /// Whether all records were read at least once.
+    /// Whether all records were read, and the watch has not fallen too far behind since.
     pub fn loaded(&self) -> bool {
         self.loaded
     }
 
-    /// Takes a full reading in place of what is held, and what changed since it
-    /// began.
-    pub(crate) fn replace(&mut self, items: Vec<Item>, began: u64, since: Events) {
+    /// Replaces all records by `items`, which were read from `start_revision` on, and
+    /// applies the changes since that revision.
+    pub(crate) fn replace(&mut self, items: Vec<Item>, start_revision: u64, changes: Events) {
         let old = std::mem::take(self);
-        *self = Self { revision: began, deleted: old.deleted, ..Self::default() };
+        *self = Self { revision: start_revision, deleted: old.deleted, ..Self::default() };
         for item in items {
             self.put(&item.key, &item.value, item.version);
         }
-        self.apply(since);
-        // What this process committed while the reading was under way.
+        self.apply(changes);
+        // Keep the changes that this process committed while the records were read.
         let revision = self.revision;
-        for (key, held) in old.held.into_iter().filter(|(_, held)| held.version > revision) {
-            self.put(&key, &held.value, held.version);
+        for (key, entry) in old.entries.into_iter().filter(|(_, entry)| entry.version > revision) {
+            self.put(&key, &entry.value, entry.version);
         }
         self.loaded = true;
     }
 
-    /// Applies what a watch brought; true if anything changed.
+    /// Applies the changes that a watch delivered. Returns whether any record changed.
     pub(crate) fn apply(&mut self, events: Events) -> bool {
         let mut changed = false;
         for event in events.events {
@@ -63,8 +63,8 @@
         changed
     }
 
-    /// Records what this process committed, before the watch brings it.
-    pub(crate) fn record(&mut self, writes: &[Write], revision: u64) {
+    /// Applies writes that this process committed, before the watch delivers them.
+    pub(crate) fn apply_committed(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
                 Write::Put { key, value, .. } => {
@@ -78,56 +78,63 @@
         }
     }
 
-    /// Puts a value in place unless a newer one is there, or a later deletion known.
+    /// Sets a value, unless a value of the same or a higher version, or a deletion at the
+    /// same or a later revision, is known. Returns whether the value was set.
     fn put(&mut self, key: &str, raw: &RawValue, version: u64) -> bool {
-        let gone = self.deleted.get(key).is_some_and(|deleted| *deleted >= version);
-        let newer = self.held.get(key).is_none_or(|held| held.version < version);
-        if gone || !newer {
+        let is_deleted = self.deleted.get(key).is_some_and(|deleted| *deleted >= version);
+        let is_newer = self.entries.get(key).is_none_or(|entry| entry.version < version);
+        if is_deleted || !is_newer {
             return false;
         }
-        self.held.insert(key.to_owned(), Versioned { version, value: raw.to_owned() });
+        self.entries.insert(key.to_owned(), Versioned { version, value: raw.to_owned() });
         true
     }
 
-    /// Removes a value unless a newer one is there.
+    /// Removes a value, unless its version is the same or higher. Returns whether the value
+    /// was removed.
     fn delete(&mut self, key: &str, version: u64) -> bool {
-        let older = self.held.get(key).is_some_and(|held| held.version < version);
-        older && self.held.remove(key).is_some()
+        let is_older = self.entries.get(key).is_some_and(|entry| entry.version < version);
+        is_older && self.entries.remove(key).is_some()
     }
 
-    /// A record. One that can't be decoded is treated as absent, but keeps its version.
+    /// Returns a record. A record that can't be decoded is treated as absent here, while
+    /// [`Self::version`] still returns its version.
     pub fn get<T: DeserializeOwned>(&self, key: &str) -> Option<Versioned<T>> {
-        let held = self.held.get(key)?;
-        let value = serde_json::from_str(held.value.get())
-            .inspect_err(|error| error!(key, %error, "record unreadable"))
+        let entry = self.entries.get(key)?;
+        let value = serde_json::from_str(entry.value.get())
+            .inspect_err(
+                |error| error!(key, %error, "shared record not decoded; treated as absent"),
+            )
             .ok()?;
-        Some(Versioned { version: held.version, value })
+        Some(Versioned { version: entry.version, value })
     }
 
     /// The version of a key; 0 if it doesn't exist.
     pub fn version(&self, key: &str) -> u64 {
-        self.held.get(key).map_or(0, |held| held.version)
+        self.entries.get(key).map_or(0, |entry| entry.version)
     }
 
-    /// The keys that begin with a prefix, in order, without it.
+    /// Returns the keys that begin with `prefix`, in order and without the prefix.
     pub fn key_suffixes<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a str> {
-        let from = self.held.range(prefix.to_owned()..);
-        from.map_while(move |(key, _)| key.strip_prefix(prefix))
+        let from_prefix = self.entries.range(prefix.to_owned()..);
+        from_prefix.map_while(move |(key, _)| key.strip_prefix(prefix))
     }
 
-    /// Whether this very process holds a session.
+    /// Whether the process `owner` holds a session. False if another process of the same
+    /// controller holds it.
     pub fn is_alive(&self, owner: &Owner) -> bool {
         let session = self.get::<Session>(&session_key(&owner.member));
         session.is_some_and(|session| session.value.incarnation == owner.incarnation)
     }
 
-    /// The names of the controllers that have a session, in order.
+    /// Returns the names of the controllers that have a session, in order.
     pub fn live_members(&self) -> Vec<String> {
         self.key_suffixes(&session_key("")).map(str::to_owned).collect()
     }
 
-    /// How many live controllers come before this one, by name: who acts for one that
-    /// is gone leaves a moment to each of them.
+    /// Returns the number of controllers with a session whose names sort before `member`. A
+    /// controller that takes over from a lost one leaves some time to each of them first, so
+    /// that the controllers don't all try at the same time.
     pub fn rank(&self, member: &str) -> u32 {
         let before = self.live_members().into_iter().filter(|live| live.as_str() < member);
         u32::try_from(before.count()).unwrap_or(u32::MAX)
--- a/crates/stonewheel-coordination/src/store.rs
+++ b/crates/stonewheel-coordination/src/store.rs
@@ -1,5 +1,5 @@
-//! Access to the state service through the controller's own budget and writer, so that all
-//! parts together keep within its share.
+//! Access to the state service through the budget and the writer of the whole controller, so
+//! that all its parts together keep within its share of the limits.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::PREFIX;
 
-/// The state service within this controller's share.
+/// The state service, used within this controller's share of the limits.
 #[derive(Clone)]
 pub struct Store {
     api: Arc<dyn StateApi>,
@@ -20,39 +20,40 @@
 }
 
 impl Store {
-    /// `requests` and `writer` are those of the whole controller.
+    /// Returns a store that uses the request budget and the writer of the whole controller.
     pub fn new(api: Arc<dyn StateApi>, requests: Arc<Budget>, writer: Arc<Writer>) -> Self {
         Self { api, requests, writer }
     }
 
-    /// All shared records, and the revision at which the reading began.
+    /// Reads all shared records. Also returns the revision at which the first page was read:
+    /// later changes may be missing from the records.
     pub(crate) async fn read_all(&self) -> Result<(Vec<Item>, u64), StateError> {
         let mut items = Vec::new();
         let mut since = String::new();
-        let mut began = None;
+        let mut start_revision = None;
         loop {
             self.requests.take_with_reserve(1.0, Reserve::Quarter).await;
             let page = self.api.list(PREFIX, &since).await?;
-            began.get_or_insert(page.revision);
+            start_revision.get_or_insert(page.revision);
             if let Some(last) = page.items.last() {
                 since.clone_from(&last.key);
             }
             let more = page.more && !page.items.is_empty();
             items.extend(page.items);
             if !more {
-                return Ok((items, began.unwrap_or(0)));
+                return Ok((items, start_revision.unwrap_or(0)));
             }
         }
     }
 
-    /// What changed after a revision; waits for it up to `wait`.
+    /// Returns the changes after the revision `since`; waits for the first one up to `wait`.
     pub(crate) async fn watch(&self, since: u64, wait: Duration) -> Result<Events, StateError> {
         let reserve = if wait.is_zero() { Reserve::Quarter } else { Reserve::Half };
         self.requests.take_with_reserve(1.0, reserve).await;
         self.api.watch(PREFIX, since, wait).await
     }
 
-    /// Commits a change, and returns its revision.
+    /// Commits a change and returns its revision.
     pub(crate) async fn commit(
         &self,
         conditions: Vec<Condition>,
@@ -73,12 +74,12 @@
 
     pub(crate) async fn revoke_lease(&self, lease: u64) {
         self.requests.take(1.0).await;
-        // If it can't be revoked it expires by itself.
+        // A lease that can't be revoked expires by itself.
         let _ = self.api.revoke_lease(lease).await;
     }
 }
 
-/// A write of a value, attached to a lease or to none.
+/// Returns a write that sets `key` to `value`, attached to a lease if one is given.
 pub fn put<T: Serialize>(key: String, value: &T, lease: Option<u64>) -> Result<Write, StateError> {
     let value = serde_json::value::to_raw_value(value)
         .map_err(|error| StateError::OutcomeUnknown(CallError::Malformed(error.to_string())))?;
--- a/crates/stonewheel-coordination/src/succession.rs
+++ b/crates/stonewheel-coordination/src/succession.rs
@@ -1,23 +1,24 @@
-//! When a controller may adopt what another one owned.
+//! The order in which controllers adopt what a lost controller owned.
 
 use tokio::time::Instant;
 
 use crate::{coordinator::Coordinator, session::Owner};
 
-/// Controllers adopt one after the other, in the order of their names: each gives the one
-/// before it this part of a session's time.
+/// Controllers adopt one after another, in the order of their names. Each waits for the time
+/// to live of a session divided by this, for each live controller whose name sorts before
+/// its own.
 pub const ADOPTION_DELAY_DIVISOR: u32 = 16;
 
-/// Since when this controller has observed that the owner of something is gone.
+/// Tracks since when this controller has observed that the owner of a record has no session.
 #[derive(Debug, Default)]
 pub struct Succession {
     gone_since: Option<Instant>,
 }
 
 impl Succession {
-    /// Whether this controller may adopt what `owner` held: the owner has no session any
-    /// more, and the controllers that come first had their time. What has no owner is
-    /// treated as if its owner were gone.
+    /// Whether this controller may adopt what `owner` owned: the owner no longer has a
+    /// session, and the delay for the controllers that come first has elapsed. A record
+    /// without an owner is treated as if its owner had no session.
     pub fn may_adopt(&mut self, coordinator: &Coordinator, owner: Option<&Owner>) -> bool {
         let now = Instant::now();
         let (is_alive, rank) = {
@@ -25,9 +26,9 @@
             let is_alive = owner.is_some_and(|owner| records.is_alive(owner));
             (is_alive, records.rank(&coordinator.identity().member))
         };
-        let since = self.gone_since.unwrap_or(now);
-        self.gone_since = (!is_alive).then_some(since);
-        let pause = coordinator.timing().session_ttl / ADOPTION_DELAY_DIVISOR * rank;
-        !is_alive && now >= since + pause
+        let gone_since = self.gone_since.unwrap_or(now);
+        self.gone_since = (!is_alive).then_some(gone_since);
+        let delay = coordinator.timing().session_ttl / ADOPTION_DELAY_DIVISOR * rank;
+        !is_alive && now >= gone_since + delay
     }
 }
--- a/crates/stonewheel-state/src/locks.rs
+++ b/crates/stonewheel-state/src/locks.rs
@@ -2,8 +2,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, whether it is poisoned or not. Only a panic poisons a mutex, and the
-/// process ends with any panic, so no caller continues with the data of a poisoned one.
+/// Locks a mutex, whether it is poisoned or not. A mutex is poisoned only if a holder of the
+/// lock panicked. A panic is expected to end the process, so callers don't handle poisoning.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
