--- a/crates/stonewheel-protocol/src/cloud.rs
+++ b/crates/stonewheel-protocol/src/cloud.rs
@@ -1,4 +1,5 @@
-//! Between controllers and the cloud: machine types, provisioning, the machine list.
+//! Messages between controllers and the cloud: machine types, provisioning and the list of
+//! machines.
 
 use std::sync::Arc;
 
@@ -12,28 +13,29 @@
     /// The type's name, by which it is requested.
     #[serde(rename = "Label")]
     pub name: Arc<str>,
-    /// CPU cores.
+    /// CPU cores of a machine.
     #[serde(rename = "Cores")]
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of a machine.
     #[serde(rename = "Gpus", default)]
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory of a machine, in GB.
     #[serde(rename = "MemoryGb")]
     pub memory_gb: f64,
-    /// Local storage for images, in GB.
+    /// Local storage for the image cache, in GB.
     #[serde(rename = "LocalGb", default)]
     pub cache_gb: f64,
-    /// How fast an image is fetched, in GB a second; 0: at once.
+    /// The rate at which a machine fetches images, in GB per second; 0: fetching takes no
+    /// time.
     #[serde(rename = "PullGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an hour.
+    /// Price per hour as an on-demand machine.
     #[serde(rename = "Hourly", default)]
     pub price: f64,
-    /// Price of an hour as a spot machine.
+    /// Price per hour as a spot machine.
     #[serde(rename = "LowPrice", default)]
     pub spot_price: f64,
-    /// Usual time from the request until the machine runs, in seconds.
+    /// Usual time from the provision request until the machine runs, in seconds.
     #[serde(rename = "ReadyS", default)]
     pub boot_s: f64,
     /// Zones that offer the type.
@@ -41,10 +43,10 @@
     pub zones: Vec<Arc<str>>,
 }
 
-/// All types on offer.
+/// All machine types that the cloud offers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types in the cloud's order.
+    /// The machine types, in the cloud's order.
     #[serde(rename = "Frames")]
     pub types: Vec<MachineType>,
 }
@@ -52,29 +54,30 @@
 /// A request for machines of one type, zone and price class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// The request's name. It is used for one request only: the cloud takes a second
-    /// one of that name for a repetition, and provisions nothing more.
+    /// The request's name, which makes retries idempotent: the cloud takes a second
+    /// request of the same name for a repetition and provisions no further machines. Each
+    /// new request needs a new name.
     #[serde(rename = "Hire")]
     pub request: String,
     /// The machine type's name.
     #[serde(rename = "Frame")]
     pub machine_type: Arc<str>,
-    /// The zone.
+    /// The zone to provision the machines in.
     #[serde(rename = "Yard")]
     pub zone: Arc<str>,
-    /// Whether spot machines are asked for.
+    /// Whether to provision spot machines.
     #[serde(rename = "Driftwood")]
     pub spot: bool,
-    /// How many machines.
+    /// The number of machines.
     #[serde(rename = "HowMany")]
     pub count: u32,
 }
 
-/// The names of some machines: in a response those that were provisioned, in a
-/// request those that are to be deleted.
+/// Names of machines: in the response to a provision request the provisioned machines, in
+/// a deletion request the machines to delete.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Their names.
+    /// The names of the machines.
     #[serde(rename = "Millstones")]
     pub machines: Vec<MachineId>,
 }
@@ -82,44 +85,46 @@
 /// The state of a machine as the cloud reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineState {
-    /// It boots; its worker can't send heartbeats yet.
+    /// The machine is booting; its worker can't send heartbeats yet.
     #[serde(rename = "starting")]
     Booting,
-    /// It has booted.
+    /// The machine has booted.
     #[serde(rename = "running")]
     Running,
-    /// It failed to boot, or was lost.
+    /// The machine failed to boot, or was lost.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// A machine in the cloud's list, which lags behind what was provisioned and deleted.
+/// A machine in the cloud's list. The list may not yet include the latest provisioned
+/// machines, and may still include deleted ones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// The machine's name.
     #[serde(rename = "Ref")]
     pub id: MachineId,
-    /// Its type's name.
+    /// The name of the machine's type.
     #[serde(rename = "Frame")]
     pub machine_type: Arc<str>,
-    /// Its zone.
+    /// The machine's zone.
     #[serde(rename = "Yard")]
     pub zone: Arc<str>,
     /// Whether it is a spot machine.
     #[serde(rename = "Driftwood", default)]
     pub spot: bool,
-    /// Where its worker takes direct commands; empty as long as that is unknown.
+    /// The address at which the machine's worker accepts direct commands; empty while the
+    /// cloud doesn't know it.
     #[serde(rename = "Endpoint", default)]
     pub address: String,
-    /// What the cloud says of it.
+    /// The state of the machine according to the cloud.
     #[serde(rename = "Stance")]
     pub state: MachineState,
-    /// Time since it was provisioned, in seconds.
+    /// Time since the machine was provisioned, in seconds.
     #[serde(rename = "HeldS", default)]
     pub age_s: f64,
 }
 
-/// One page of the cloud's list of machines, in the order of their names.
+/// One page of the cloud's list of machines, ordered by name.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineList {
     /// The machines of this page.
--- a/crates/stonewheel-protocol/src/controllers.rs
+++ b/crates/stonewheel-protocol/src/controllers.rs
@@ -1,76 +1,83 @@
-//! Between controllers, in bitcode, which doesn't describe itself: a struct here
-//! never changes, and new facts get a section of their own (`peers/frames.rs`).
+//! Messages between controllers, encoded with bitcode. Bitcode is positional and doesn't
+//! describe its data, so the fields of these structs never change: new data gets a frame
+//! section of its own (`peers/frames.rs`).
 
-/// The identity of a controller heartbeat. The two integers are fixed on the wire.
+/// The identity of a controller heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bitcode::Encode, bitcode::Decode)]
 pub struct HeartbeatId {
-    /// The process that sends it, drawn at each start.
+    /// A random number that the sending process drew at its start.
     pub incarnation: u64,
-    /// It only rises within an incarnation.
+    /// The sequence number of the heartbeat, which increases within an incarnation.
     pub sequence: u64,
 }
 
-/// What controllers tell each other several times per leader lease. It carries no
-/// authority: only the state service does.
+/// The heartbeat that controllers send each other several times per leader lease. It gives
+/// its sender no authority: who leads is decided in the state service only.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct ControllerHeartbeat {
-    /// The sender's name in the settings.
+    /// The sender's member name in the settings.
     pub member: String,
     /// The identity of this heartbeat.
     pub id: HeartbeatId,
-    /// The latest heartbeat that this node received from the receiver as a leader:
-    /// it renews no worker's lease for a while after that.
+    /// The latest heartbeat that the sender received from the receiver while the receiver
+    /// was the leader. After receiving a leader's heartbeat, the sender abstains from
+    /// renewing workers' leases for some time (`lease_renewal`).
     pub acknowledged: Option<HeartbeatId>,
-    /// Whether the sender leads.
+    /// Whether the sender is the leader.
     pub leads: bool,
-    /// The highest fencing token this node has seen anywhere.
+    /// The highest fencing token in the sender's watch cache.
     pub token: u64,
-    /// Whether the state service answered this node lately.
+    /// Whether the state service answered the sender within the last leader lease.
     pub state_ok: bool,
-    /// Whether this node rejected worker heartbeats lately: proof that workers live
-    /// although the leader may not receive theirs.
+    /// Whether the sender rejected worker heartbeats within the last few heartbeat
+    /// intervals. They prove that workers are alive, even if the leader doesn't receive
+    /// their heartbeats.
     pub rejected_heartbeats: bool,
-    /// The revision of this node's watch cache: it knows every cancellation up to it.
+    /// The revision of the sender's watch cache, which has all cancellations up to this
+    /// revision.
     pub revision: u64,
-    /// Cancellations that this node may have confirmed to users after the receiver's
-    /// revision. They travel in a section of their own (`peers/frames.rs`).
+    /// Cancellations that the sender may have confirmed to users after the receiver's
+    /// revision. They are sent in a frame section of their own (`peers/frames.rs`).
     pub cancellations: Option<CancellationNotice>,
 }
 
-/// What the sender's version can do that the first one without this section could
-/// not. It holds for good: a member never returns to an older version once it has
-/// run this one.
+/// The features that the sender's version supports beyond those of versions that don't send
+/// this section. Receivers rely on a feature permanently once it was reported: a member must
+/// not return to an older version after it has run this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct Features {
-    /// It reads and writes pages whose records name the range of their tasks.
+    /// The sender reads and writes page records that name the range of their tasks.
     pub small_pages: bool,
 }
 
-/// A leader's contact with its workers, in a section of its own (`peers/frames.rs`).
+/// A leader's contact with its workers, sent in a frame section of its own
+/// (`peers/frames.rs`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct WorkerContact {
-    /// The sender leads and has lately received heartbeats of hardly any worker.
+    /// Whether the sender is the leader and most workers' heartbeats have failed to reach it
+    /// within the last few heartbeat intervals.
     pub lost: bool,
 }
 
-/// All cancellations in the sender's watch cache beyond a revision.
+/// The cancellations in the sender's watch cache after a revision.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct CancellationNotice {
-    /// The receiver's revision, as its latest heartbeat as a leader had it.
+    /// The receiver's revision, from the latest heartbeat that it sent as the leader.
     pub since: u64,
-    /// False if there are more than one heartbeat carries.
+    /// Whether `jobs` has all cancellations since then. False if there are more than fit one
+    /// heartbeat.
     pub complete: bool,
-    /// The cancelled jobs, the oldest end first.
+    /// The cancelled jobs, ordered by their end, oldest first.
     pub jobs: Vec<CancelledJob>,
 }
 
-/// A job that was cancelled. It is part of a frame: its fields never change.
+/// A cancelled job.
 #[derive(Clone, Debug, PartialEq, bitcode::Encode, bitcode::Decode)]
 pub struct CancelledJob {
     /// The job's id.
     pub id: String,
-    /// The revision of its end record.
+    /// The revision of the job's end record.
     pub version: u64,
-    /// How many of its tasks were done.
+    /// The number of the job's tasks that had completed.
     pub done: u32,
 }
--- a/crates/stonewheel-protocol/src/lib.rs
+++ b/crates/stonewheel-protocol/src/lib.rs
@@ -1,9 +1,10 @@
-//! Every struct that crosses a wire, in the field's standard terms.
+//! All messages between this program and others: controllers, workers, users, the cloud and
+//! the state service.
 //!
-//! The wire's own names appear only here, as serde renames; the rest of the
-//! program speaks of jobs, tasks, machines, incarnations and fencing tokens. Each
-//! module holds what is exchanged with one kind of partner. `wire_samples.rs` and
-//! `link_samples.rs` pin the bytes.
+//! The names that the wire formats use appear only here, as serde renames; the rest of the
+//! program uses standard terms such as job, task, machine, incarnation and fencing token.
+//! Each module has the messages of one kind of communication partner. `wire_samples.rs` and
+//! `link_samples.rs` in the tests of the main crate pin the serialized bytes.
 
 #![warn(missing_docs)]
 
@@ -21,13 +22,12 @@
 pub use users::*;
 pub use workers::*;
 
-/// The id that a user gave a job, of the form that [`is_job_id`] checks. Ids of jobs
-/// and machines are keys of many tables, so they are counted references rather than
-/// copies.
+/// The id that a user gave a job, in the form that [`is_job_id`] checks. Ids of jobs and
+/// machines are the keys of many tables, which share one reference-counted string.
 pub type JobId = Arc<str>;
 /// The name that the cloud gave a machine.
 pub type MachineId = Arc<str>;
 
-/// The longest request body, in bytes: a longer one is refused before it is read to
-/// its end.
+/// The maximum length of a request body in bytes. A longer body is refused before it is
+/// read completely.
 pub const BODY_LIMIT: usize = 64 * 1024;
--- a/crates/stonewheel-protocol/src/state_service.rs
+++ b/crates/stonewheel-protocol/src/state_service.rs
@@ -1,5 +1,5 @@
-//! Between controllers and the state service: items, transactions, leases and
-//! watched changes.
+//! Messages between controllers and the state service: items, transactions, leases and
+//! the changes that a watch delivers.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -13,15 +13,15 @@
     /// The value, as JSON text.
     #[serde(rename = "Value")]
     pub value: Box<RawValue>,
-    /// The revision of its last change.
+    /// The revision of the key's last change.
     #[serde(rename = "Stamp")]
     pub version: u64,
 }
 
-/// One page of a list of items, in the order of their keys.
+/// One page of a list of items, ordered by key.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ItemPage {
-    /// The items.
+    /// The items of this page.
     #[serde(rename = "Items")]
     pub items: Vec<Item>,
     /// Whether further items follow.
@@ -32,13 +32,13 @@
     pub revision: u64,
 }
 
-/// A condition of a compare-and-swap: the version that a key must have.
+/// A condition of a transaction: the version that a key must have (compare-and-swap).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "Key")]
     pub key: String,
-    /// The revision of its last change; 0: it must not exist.
+    /// The required revision of the key's last change; 0: the key must not exist.
     #[serde(rename = "Stamp")]
     pub version: u64,
 }
@@ -55,7 +55,8 @@
         /// The value.
         #[serde(rename = "Value")]
         value: Box<RawValue>,
-        /// The lease that the key is attached to: it is deleted when that ends.
+        /// The lease that the key is attached to, if any: the key is deleted when the lease
+        /// ends.
         #[serde(rename = "Tenure", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -76,26 +77,26 @@
     }
 }
 
-/// Changes that are made together, if all conditions hold.
+/// Writes that are made atomically if all conditions hold.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Transaction {
-    /// What must hold for any write to be made.
+    /// The conditions, all of which must hold for any write to be made.
     #[serde(rename = "When")]
     pub conditions: Vec<Condition>,
-    /// The writes, which are made together.
+    /// The writes, which are made atomically.
     #[serde(rename = "Writes")]
     pub writes: Vec<Write>,
 }
 
-/// The response to a transaction that was carried out.
+/// The response to a transaction that was committed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Committed {
-    /// The revision that it got: the version of all that it wrote.
+    /// The revision of the transaction, which is the version of all keys that it wrote.
     #[serde(rename = "Ledger")]
     pub revision: u64,
 }
 
-/// The response to a transaction that was not carried out since a condition failed.
+/// The response to a transaction that was not committed because a condition failed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct FailedConditions {
     /// The keys whose conditions failed.
@@ -103,10 +104,10 @@
     pub failed: Vec<String>,
 }
 
-/// A new lease.
+/// The response to a lease request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The lease's number.
+    /// The number of the new lease.
     #[serde(rename = "Tenure")]
     pub lease: u64,
 }
@@ -114,24 +115,24 @@
 /// A request for a lease.
 #[derive(Clone, Debug, Serialize)]
 pub struct LeaseRequest {
-    /// How long it is to last without renewal, in milliseconds.
+    /// The time to live of the lease without renewal, in milliseconds.
     #[serde(rename = "LifeMs")]
     pub ttl_ms: u64,
 }
 
-/// One change that a watch delivers. Either `put` and `value` are there, or `delete`.
+/// One change that a watch delivers. Either `put` and `value` are set, or `delete` is.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
     /// The key that was set.
     #[serde(rename = "Put", default)]
     pub put: Option<String>,
-    /// The key that was deleted, by a transaction or with its lease.
+    /// The key that was deleted, by a transaction or because its lease ended.
     #[serde(rename = "Drop", default)]
     pub delete: Option<String>,
     /// The value that was set.
     #[serde(rename = "Value", default)]
     pub value: Option<Box<RawValue>>,
-    /// The revision of the change; those of one transaction share it.
+    /// The revision of the change. All changes of one transaction have the same revision.
     #[serde(rename = "Stamp")]
     pub version: u64,
 }
@@ -139,7 +140,8 @@
 /// The changes that a watch delivers, in the order of their revisions.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Events {
-    /// The revision up to which these are all changes: the watch goes on from it.
+    /// The revision up to which the watch has delivered all changes. The next request of
+    /// the watch starts from it.
     #[serde(rename = "Ledger")]
     pub revision: u64,
     /// The changes.
--- a/crates/stonewheel-protocol/src/users.rs
+++ b/crates/stonewheel-protocol/src/users.rs
@@ -1,4 +1,4 @@
-//! Between users and controllers: submissions, states of jobs, errors.
+//! Messages between users and controllers: job submissions, job states and errors.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -7,9 +7,10 @@
 
 use super::JobId;
 
-/// The most tasks a job may have.
+/// The maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Names (images, classes, zones) of more bytes are taken for mistakes.
+/// The maximum length in bytes of the names in a submission (class, team, image, zone,
+/// machine types). A longer name is taken for a mistake of the user.
 const MAX_NAME_BYTES: usize = 200;
 
 /// How the tasks of a job run.
@@ -18,7 +19,7 @@
     /// A job array: independent tasks.
     #[serde(rename = "batch")]
     Array,
-    /// Gang scheduling: all tasks start together, and none goes on without the others.
+    /// Gang scheduling: all tasks start together, and no task continues without the others.
     #[serde(rename = "ensemble")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -30,35 +31,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// The least urgent.
+    /// The lowest priority.
     BestEffort,
-    /// The usual one.
+    /// The usual priority.
     Standard,
-    /// More urgent than the usual one.
+    /// A priority above the usual one.
     High,
-    /// The most urgent.
+    /// The highest priority.
     Production,
 }
 
-/// A job as its user describes it. The durable job record is the same text.
+/// A job as its user describes it. The durable job record has the same JSON format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Chosen by the user: a repeated submission with it is answered as the first.
+    /// The job's id, chosen by the user. A repeated submission with the same id gets the
+    /// same response as the first one.
     #[serde(rename = "Ref")]
     pub id: JobId,
-    /// The class of work, which objectives name.
+    /// The class of the job. Objectives in the settings refer to classes.
     #[serde(rename = "Grain")]
     pub class: Arc<str>,
-    /// The team whose quota it uses.
+    /// The team whose quota the job uses.
     #[serde(rename = "Crew")]
     pub team: Arc<str>,
-    /// How its tasks run.
+    /// How the job's tasks run.
     #[serde(rename = "Shape")]
     pub shape: Shape,
-    /// Its own priority; jobs that depend on it can raise the effective one.
+    /// The job's own priority. Its effective priority can be higher because of jobs that
+    /// depend on it.
     #[serde(rename = "Rank")]
     pub priority: Priority,
-    /// How many tasks it has, 1 to [`MAX_TASKS`].
+    /// The number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "Spokes")]
     pub tasks: u32,
     /// CPU cores of each task.
@@ -70,40 +73,41 @@
     /// Memory of each task, in GB.
     #[serde(rename = "MemoryGb")]
     pub memory_gb: f64,
-    /// The image that its tasks run.
+    /// The image that the tasks run.
     #[serde(rename = "Mould")]
     pub image: Arc<str>,
-    /// Size of the image in GB.
+    /// Size of the image, in GB.
     #[serde(rename = "ImageGb")]
     pub image_gb: f64,
-    /// The machine types that it may use; none: any.
+    /// The machine types that the job may use; `None`: any type.
     #[serde(rename = "Frames", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<Arc<str>>>,
-    /// The zone that it must run in, if it must.
+    /// The zone that the job must run in; `None`: any zone.
     #[serde(rename = "Yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Arc<str>>,
-    /// Whether all its tasks must run in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "Together")]
     pub one_zone: bool,
-    /// Whether its tasks must run on different machines.
+    /// Whether each task must run on a machine of its own.
     #[serde(rename = "Scatter")]
     pub spread: bool,
-    /// Whether it may run on spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "Driftwood")]
     pub spot: bool,
     /// The user's estimate of how long a task runs, in seconds.
     #[serde(rename = "ReckonS")]
     pub estimate_s: f64,
-    /// Seconds of work between two checkpoints; 0: it saves none.
+    /// Time between two checkpoints of a task, in seconds of work; 0: tasks save no
+    /// checkpoints.
     #[serde(rename = "NotchS")]
     pub checkpoint_s: f64,
-    /// Seconds that saving a checkpoint takes.
+    /// Time that saving a checkpoint takes, in seconds.
     #[serde(rename = "StashS")]
     pub save_s: f64,
-    /// Seconds from its submission by which it should be done.
+    /// The time from the submission until the job should be done, in seconds.
     #[serde(rename = "DueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts.
+    /// The jobs that must be done before any task of this job starts.
     #[serde(
         rename = "Awaits",
         default,
@@ -113,26 +117,27 @@
     pub dependencies: Vec<JobId>,
 }
 
+/// Deserializes a list that may be `null`, which stands for an empty list.
 fn null_as_empty<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
     Ok(Option::deserialize(deserializer)?.unwrap_or_default())
 }
 
-/// What is wrong with a submission, in one sentence for its user.
+/// The reason why a submission is invalid. Its text is sent to the user.
 #[derive(Debug, Error)]
 pub enum SubmissionError {
-    /// The body is not the JSON of a job.
+    /// The body is not JSON that describes a job.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The job's id has not the form of one.
+    /// The job's id doesn't have the form of a job id.
     #[error("Ref is not a job id")]
     JobId,
-    /// It has no task or too many.
+    /// The job has no tasks or more than [`MAX_TASKS`].
     #[error("Spokes must lie within 1 and {MAX_TASKS}")]
     TaskCount,
     /// An amount is negative, infinite or not a number.
     #[error("{field} must be a number of at least 0")]
     Amount {
-        /// Its name in the body.
+        /// The name of the field in the body.
         field: &'static str,
     },
     /// A name is empty or too long.
@@ -141,37 +146,38 @@
     /// The list of machine types is empty.
     #[error("Frames must name a type or be null")]
     NoMachineType,
-    /// A dependency has not the form of a job id.
+    /// A dependency doesn't have the form of a job id.
     #[error("Awaits names {0:?}, which is not a job id")]
     DependencyId(JobId),
-    /// It depends on itself.
+    /// The job depends on itself.
     #[error("Awaits must not name the job itself")]
     DependsOnItself,
 }
 
 impl JobSpec {
-    /// Reads a submission. A dependency that is named twice counts once.
+    /// Parses the body of a submission. Repeated dependencies are removed.
     ///
     /// # Errors
     ///
-    /// If it is not the JSON of a job, or a field has a value that it must not have.
+    /// If the body is not JSON that describes a job, or a field has an invalid value.
     pub fn parse(body: &[u8]) -> Result<Self, SubmissionError> {
         let mut spec: Self = serde_json::from_slice(body)?;
         spec.check()?;
-        let mut named = HashSet::new();
-        spec.dependencies.retain(|dependency| named.insert(dependency.clone()));
+        let mut seen = HashSet::new();
+        spec.dependencies.retain(|dependency| seen.insert(dependency.clone()));
         Ok(spec)
     }
 
-    /// The job's id alone, of a body that may be wrong in every other way.
+    /// Parses only the job's id from the body of a submission, whose other fields may be
+    /// missing or invalid. Returns `None` if there is no valid id.
     pub fn id_of(body: &[u8]) -> Option<JobId> {
         #[derive(Deserialize)]
-        struct Named {
+        struct IdOnly {
             #[serde(rename = "Ref")]
             id: JobId,
         }
-        let named: Named = serde_json::from_slice(body).ok()?;
-        is_job_id(&named.id).then_some(named.id)
+        let submission: IdOnly = serde_json::from_slice(body).ok()?;
+        is_job_id(&submission.id).then_some(submission.id)
     }
 
     fn check(&self) -> Result<(), SubmissionError> {
@@ -186,8 +192,8 @@
         if self.types.as_ref().is_some_and(Vec::is_empty) {
             return Err(SubmissionError::NoMachineType);
         }
-        if let Some(wrong) = self.dependencies.iter().find(|id| !is_job_id(id)) {
-            return Err(SubmissionError::DependencyId(wrong.clone()));
+        if let Some(invalid) = self.dependencies.iter().find(|id| !is_job_id(id)) {
+            return Err(SubmissionError::DependencyId(invalid.clone()));
         }
         if self.dependencies.contains(&self.id) {
             return Err(SubmissionError::DependsOnItself);
@@ -225,47 +231,48 @@
     }
 }
 
-/// Whether a name has the one form that job ids take.
+/// Whether a text has the form of a job id: `j-` and 1 to 20 decimal digits.
 pub fn is_job_id(id: &str) -> bool {
-    id.strip_prefix("j-")
-        .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("j-").is_some_and(|digits| {
+        (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
+    })
 }
 
 /// The state of a job as its user sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// None of its tasks runs.
+    /// None of the job's tasks is bound to a machine, and the job has not ended.
     #[serde(rename = "pending")]
     Pending,
-    /// Some of its tasks are bound to machines.
+    /// At least one of the job's tasks is bound to a machine.
     #[serde(rename = "running")]
     Running,
-    /// All its tasks completed.
+    /// All of the job's tasks completed.
     #[serde(rename = "done")]
     Done,
-    /// Its user cancelled it, or a job that it depends on was.
+    /// The job was cancelled by its user, or because a job that it depends on was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The state of a job with its counts, as its user gets it.
+/// The state of a job and the counts of its tasks, as reported to its user.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobStatus {
-    /// The job.
+    /// The job's id.
     #[serde(rename = "Ref")]
     pub id: JobId,
-    /// Its state.
+    /// The job's state.
     #[serde(rename = "Stance")]
     pub state: JobState,
-    /// Completed tasks.
+    /// The number of completed tasks.
     pub done: u32,
-    /// Tasks that are bound to machines.
+    /// The number of tasks that are bound to machines.
     pub running: u32,
 }
 
-/// The body of an error response: one sentence.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
-    /// The sentence.
+    /// The reason, in one sentence.
     pub error: String,
 }
--- a/crates/stonewheel-protocol/src/workers.rs
+++ b/crates/stonewheel-protocol/src/workers.rs
@@ -1,5 +1,5 @@
-//! Between workers and controllers: heartbeats, and the commands that answer them or
-//! are sent directly.
+//! Messages between workers and controllers: heartbeats, and commands, which are sent in the
+//! response to a heartbeat or directly to the worker's address.
 
 use std::sync::Arc;
 
@@ -7,74 +7,75 @@
 
 use super::MachineId;
 
-/// What a task on a machine is doing.
+/// The state of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// It fetches its image.
+    /// The machine is fetching the task's image.
     Fetching,
-    /// It is ready, and waits for the other tasks of its gang.
+    /// The task is ready to run and waits for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It was stopped, and saves a checkpoint within its grace period.
+    /// The task was stopped and is saving a checkpoint within its grace period.
     #[serde(rename = "flushing")]
     Saving,
-    /// It has exited; the worker keeps it in mind until told to forget it.
+    /// The task has exited. The worker keeps reporting it until it receives
+    /// [`CommandKind::Forget`].
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// Why a task exited, or was refused.
+/// The reason why a task exited, or why its start was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// A command stopped it.
+    /// The task was stopped by a command.
     Stopped,
     /// Another task of its gang exited.
     Peers,
-    /// The other tasks of its gang did not come.
+    /// The other tasks of its gang did not start in time.
     Alone,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// Its start was refused: the machine has too little room.
+    /// The start was refused because the machine has too little free capacity.
     #[serde(rename = "full")]
     InsufficientCapacity,
-    /// Its start was refused: another attempt of the task is still there.
+    /// The start was refused because another attempt of the task is still on the machine.
     Busy,
     /// The command named an attempt that the worker doesn't know.
     Unknown,
 }
 
-/// One task in a heartbeat.
+/// The status of one task in a worker heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task as `{job}/{number}`.
+    /// The task, in the form `{job}/{number}`.
     #[serde(rename = "Spoke")]
     pub task: String,
-    /// The attempt that this is.
+    /// The number of the attempt to run the task.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// What it is doing.
+    /// The state of this attempt.
     #[serde(rename = "Stance")]
     pub state: TaskState,
-    /// Why it exited, if it did.
+    /// The reason why it exited, if it has exited.
     #[serde(rename = "Cause", default)]
     pub cause: Option<ExitCause>,
-    /// Whether a stopped task saved a checkpoint.
+    /// Whether the task saved a checkpoint after it was stopped, if it was.
     #[serde(rename = "Saved", default)]
     pub saved: Option<bool>,
 }
 
-/// A worker's periodic message: itself, its machine and the status of its tasks.
+/// A worker's periodic message about itself, its machine and its tasks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
     /// The worker's machine.
     #[serde(rename = "Millstone")]
     pub machine: MachineId,
-    /// Where it takes direct commands.
+    /// The address at which the worker accepts direct commands.
     #[serde(rename = "Endpoint", default)]
     pub address: String,
     /// The machine's type.
@@ -83,36 +84,38 @@
     /// The machine's zone.
     #[serde(rename = "Yard")]
     pub zone: Arc<str>,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "Driftwood", default)]
     pub spot: bool,
-    /// It rises when the worker ends all its tasks since its lease expired.
+    /// The worker's incarnation. It increases when the worker's lease expires, upon which
+    /// the worker ends all its tasks.
     #[serde(rename = "Turning")]
     pub incarnation: u64,
-    /// The order of heartbeats within an incarnation.
+    /// The sequence number of the heartbeat within the incarnation.
     #[serde(rename = "Tick")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "Warrant", default)]
     pub token: u64,
-    /// Seconds until the cloud takes the machine back, once that is announced.
+    /// The time until the cloud reclaims the machine, in seconds, if the cloud has announced
+    /// it.
     #[serde(rename = "WarningS", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// The status of all tasks on the machine.
     #[serde(rename = "Spokes", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a worker is told to do with a task.
+/// The action that a command requests of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandKind {
-    /// Start an attempt.
+    /// Starts an attempt.
     #[serde(rename = "run")]
     Start,
-    /// Stop an attempt, after its grace period if there is one.
+    /// Stops an attempt, after its grace period if there is one.
     #[serde(rename = "halt")]
     Stop,
-    /// Drop an attempt that has exited.
+    /// Removes an attempt that has exited from the worker's reports.
     #[serde(rename = "clear")]
     Forget,
 }
@@ -120,49 +123,53 @@
 /// A command to a worker that concerns one attempt of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskCommand {
-    /// What to do.
+    /// The requested action.
     #[serde(rename = "Verb")]
     pub op: CommandKind,
-    /// The task as `{job}/{number}`.
+    /// The task, in the form `{job}/{number}`.
     #[serde(rename = "Spoke")]
     pub task: String,
-    /// The attempt to start, stop or forget.
+    /// The number of the attempt to start, stop or forget.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// For a stop: seconds to save a checkpoint in.
+    /// The grace period of a stop, in which the task can save a checkpoint, in seconds.
     #[serde(rename = "RespiteS", skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
 
-/// The response to a heartbeat by the leader. It also renews the worker's lease.
+/// A controller's response that accepts a worker heartbeat. It renews the worker's lease. It
+/// comes from the leader, or from followers while no controller can lead
+/// (`lease_renewal`).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The fencing token of the commands: the worker refuses lower ones from then on.
+    /// The fencing token of the commands. From then on, the worker refuses commands with
+    /// lower tokens.
     #[serde(rename = "Warrant")]
     pub token: u64,
-    /// What to do with its tasks.
+    /// Commands for the worker's tasks.
     #[serde(rename = "Orders")]
     pub commands: Vec<TaskCommand>,
 }
 
-/// Commands sent to a worker's own address. The response is a heartbeat.
+/// Commands that are sent to a worker's address. The response is a [`WorkerHeartbeat`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// The commands' fencing token.
+    /// The fencing token of the commands.
     #[serde(rename = "Warrant")]
     pub token: u64,
-    /// The incarnation that they are meant for; any other one refuses them.
+    /// The worker incarnation that the commands are meant for; any other incarnation
+    /// refuses them.
     #[serde(rename = "Turning")]
     pub incarnation: u64,
-    /// What to do with its tasks.
+    /// Commands for the worker's tasks.
     #[serde(rename = "Orders")]
     pub commands: Vec<TaskCommand>,
 }
 
-/// The response to a heartbeat by a controller that doesn't lead.
+/// A controller's response to a worker heartbeat if the controller is not the leader.
 #[derive(Clone, Debug, Serialize)]
 pub struct Redirect {
-    /// The address of the leader, if it is known.
+    /// The address of the leader, if the responding controller knows it.
     #[serde(rename = "Miller", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
