--- a/crates/stonewheel-coordination/src/records.rs
+++ b/crates/stonewheel-coordination/src/records.rs
@@ -102,9 +102,7 @@
     pub fn get<T: DeserializeOwned>(&self, key: &str) -> Option<Versioned<T>> {
         let entry = self.entries.get(key)?;
         let value = serde_json::from_str(entry.value.get())
-            .inspect_err(
-                |error| error!(key, %error, "shared record not decoded; treated as absent"),
-            )
+            .inspect_err(|error| error!(key, %error, "undecodable record treated as absent"))
             .ok()?;
         Some(Versioned { version: entry.version, value })
     }
