--- a/crates/stonewheel-activation/src/activator.rs
+++ b/crates/stonewheel-activation/src/activator.rs
@@ -287,11 +287,11 @@
         };
         let session = self.coordinator.session();
         model.plan(&EvaluationContext {
-            me: self.coordinator.me(),
+            me: self.coordinator.identity(),
             records: &self.coordinator.records(),
             session,
             settings: &self.settings,
-            session_ttl: self.coordinator.timing().session,
+            session_ttl: self.coordinator.timing().session_ttl,
             new_job: &new_job,
             jitter,
             now: Instant::now(),
@@ -362,7 +362,7 @@
     }
 
     fn use_marker_key(&self, model: &Model) -> String {
-        use_marker_key(&model.name, &self.coordinator.me().member)
+        use_marker_key(&model.name, &self.coordinator.identity().member)
     }
 
     fn replica_order(
--- a/crates/stonewheel-activation/src/model.rs
+++ b/crates/stonewheel-activation/src/model.rs
@@ -339,7 +339,7 @@
             has_held_requests: self.held_requests() > 0,
             has_use_marker,
             idle_locally: no_requests && now >= idle_at,
-            any_use_marker: records.names(&use_marker_prefix(&self.name)).next().is_some(),
+            any_use_marker: records.key_suffixes(&use_marker_prefix(&self.name)).next().is_some(),
             requested: &progress.requested,
             observed: &progress.observed,
             replicas_stopped: progress.replicas_stopped,
--- a/crates/stonewheel-lending/src/bound.rs
+++ b/crates/stonewheel-lending/src/bound.rs
@@ -1,6 +1,6 @@
 //! The bounds on how long a claim inside its guarantee waits for its machines.
 
-use stonewheel_coordination::ADOPTION_PARTS;
+use stonewheel_coordination::ADOPTION_DELAY_DIVISOR;
 use tokio::time::Duration;
 
 use crate::{
@@ -40,7 +40,7 @@
     ) -> Self {
         let times = &settings.times;
         let takeover = session
-            + session / ADOPTION_PARTS * members
+            + session / ADOPTION_DELAY_DIVISOR * members
             + times.probe_interval() * PROBES_PER_TAKEOVER
             + state_timeout;
         Self { reclaim: reclaim(times, state_timeout), takeover }
--- a/crates/stonewheel-lending/src/executor/term.rs
+++ b/crates/stonewheel-lending/src/executor/term.rs
@@ -55,7 +55,7 @@
             *lock(&self.term) = None;
             return;
         }
-        let this_controller = Some(self.coordinator.me());
+        let this_controller = Some(self.coordinator.identity());
         let held_here =
             holder.as_ref().filter(|stored| stored.value.owner.as_ref() == this_controller);
         let eligible = self.host.eligible();
@@ -97,7 +97,7 @@
         }
         let machines = self.settings.times.expected_machines as u32;
         let shards = shard_count(machines, self.limits.value_bytes);
-        let this_controller = self.coordinator.me().clone();
+        let this_controller = self.coordinator.identity().clone();
         let next =
             HolderRecord::successor(holder.map(|stored| &stored.value), this_controller, shards);
         let version = holder.map_or(0, |stored| stored.version);
--- a/src/controller/task_exits.rs
+++ b/src/controller/task_exits.rs
@@ -44,7 +44,7 @@
                 }
             }
             ExitCause::Error => self.record_failure(key, &id, now),
-            ExitCause::NoRoom | ExitCause::Busy => {
+            ExitCause::InsufficientCapacity | ExitCause::Busy => {
                 // The leader's view of the machine is wrong. The heartbeats that arrive during
                 // the quarantine correct it.
                 let until = now + self.settings.heartbeat_interval() * REFUSAL_QUARANTINE_INTERVALS;
--- a/src/node/internal_jobs.rs
+++ b/src/node/internal_jobs.rs
@@ -130,7 +130,7 @@
 
     /// The version of a marker, read from the state service. None if there is no marker.
     async fn marker_version(&self, marker: &str) -> Result<Option<u64>, Unavailable> {
-        self.request_budget.take_leaving(1.0, Reserve::Quarter).await;
+        self.request_budget.take_with_reserve(1.0, Reserve::Quarter).await;
         let page = self.state.list(marker, "").await.map_err(|_| Unavailable::State)?;
         Ok(page.items.iter().find(|item| item.key == marker).map(|item| item.version))
     }
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -197,7 +197,7 @@
     let min_read_interval = min_read_interval(&node, 2.0);
     loop {
         load_until_success(&node, retry_interval).await;
-        node.request_budget.take_leaving(1.0, Reserve::Half).await;
+        node.request_budget.take_with_reserve(1.0, Reserve::Half).await;
         let revision = lock(&node.watch_cache).revision;
         let requested_at = Instant::now();
         match node.state.watch(KEY_PREFIX, revision, watch_timeout).await {
@@ -245,7 +245,7 @@
         let _ = tokio::time::timeout(idle_read_interval, node.read_requested.notified()).await;
         let loaded = lock(&node.watch_cache).loaded;
         if loaded {
-            node.request_budget.take_leaving(1.0, Reserve::Quarter).await;
+            node.request_budget.take_with_reserve(1.0, Reserve::Quarter).await;
         }
         // Callers that arrived during the wait for the budget share the read.
         let waiting = std::mem::take(&mut *lock(&node.waiting_readers));
