--- a/crates/stonewheel-activation/src/gateway.rs
+++ b/crates/stonewheel-activation/src/gateway.rs
@@ -16,7 +16,7 @@
     service::TowerToHyperService,
 };
 use serde::Serialize;
-use stonewheel_http_server::{ConnectionLimits, accept_each, serve_connection};
+use stonewheel_http_server::{ConnectionLimits, accept_connections, serve_connection};
 use tokio::{
     net::{TcpListener, TcpStream},
     sync::Semaphore,
@@ -265,7 +265,8 @@
 pub async fn serve(activator: Arc<Activator>, listener: TcpListener, stop: CancellationToken) {
     let settings = activator.settings();
     let slots = Arc::new(Semaphore::new(most_connections(settings)));
-    let limits = ConnectionLimits { header_time: settings.request_limit(), buffer: BUFFER };
+    let limits =
+        ConnectionLimits { header_timeout: settings.request_limit(), buffer_bytes: BUFFER };
     let body_limit = settings.request_bytes();
     let gateway = Arc::new(Gateway::new(activator));
     let service = warp::service(routes(gateway, body_limit));
@@ -276,5 +277,5 @@
             serve_connection(stream, service, limits, stop).await;
         }
     };
-    accept_each(listener, slots, stop, connection).await;
+    accept_connections(listener, slots, stop, connection).await;
 }
--- a/crates/stonewheel-activation/src/settings.rs
+++ b/crates/stonewheel-activation/src/settings.rs
@@ -10,7 +10,7 @@
 use garde::Validate;
 use stonewheel_settings::{
     FieldError, MAX_TIME_S, MIN_TIME_S, PartSections, Section, at_least, at_most, known_priority,
-    path, whole,
+    url_path, whole_number,
 };
 
 /// How the sections of this part are called.
@@ -91,7 +91,7 @@
     #[garde(custom(known_priority))]
     pub priority: String,
     /// How many replicas it has.
-    #[garde(range(min = 1.0, max = 1e5), custom(whole))]
+    #[garde(range(min = 1.0, max = 1e5), custom(whole_number))]
     pub replicas: f64,
     /// What each takes.
     #[garde(range(min = 0.0, max = 1e6))]
@@ -103,10 +103,10 @@
     #[garde(range(min = 0.0, max = 1e9))]
     pub memory_gb: f64,
     /// The port at which a replica answers on its machine.
-    #[garde(range(min = 1.0, max = 65535.0), custom(whole))]
+    #[garde(range(min = 1.0, max = 65535.0), custom(whole_number))]
     pub port: f64,
     /// The path that a replica answers with 200 once it can take requests.
-    #[garde(custom(path))]
+    #[garde(custom(url_path))]
     pub health: String,
     /// How long a replica usually takes from the request for it to its first answer.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
@@ -124,7 +124,7 @@
     #[garde(range(min = 0.0, max = MAX_TIME_S))]
     pub awake_s: f64,
     /// How often one cold start tries to start it.
-    #[garde(range(min = 1.0, max = 100.0), custom(whole))]
+    #[garde(range(min = 1.0, max = 100.0), custom(whole_number))]
     pub attempts: f64,
     /// The pause before the second attempt; it doubles with each further one.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
@@ -190,7 +190,7 @@
 
 /// Whether a section belongs to this part.
 pub fn is_section(name: &str) -> bool {
-    SECTIONS.contain(name)
+    SECTIONS.contains(name)
 }
 
 /// The first mistake of a report, in the file's terms.
@@ -214,7 +214,7 @@
         outage_s: section.number("outage_s", Some(30.0))?,
         models: BTreeMap::new(),
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok(settings)
 }
 
@@ -243,7 +243,7 @@
         retry_s: section.number("retry_s", Some(load_s))?,
         look_s: section.number("look_s", Some(load_s / 30.0))?,
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok(settings)
 }
 
--- a/crates/stonewheel-http-server/src/lib.rs
+++ b/crates/stonewheel-http-server/src/lib.rs
@@ -50,7 +50,7 @@
 /// Accepts connections until told to stop, with a routine for each, no more at once
 /// than `slots` has room for; then waits for those that are left. Each routine gets
 /// the word to stop, and ends by itself.
-pub async fn accept_each<R: Future<Output = ()> + Send + 'static>(
+pub async fn accept_connections<R: Future<Output = ()> + Send + 'static>(
     listener: TcpListener,
     slots: Arc<Semaphore>,
     stop: CancellationToken,
@@ -77,9 +77,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     /// How long a request's header may take, idle time before it included.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Bytes that are read ahead.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
 }
 
 /// Serves one connection until it closes. Once told to stop, the request in progress
@@ -97,8 +97,8 @@
 {
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.header_time)
-        .max_buf_size(limits.buffer)
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.buffer_bytes)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use garde::Validate;
-use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole};
+use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole_number};
 use tokio::time::Duration;
 
 use crate::names::{MAX_NAME_BYTES, TeamName};
@@ -35,7 +35,7 @@
     #[garde(range(min = 0.0, max = 1e5))]
     pub spread_s: f64,
     /// Runs of one zone that save at the same time.
-    #[garde(range(min = 1.0, max = 1e6), custom(whole))]
+    #[garde(range(min = 1.0, max = 1e6), custom(whole_number))]
     pub halts_a_zone: f64,
     /// How long machines that serving gave back are kept for it.
     #[garde(range(max = 1e6), custom(at_least("grace_s", self.grace_s)))]
@@ -47,7 +47,7 @@
     #[garde(range(min = 0.0, max = 1e6))]
     pub machine_gpus: f64,
     /// Machines that the ledger is laid out for.
-    #[garde(range(min = 1.0, max = 1e7), custom(whole))]
+    #[garde(range(min = 1.0, max = 1e7), custom(whole_number))]
     pub expected_machines: f64,
 }
 
@@ -74,7 +74,7 @@
 
 /// Whether a section belongs to this part.
 pub fn is_section(name: &str) -> bool {
-    SECTIONS.contain(name)
+    SECTIONS.contains(name)
 }
 
 /// Reads the sections of this part out of an INI file's. None if there is no section
@@ -105,7 +105,7 @@
         machine_gpus: section.number("machine_gpus", None)?,
         expected_machines: section.number("expected_machines", Some(USUAL_MACHINES))?,
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     times.validate().map_err(|report| SECTIONS.validation_error(report.iter().next()))?;
     Ok(times)
 }
@@ -120,7 +120,7 @@
     if name.len() > MAX_NAME_BYTES {
         return Err(section.error("name", &format!("has more than {MAX_NAME_BYTES} bytes")));
     }
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok(Team { guarantee, ceiling })
 }
 
--- a/crates/stonewheel-rollout/src/routes.rs
+++ b/crates/stonewheel-rollout/src/routes.rs
@@ -7,7 +7,7 @@
 
 use hyper_util::service::TowerToHyperService;
 use serde::{Deserialize, Serialize};
-use stonewheel_http_server::{ConnectionLimits, accept_each, serve_connection};
+use stonewheel_http_server::{ConnectionLimits, accept_connections, serve_connection};
 use tokio::{
     net::{TcpListener, TcpStream},
     sync::Semaphore,
@@ -158,11 +158,11 @@
 /// Takes commands until told to stop.
 pub async fn serve(executor: Arc<Executor>, listener: TcpListener, stop: CancellationToken) {
     let service = warp::service(routes(executor));
-    let limits = ConnectionLimits { header_time: IDLE, buffer: BUFFER };
+    let limits = ConnectionLimits { header_timeout: IDLE, buffer_bytes: BUFFER };
     let connection = move |stream: TcpStream, stop: CancellationToken| {
         let service = TowerToHyperService::new(service.clone());
         serve_connection(stream, service, limits, stop)
     };
     let slots = Arc::new(Semaphore::new(MOST_CONNECTIONS));
-    accept_each(listener, slots, stop, connection).await;
+    accept_connections(listener, slots, stop, connection).await;
 }
--- a/crates/stonewheel-rollout/src/settings.rs
+++ b/crates/stonewheel-rollout/src/settings.rs
@@ -6,7 +6,8 @@
 use crate::condition::PromotionCondition;
 use garde::Validate;
 use stonewheel_settings::{
-    FieldError, MAX_TIME_S, MIN_TIME_S, PartSections, Section, known_priority, path, whole,
+    FieldError, MAX_TIME_S, MIN_TIME_S, PartSections, Section, known_priority, url_path,
+    whole_number,
 };
 
 /// How the sections of this part are called.
@@ -75,10 +76,10 @@
     #[garde(range(min = 0.0, max = 1e9))]
     pub memory_gb: f64,
     /// The port at which a replica answers on its machine.
-    #[garde(range(min = 1.0, max = 65535.0), custom(whole))]
+    #[garde(range(min = 1.0, max = 65535.0), custom(whole_number))]
     pub port: f64,
     /// The path that a replica answers with 200 once it can take requests.
-    #[garde(custom(path))]
+    #[garde(custom(url_path))]
     pub health: String,
     /// What must hold of a step that the health gate takes for healthy, before the
     /// next one.
@@ -102,7 +103,7 @@
 
 /// Whether a section belongs to this part.
 pub fn is_section(name: &str) -> bool {
-    SECTIONS.contain(name)
+    SECTIONS.contains(name)
 }
 
 /// Reads the sections of this part out of an INI file's. None if there is no section
@@ -129,7 +130,7 @@
         drain_s: section.number("drain_s", None)?,
         most_failures: section.number("most_failures", Some(0.05))?,
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok((listen, times))
 }
 
@@ -146,7 +147,7 @@
         health: section.text("health", Some("/health"))?,
         promote_when: promote_when(&mut section)?,
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok(settings)
 }
 
--- a/crates/stonewheel-settings/src/checks.rs
+++ b/crates/stonewheel-settings/src/checks.rs
@@ -16,7 +16,7 @@
 }
 
 /// A check: the path of a URL.
-pub fn path(value: &str, _: &()) -> garde::Result {
+pub fn url_path(value: &str, _: &()) -> garde::Result {
     if value.starts_with('/') && value.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Ok(());
     }
@@ -24,7 +24,7 @@
 }
 
 /// A check: a whole number.
-pub fn whole(value: &f64, _: &()) -> garde::Result {
+pub fn whole_number(value: &f64, _: &()) -> garde::Result {
     if value.fract() == 0.0 { Ok(()) } else { Err(garde::Error::new("must be a whole number")) }
 }
 
--- a/crates/stonewheel-settings/src/part.rs
+++ b/crates/stonewheel-settings/src/part.rs
@@ -30,7 +30,7 @@
 
 impl PartSections {
     /// Whether a section belongs to this part.
-    pub fn contain(&self, section: &str) -> bool {
+    pub fn contains(&self, section: &str) -> bool {
         section == self.general || section.starts_with(self.prefix)
     }
 
--- a/crates/stonewheel-settings/src/section.rs
+++ b/crates/stonewheel-settings/src/section.rs
@@ -51,7 +51,7 @@
     }
 
     /// Mistyped keys are reported: each key must have been read.
-    pub fn end(self) -> Result<(), FieldError> {
+    pub fn reject_unknown_keys(self) -> Result<(), FieldError> {
         match self.keys.keys().next() {
             Some(key) => Err(self.error(key, "unknown key")),
             None => Ok(()),
--- a/src/activation.rs
+++ b/src/activation.rs
@@ -50,7 +50,7 @@
             JobProbe::Pending => return Ok(Replicas::Pending),
             JobProbe::Placed(placed) => placed,
         };
-        let answering = placed.iter().filter(|replica| replica.answers);
+        let answering = placed.iter().filter(|replica| replica.is_healthy);
         let endpoints: Vec<String> = answering
             .map(|replica| replica.endpoint.to_string())
             .take(self.max_endpoints())
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -39,7 +39,7 @@
     Refused(StatusCode),
     /// It may have been carried out.
     #[error("unsure: {0}")]
-    Unsure(#[from] CallError),
+    OutcomeUnknown(#[from] CallError),
 }
 
 /// What the leader requests of the cloud.
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -70,7 +70,7 @@
     pub fn take_direct_requests(&mut self, now: Instant) -> Vec<DirectRequest> {
         let mut requests = Vec::new();
         for _ in 0..self.direct_calls.waiting_machines() {
-            if self.direct_calls.calls_in_flight() >= self.settings.direct_calls() {
+            if self.direct_calls.calls_in_flight() >= self.settings.max_direct_calls() {
                 break;
             }
             let Some(id) = self.direct_calls.pop() else { break };
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -157,7 +157,7 @@
     /// Whether there are more machines than connections for their heartbeats. True once
     /// a term.
     pub fn take_connection_shortage(&mut self) -> bool {
-        let shortage = self.fleet.machines.len() > self.settings.public_sockets();
+        let shortage = self.fleet.machines.len() > self.settings.max_public_sockets();
         shortage && !std::mem::replace(&mut self.connection_shortage_reported, true)
     }
 }
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -29,7 +29,7 @@
 use crate::{
     fleet::TaskKey,
     protocol::{JobSpec, Shape},
-    settings::{LARGEST_BINDING_BYTES, Settings},
+    settings::{MAX_BINDING_BYTES, Settings},
     store::{self, BoundTask, Page, TaskRange},
 };
 
@@ -132,7 +132,7 @@
         names: LongestNames,
     ) -> Vec<u32> {
         let tasks = self.page_tasks.min(self.spec.tasks) as usize;
-        if tasks * LARGEST_BINDING_BYTES <= value_bytes {
+        if tasks * MAX_BINDING_BYTES <= value_bytes {
             return pending;
         }
         let attempt = self.attempt + pending.len() as u64;
@@ -167,8 +167,8 @@
 pub(super) fn tasks_per_page(settings: &Settings, spec: &JobSpec, layout: PageLayout) -> u32 {
     let tasks = settings.page_tasks();
     let whole = spec.shape != Shape::Array;
-    let crowded = spec.tasks.min(tasks) as usize * LARGEST_BINDING_BYTES
-        > settings.state_limits().value_bytes;
+    let crowded =
+        spec.tasks.min(tasks) as usize * MAX_BINDING_BYTES > settings.state_limits().value_bytes;
     if whole && crowded && layout == PageLayout::CommonOrSmall {
         settings.small_page_tasks()
     } else {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::{Request, body::Incoming, service::service_fn};
 use hyper_util::service::TowerToHyperService;
-use stonewheel_http_server::{ConnectionLimits, accept_each, serve_connection};
+use stonewheel_http_server::{ConnectionLimits, accept_connections, serve_connection};
 use tokio::{
     net::{TcpListener, TcpStream},
     sync::Semaphore,
@@ -85,7 +85,7 @@
     let slots = Arc::new(Semaphore::new(limits.sockets));
     let bodies = Arc::new(BodyBudget::new(limits.memory, limits.body_timeout));
     let connection_limits =
-        ConnectionLimits { header_time: limits.idle_timeout, buffer: BODY_LIMIT / 4 };
+        ConnectionLimits { header_timeout: limits.idle_timeout, buffer_bytes: BODY_LIMIT / 4 };
     let service = warp::service(routes(handler));
     let free = slots.clone();
     let connection = move |stream: TcpStream, stop: CancellationToken| {
@@ -109,5 +109,5 @@
             serve_connection(stream, service, connection_limits, stop).await;
         }
     };
-    accept_each(listener, slots, stop, connection).await;
+    accept_connections(listener, slots, stop, connection).await;
 }
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -94,7 +94,7 @@
             requests,
             admission: AdmissionLimit::new(target, ceiling),
             watch_cache: Mutex::new(WatchCache::with_notice_limit(
-                settings.noticed_cancellations(),
+                settings.max_cancellations_per_heartbeat(),
             )),
             peers: Peers::new(members, settings.renewal_abstention(), incarnation),
             settings,
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -97,7 +97,7 @@
         let since = acknowledged.revision;
         // A frame that is longer than the receiver's limit would be lost as a whole.
         let receivable = max_cancellations_per_frame(self.peers.frame_limit(receiver));
-        let max = self.settings.noticed_cancellations().min(receivable);
+        let max = self.settings.max_cancellations_per_heartbeat().min(receivable);
         watch_cache.cancelled_since(since, max)
     }
 
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -16,7 +16,7 @@
 /// The bounds of the public listener that the settings give.
 pub(super) fn server_limits(settings: &Settings) -> ServerLimits {
     ServerLimits {
-        sockets: settings.public_sockets(),
+        sockets: settings.max_public_sockets(),
         // A worker that was silent for longer has left; what a cut left half open
         // must not hold a socket for long.
         idle_timeout: settings.worker_lease() * 2,
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -137,7 +137,7 @@
     /// Until when this node may renew leases as a follower: beyond it, cancellations
     /// that it doesn't know could outlive `cancel_s`.
     fn follower_renewal_deadline(&self) -> Instant {
-        let limit = self.settings.renewal_limit();
+        let limit = self.settings.renewal_window();
         match self.peers.last_read_at() {
             Some(at) => at + limit,
             // This process knows nothing of the time before it: half of the
@@ -170,7 +170,7 @@
     /// that could then outlive `cancel_s`. While its own lease lasts a leader
     /// always may, whatever the settings allow.
     fn may_renew_as_leader(&self, now: Instant) -> bool {
-        let limit = self.settings.renewal_limit().max(self.settings.leader_lease());
+        let limit = self.settings.renewal_window().max(self.settings.leader_lease());
         self.knows_cancellations(now, limit)
     }
 
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use stonewheel_http_server::accept_each;
+use stonewheel_http_server::accept_connections;
 use tokio::{
     net::{TcpListener, TcpStream},
     sync::{Semaphore, watch},
@@ -88,7 +88,7 @@
             }
         }
     };
-    accept_each(listener, slots, stop, link).await;
+    accept_connections(listener, slots, stop, link).await;
 }
 
 /// Receives the frames of one link. `unreadable_logged`: an unreadable one was
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -8,7 +8,7 @@
     protocol::{
         CancellationNotice, CancelledJob, ControllerHeartbeat, Features, HeartbeatId, WorkerContact,
     },
-    settings::MIN_NOTICED_CANCELLATIONS,
+    settings::MIN_CANCELLATIONS_PER_HEARTBEAT,
 };
 
 fn heartbeat() -> ControllerHeartbeat {
@@ -62,7 +62,7 @@
 #[test]
 fn the_most_that_is_told_fits_a_frame() {
     let longest = "j-99999999999999999999".to_owned();
-    for noticed in [MIN_NOTICED_CANCELLATIONS, 4_400, 100_000] {
+    for noticed in [MIN_CANCELLATIONS_PER_HEARTBEAT, 4_400, 100_000] {
         let job = CancelledJob { id: longest.clone(), version: u64::MAX, done: u32::MAX };
         let jobs = vec![job; noticed];
         let notice = CancellationNotice { since: u64::MAX, complete: false, jobs };
@@ -87,7 +87,7 @@
     let read = decode(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT))).expect("a message");
     peers.record_frame_limit("m-1", read.frame_limit);
     assert_eq!(peers.frame_limit("m-1"), MIN_FRAME_LIMIT);
-    assert!(max_cancellations_per_frame(MIN_FRAME_LIMIT) >= MIN_NOTICED_CANCELLATIONS);
+    assert!(max_cancellations_per_frame(MIN_FRAME_LIMIT) >= MIN_CANCELLATIONS_PER_HEARTBEAT);
 }
 
 /// Frames as the version before `Features` wrote them, byte for byte.
--- a/src/replica_jobs.rs
+++ b/src/replica_jobs.rs
@@ -27,7 +27,7 @@
 /// Probes whether a replica can take requests.
 pub trait ReplicaProbe: Send + Sync {
     /// Whether the replica at this endpoint answers this path with 200.
-    fn answers(&self, endpoint: SocketAddr, path: &str) -> BoxFuture<'_, bool>;
+    fn is_healthy(&self, endpoint: SocketAddr, path: &str) -> BoxFuture<'_, bool>;
 }
 
 /// Probes over HTTP.
@@ -45,7 +45,7 @@
 }
 
 impl ReplicaProbe for HttpProbe {
-    fn answers(&self, endpoint: SocketAddr, path: &str) -> BoxFuture<'_, bool> {
+    fn is_healthy(&self, endpoint: SocketAddr, path: &str) -> BoxFuture<'_, bool> {
         let path = path.to_owned();
         Box::pin(async move {
             let asked = self.client.call::<()>(Method::GET, endpoint, &path, None, self.within);
@@ -61,8 +61,8 @@
     pub machine: MachineId,
     /// The endpoint at which it is to answer.
     pub endpoint: SocketAddr,
-    /// Whether the endpoint answers.
-    pub answers: bool,
+    /// Whether the endpoint answered the latest probe with 200.
+    pub is_healthy: bool,
 }
 
 /// What a probe of a job shows.
@@ -171,13 +171,13 @@
         for machine in self.machines_of(job) {
             if let Some(address) = self.address(&machine).await {
                 let endpoint = SocketAddr::new(address.ip(), port);
-                placed.push(PlacedReplica { machine, endpoint, answers: false });
+                placed.push(PlacedReplica { machine, endpoint, is_healthy: false });
             }
         }
-        let probes = placed.iter().map(|replica| self.probe.answers(replica.endpoint, health));
-        let answers = join_all(probes).await;
-        for (replica, answers) in placed.iter_mut().zip(answers) {
-            replica.answers = answers;
+        let probes = placed.iter().map(|replica| self.probe.is_healthy(replica.endpoint, health));
+        let is_healthy = join_all(probes).await;
+        for (replica, is_healthy) in placed.iter_mut().zip(is_healthy) {
+            replica.is_healthy = is_healthy;
         }
         JobProbe::Placed(placed)
     }
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -42,7 +42,7 @@
         let Some(replica) = placed.into_iter().next() else { return Ok(ProbeResult::NoRoom) };
         let machine = replica.machine.to_string();
         let endpoint = replica.endpoint.to_string();
-        Ok(if replica.answers {
+        Ok(if replica.is_healthy {
             ProbeResult::Answering { machine, endpoint }
         } else {
             ProbeResult::Silent { machine }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -14,10 +14,10 @@
 mod validation;
 mod warnings;
 
-pub use derived::{LARGEST_BINDING_BYTES, MIN_NOTICED_CANCELLATIONS};
+pub use derived::{MAX_BINDING_BYTES, MIN_CANCELLATIONS_PER_HEARTBEAT};
 pub use error::SettingsError;
 pub use limits::{EffectiveLimits, NextStateLimits, StateLimits};
-pub use operator::Operator;
+pub use operator::OperatorSettings;
 pub use platform::{
     CloudLimits, Cluster, Member, Objective, Quota, Services, Settings, Team, Workers,
 };
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -34,13 +34,13 @@
 
 /// Cancellations that a controller heartbeat can carry at least, however slow the state
 /// service is: versions from before this followed from the settings carry no more.
-pub const MIN_NOTICED_CANCELLATIONS: usize = 1024;
+pub const MIN_CANCELLATIONS_PER_HEARTBEAT: usize = 1024;
 /// A leader that alone is refused misses what others confirm until its lease
 /// expires, and for as long again while the heartbeats catch up.
 const NOTICED_LEADER_LEASES: f64 = 2.0;
 
 /// A page's record needs no more than this for each task that is bound.
-pub const LARGEST_BINDING_BYTES: usize = 64;
+pub const MAX_BINDING_BYTES: usize = 64;
 const MAX_PAGE_TASKS: u32 = 1024;
 
 impl Settings {
@@ -71,7 +71,7 @@
     /// For how long workers may be answered after the last moment up to which
     /// all cancellations are known: a job cancelled just then must be gone, by
     /// its worker's own lease, within `cancel_s`.
-    pub fn renewal_limit(&self) -> Duration {
+    pub fn renewal_window(&self) -> Duration {
         let workers = &self.cluster.workers;
         Duration::from_secs_f64((workers.cancel_s - workers.lease_s).max(0.0) * RENEWAL_SHARE)
     }
@@ -84,16 +84,16 @@
 
     /// Direct calls to workers under way at once. Each takes a socket, and to
     /// machines that hang for as long as a call may last.
-    pub fn direct_calls(&self) -> usize {
+    pub fn max_direct_calls(&self) -> usize {
         (self.cluster.quota.fd_limit as usize / DESCRIPTORS_PER_DIRECT_CALL).max(MIN_DIRECT_CALLS)
     }
 
     /// Sockets that incoming connections of users and workers may take: all
     /// but those of the node's own calls. The state service, the cloud and the
     /// other controllers must always find one.
-    pub fn public_sockets(&self) -> usize {
+    pub fn max_public_sockets(&self) -> usize {
         let links = self.members.len() * SOCKETS_PER_MEMBER;
-        let own = self.direct_calls() + STATE_SOCKETS + CLOUD_SOCKETS + links + BASE_SOCKETS;
+        let own = self.max_direct_calls() + STATE_SOCKETS + CLOUD_SOCKETS + links + BASE_SOCKETS;
         (self.cluster.quota.fd_limit as usize).saturating_sub(own).max(MIN_PUBLIC_SOCKETS)
     }
 
@@ -115,24 +115,24 @@
 
     /// Cancellations that one controller heartbeat can carry. Each takes a change of the
     /// state service, so its rate bounds what a leader can miss.
-    pub fn noticed_cancellations(&self) -> usize {
+    pub fn max_cancellations_per_heartbeat(&self) -> usize {
         let state = &self.cluster.state;
         // Which of both limits is in force isn't known.
         let rate = state.write_rps.max(state.next.write_rps.unwrap_or(0.0));
         let missed = rate * self.leader_lease().as_secs_f64() * NOTICED_LEADER_LEASES;
-        (missed.round() as usize).max(MIN_NOTICED_CANCELLATIONS)
+        (missed.round() as usize).max(MIN_CANCELLATIONS_PER_HEARTBEAT)
     }
 
     /// The longest frame that another controller may send to this one.
     pub fn frame_limit(&self) -> usize {
-        crate::peers::frame_limit_for(self.noticed_cancellations())
+        crate::peers::frame_limit_for(self.max_cancellations_per_heartbeat())
     }
 
     /// Connections that may wait to be accepted. After a change of leader all
     /// workers may come within one heartbeat interval, and a connection that finds
     /// no room tries again only a second later.
     pub fn listen_backlog(&self) -> u32 {
-        let sockets = u32::try_from(self.public_sockets()).unwrap_or(u32::MAX);
+        let sockets = u32::try_from(self.max_public_sockets()).unwrap_or(u32::MAX);
         sockets.max(MIN_BACKLOG)
     }
 
@@ -154,7 +154,7 @@
 
 /// Tasks of which a record surely fits a value of this many bytes.
 fn tasks_per_page(value_bytes: usize) -> u32 {
-    u32::try_from(value_bytes / LARGEST_BINDING_BYTES)
+    u32::try_from(value_bytes / MAX_BINDING_BYTES)
         .unwrap_or(MAX_PAGE_TASKS)
         .clamp(1, MAX_PAGE_TASKS)
 }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -9,7 +9,7 @@
 
 /// What operators may set for themselves, with the project's defaults.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Seconds between two rounds of the autoscaler (the design's Δ).
     pub round_s: f64,
     /// A running width changes only for at least this share more in total.
@@ -32,7 +32,7 @@
     pub lending: Option<LendingSettings>,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
         Self {
             round_s: 4.0,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads the INI file; unknown sections and keys are mistakes here, since
     /// an operator who mistypes a key would otherwise never learn of it.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use stonewheel_settings::FieldError;
 
-use super::{error::SettingsError, limits::StateLimits, operator::Operator};
+use super::{error::SettingsError, limits::StateLimits, operator::OperatorSettings};
 
 /// Amounts are sums of decimal numbers, so equality needs a little slack.
 const AMOUNT_TOLERANCE: f64 = 1e-6;
@@ -33,7 +33,7 @@
     pub cluster: Cluster,
     /// The operators' own settings, from a file of theirs.
     #[serde(skip)]
-    pub operator: Operator,
+    pub operator: OperatorSettings,
 }
 
 /// Another controller.
@@ -163,7 +163,7 @@
         let mut settings = Self::parse(&path.display().to_string(), &read_file(path)?)?;
         if let Some(path) = operator {
             let file = path.display().to_string();
-            settings.operator = Operator::parse(&file, &read_file(path)?)?;
+            settings.operator = OperatorSettings::parse(&file, &read_file(path)?)?;
             settings.check_parts(&file)?;
         }
         Ok(settings)
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn operators_mistakes_are_named_too() {
-    let good = Operator::parse("o", "[scheduler]\nround_s = 5\n").expect("valid");
+    let good = OperatorSettings::parse("o", "[scheduler]\nround_s = 5\n").expect("valid");
     assert_eq!(good.round_s, 5.0);
     for (text, field) in [
         ("[scheduler]\nround = 5\n", "scheduler.round"),
@@ -70,7 +70,7 @@
         ("[fleet]\nidle_boots = -1\n", "fleet.idle_boots"),
         ("[other]\nround_s = 5\n", "other.round_s"),
     ] {
-        assert_eq!(Operator::parse("o", text).expect_err(field).field, field);
+        assert_eq!(OperatorSettings::parse("o", text).expect_err(field).field, field);
     }
 }
 
@@ -78,7 +78,7 @@
 fn the_operators_file_that_comes_with_the_project_is_valid_and_its_teams_are_checked() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/activation.ini");
     let text = std::fs::read_to_string(file).expect("it is there");
-    let operator = Operator::parse("deploy/activation.ini", &text).expect("valid");
+    let operator = OperatorSettings::parse("deploy/activation.ini", &text).expect("valid");
     let activation = operator.activation.as_ref().expect("switched on");
     assert_eq!(activation.models["rush-router"].load_s, 120.0, "comments end a line");
     let mut settings = Settings::parse("f", GOOD).expect("valid");
@@ -104,7 +104,7 @@
 fn lending_promises_no_more_than_the_platforms_file() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/lending.ini");
     let text = std::fs::read_to_string(file).expect("it is there");
-    let operator = Operator::parse("deploy/lending.ini", &text).expect("valid");
+    let operator = OperatorSettings::parse("deploy/lending.ini", &text).expect("valid");
     let lending = operator.lending.clone().expect("switched on");
     assert_eq!(lending.teams.len(), 8);
     let mut settings = Settings::parse("f", GOOD).expect("valid");
@@ -152,7 +152,7 @@
             .fold(GOOD.replacen("size = 3", "size = 1", 1), |text, (a, b)| text.replacen(a, b, 1));
         let mut settings = Settings::parse("f", &text).expect("valid");
         let operator = format!("[fleet]\nexpected_machines = {machines}\n");
-        settings.operator = Operator::parse("o", &operator).expect("valid");
+        settings.operator = OperatorSettings::parse("o", &operator).expect("valid");
         settings.warnings()
     };
     assert_eq!(warnings("0", &[]), Vec::<String>::new(), "nobody said how many");
@@ -185,12 +185,12 @@
     let settings =
         |from: &str, to: &str| Settings::parse("f", &GOOD.replacen(from, to, 1)).expect("valid");
     let usual = settings("", "");
-    assert_eq!(usual.noticed_cancellations(), MIN_NOTICED_CANCELLATIONS);
+    assert_eq!(usual.max_cancellations_per_heartbeat(), MIN_CANCELLATIONS_PER_HEARTBEAT);
     assert_eq!(usual.frame_limit(), crate::peers::MIN_FRAME_LIMIT);
     assert_eq!(usual.listen_backlog(), MIN_BACKLOG);
     let fast = settings("write_rps = 60.0", "write_rps = 600.0");
     // Two leader leases of 11 / 3 s, which others may use for cancellations alone.
-    assert_eq!(fast.noticed_cancellations(), 4400);
+    assert_eq!(fast.max_cancellations_per_heartbeat(), 4400);
     assert!(crate::peers::max_cancellations_per_frame(fast.frame_limit()) >= 4400);
     let large = settings("fd_limit = 600", "fd_limit = 9000");
     assert!(large.listen_backlog() > 4000, "{}", large.listen_backlog());
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -77,7 +77,7 @@
     }
 
     fn socket_warning(&self) -> Option<String> {
-        let (public, all) = (self.public_sockets(), self.cluster.quota.fd_limit as usize);
+        let (public, all) = (self.max_public_sockets(), self.cluster.quota.fd_limit as usize);
         (public * 2 < all).then(|| {
             format!(
                 "cluster.quota.fd_limit: of {all} sockets {public} are left for users and workers, \
@@ -88,7 +88,7 @@
 
     fn cancellation_warning(&self) -> Option<String> {
         let workers = &self.cluster.workers;
-        (self.renewal_limit() < self.leader_lease()).then(|| {
+        (self.renewal_window() < self.leader_lease()).then(|| {
             format!(
                 "cluster.workers.cancel_s: with a lease of {} s, {} s leave a leader that is cut off \
                  no time to learn of cancellations: some may be stopped late",
@@ -121,7 +121,7 @@
     }
 
     fn fleet_socket_warning(&self, machines: f64) -> Option<String> {
-        let sockets = self.public_sockets() as f64;
+        let sockets = self.max_public_sockets() as f64;
         let needed = machines * SOCKETS_PER_MACHINE;
         (sockets < needed).then(|| {
             format!(
--- a/src/store/recent_cancellations.rs
+++ b/src/store/recent_cancellations.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{protocol::JobId, settings::MIN_NOTICED_CANCELLATIONS};
+use crate::{protocol::JobId, settings::MIN_CANCELLATIONS_PER_HEARTBEAT};
 
 /// Cancellations that are held for each one that a heartbeat carries.
 const HELD_PARTS: usize = 4;
@@ -41,7 +41,7 @@
 
 impl Default for RecentCancellations {
     fn default() -> Self {
-        Self::with_notice_limit(MIN_NOTICED_CANCELLATIONS)
+        Self::with_notice_limit(MIN_CANCELLATIONS_PER_HEARTBEAT)
     }
 }
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -325,7 +325,7 @@
     assert_eq!((notice.jobs.as_slice(), notice.complete), (latest.as_slice(), true));
     let notice = watch_cache.cancelled_since(10, usize::MAX);
     assert!(!notice.complete, "what was cancelled right after revision 10 is not among them");
-    assert!(notice.jobs.len() >= crate::settings::MIN_NOTICED_CANCELLATIONS);
+    assert!(notice.jobs.len() >= crate::settings::MIN_CANCELLATIONS_PER_HEARTBEAT);
     // Read once more, in the order of keys.
     let mut read = WatchCache::default();
     for revision in (1..=many).rev() {
--- a/tests/common/deployment.rs
+++ b/tests/common/deployment.rs
@@ -176,7 +176,7 @@
         if let Some(scale) = lock(&self.inner).scale {
             scale_settings(&mut settings, scale);
         }
-        let sockets = Arc::new(Semaphore::new(settings.direct_calls()));
+        let sockets = Arc::new(Semaphore::new(settings.max_direct_calls()));
         let workers = Arc::new(InMemoryWorkers { deployment: self.clone(), at, sockets });
         // Machines stay long enough for a scenario to end.
         settings.operator.idle_boots = 10.0;
--- a/tests/late_commands/direct_calls.rs
+++ b/tests/late_commands/direct_calls.rs
@@ -21,7 +21,7 @@
 async fn no_more_commands_are_composed_than_can_leave_at_once() {
     let mut settings = settings("m-0");
     settings.cluster.quota.fd_limit = 64;
-    let calls = settings.direct_calls();
+    let calls = settings.max_direct_calls();
     let mut harness = LeaderHarness::with(settings, TermTokens::single(5));
     for machine in 0..3 * calls {
         harness.heartbeat(&format!("n-{machine:03}"), 1, &[]);
@@ -46,7 +46,7 @@
 async fn every_machine_gets_its_turn_when_calls_are_few() {
     let mut settings = settings("m-0");
     settings.cluster.quota.fd_limit = 64;
-    let calls = settings.direct_calls();
+    let calls = settings.max_direct_calls();
     let mut harness = LeaderHarness::with(settings, TermTokens::single(5));
     let machines = 3 * calls;
     for machine in 0..machines {
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -39,7 +39,7 @@
 struct MemProbe(TestDeployment);
 
 impl ReplicaProbe for MemProbe {
-    fn answers(&self, endpoint: SocketAddr, _: &str) -> BoxFuture<'_, bool> {
+    fn is_healthy(&self, endpoint: SocketAddr, _: &str) -> BoxFuture<'_, bool> {
         let machine = machine_at(&endpoint.to_string());
         Box::pin(async move {
             sleep(Duration::from_millis(5)).await;
--- a/tests/settings_samples.rs
+++ b/tests/settings_samples.rs
@@ -6,7 +6,7 @@
     process::Command,
 };
 
-use stonewheel::settings::{Operator, Settings};
+use stonewheel::settings::{OperatorSettings, Settings};
 
 /// A section's name and its keys, in the file's order.
 type Section = (&'static str, &'static [&'static str]);
@@ -238,7 +238,7 @@
         let expected: Vec<(&str, Vec<&str>)> =
             sections.iter().map(|(name, keys)| (*name, keys.to_vec())).collect();
         assert_eq!(found, expected, "{file}");
-        let operator = Operator::parse(file, &text).expect(file);
+        let operator = OperatorSettings::parse(file, &text).expect(file);
         let on =
             [operator.activation.is_some(), operator.lending.is_some(), operator.rollout.is_some()];
         assert_eq!(on.into_iter().filter(|on| *on).count(), 1, "{file}");
@@ -254,7 +254,7 @@
 
 #[test]
 fn every_key_of_the_operators_is_known() {
-    let operator = Operator::parse("o.ini", OPERATOR).expect("valid");
+    let operator = OperatorSettings::parse("o.ini", OPERATOR).expect("valid");
     let figures = [
         operator.round_s,
         operator.resize_gain,
@@ -269,7 +269,7 @@
     assert_eq!(settings.check_parts("o.ini"), Ok(()));
     let missing_key = |line: &str| {
         let text = OPERATOR.replacen(line, "", 1);
-        Operator::parse("o.ini", &text).expect_err(line).to_string()
+        OperatorSettings::parse("o.ini", &text).expect_err(line).to_string()
     };
     for (line, message) in [
         ("team = blue\n", "o.ini: model router.team: is missing"),
