--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
-//! The platform's settings (TOML), the operators' own (INI), and the figures
-//! derived from both.
+//! The platform's settings (TOML), the operators' settings (INI), and the durations and
+//! limits derived from both.
 //!
-//! Everything is checked at the start: a controller that starts has settings
-//! it can work with.
+//! All settings are validated before the controller starts, so the rest of the code relies
+//! on them without further checks.
 
 mod derived;
 mod error;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! The error of all settings files.
+//! The error type of the settings files.
 
 use stonewheel_settings::FieldError;
 use thiserror::Error;
@@ -7,16 +7,16 @@
 #[derive(Debug, Error, PartialEq)]
 #[error("{file}: {field}: {reason}")]
 pub struct SettingsError {
-    /// The file as it was named on the command line.
+    /// The path of the file as given on the command line.
     pub file: String,
-    /// The path of the key, or the section and key.
+    /// The path of the key (TOML), or the section and the key (INI).
     pub field: String,
-    /// What is wrong with it.
+    /// The reason why the field is invalid.
     pub reason: String,
 }
 
 impl SettingsError {
-    /// A mistake in a field of this file.
+    /// Creates the error for a mistake in a field of this file.
     pub(super) fn new(file: &str, error: FieldError) -> Self {
         Self { file: file.into(), field: error.field, reason: error.reason }
     }
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -1,18 +1,17 @@
-//! Limits of the state service: today's, and those that come into force later.
+//! Limits of the state service: the present ones, and those that come into force later.
 
 use serde::Deserialize;
 use stonewheel_settings::FieldError;
 
-/// The state service takes so many conditions for each write that a
-/// transaction may have.
+/// Conditions that the state service accepts for each write that a transaction may have.
 const CONDITIONS_PER_WRITE: usize = 4;
-/// A job's end and the removal of its records must fit one transaction.
+/// The minimum of `txn_ops`: a job's end and the removal of its records must fit one transaction.
 pub(super) const MIN_TRANSACTION_WRITES: usize = 4;
-/// A submission with names of usual length must fit one value.
+/// The minimum of `value_kb`: a submission with names of usual length must fit one value.
 const MIN_VALUE_KB: f64 = 0.5;
 pub(super) const BYTES_PER_KB: f64 = 1024.0;
 
-/// The limits of the state service, and those that it may have later on.
+/// The present limits of the state service, and the limits that it will have later.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
     /// Requests a second.
@@ -28,7 +27,7 @@
     pub next: NextStateLimits,
 }
 
-/// Limits that the state service will have later; absent ones stay as they are.
+/// Limits that the state service will have later. An absent limit does not change.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct NextStateLimits {
     /// Requests a second.
@@ -41,8 +40,8 @@
     pub txn_ops: Option<usize>,
 }
 
-/// What may be asked of the state service now and later: of each limit the
-/// smaller of the present and the coming one.
+/// Limits of the state service that are valid now and later: the smaller of the present and the
+/// coming value of each limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EffectiveLimits {
     /// Requests a second.
@@ -56,14 +55,14 @@
 }
 
 impl EffectiveLimits {
-    /// The most conditions that one transaction may have.
+    /// Returns the maximum number of conditions in one transaction.
     pub fn transaction_conditions(&self) -> usize {
         self.transaction_writes * CONDITIONS_PER_WRITE
     }
 }
 
 impl NextStateLimits {
-    /// Checks each of them by itself.
+    /// Checks each limit separately.
     pub(super) fn check(&self) -> Result<(), FieldError> {
         let rates = [
             ("cluster.state.next.rps", self.rps),
@@ -85,7 +84,7 @@
 }
 
 impl StateLimits {
-    /// The limits that hold at any time, whenever the coming ones begin.
+    /// Returns the limits that are valid at any time, whenever the coming ones take effect.
     pub fn effective(&self) -> EffectiveLimits {
         let next = &self.next;
         let value_kb = self.value_kb.min(next.value_kb.unwrap_or(f64::INFINITY));
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings (INI).
+//! The operators' settings (INI).
 
 use stonewheel_activation::ActivationSettings;
 use stonewheel_lending::LendingSettings;
@@ -7,28 +7,30 @@
 
 use super::error::SettingsError;
 
-/// What operators may set for themselves, with the project's defaults.
+/// The settings that operators choose themselves, with defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorSettings {
-    /// Seconds between two rounds of the autoscaler (the design's Δ).
+    /// The time between two rounds, the leader's full scheduling passes, in seconds.
     pub round_s: f64,
-    /// A running width changes only for at least this share more in total.
+    /// The minimum relative gain in total throughput for which the widths of running jobs
+    /// change.
     pub resize_gain: f64,
-    /// A gang's factor at width k is k / (1 + slope (k - 1)).
+    /// The slope of the throughput scaling factor of gangs: the factor at width k is
+    /// k / (1 + slope (k - 1)).
     pub gang_slope: f64,
     /// Idle machines are returned after this share of their type's boot time.
     pub idle_boots: f64,
-    /// Empty machines kept ready, as a share of the root of the load of
-    /// classes with an aim on waiting.
+    /// Empty machines kept ready, as a multiple of the square root of the load of the classes
+    /// that have an objective for waiting.
     pub headroom: f64,
-    /// Machines that the fleet may have, or 0 if nobody has said. Nothing is
-    /// refused beyond it: it serves to check the other settings.
+    /// The number of machines that the fleet is expected to have, or 0 if unknown. It does not
+    /// limit the fleet; the warnings use it to check the other settings.
     pub expected_machines: f64,
-    /// Models that scale to zero, if that is switched on.
+    /// Models that scale to zero; none if activation is disabled.
     pub activation: Option<ActivationSettings>,
-    /// Services that are rolled out in steps, if that is switched on.
+    /// Services that are rolled out in steps; none if rollouts are disabled.
     pub rollout: Option<Rollouts>,
-    /// Lending machines to batch work, if that is switched on.
+    /// Lending of machines to batch work; none if lending is disabled.
     pub lending: Option<LendingSettings>,
 }
 
@@ -49,8 +51,8 @@
 }
 
 impl OperatorSettings {
-    /// Reads the INI file; unknown sections and keys are mistakes here, since
-    /// an operator who mistypes a key would otherwise never learn of it.
+    /// Parses the INI file. Unknown sections and keys are errors, since a mistyped key would
+    /// otherwise be ignored without notice.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         Self::parse_fields(text).map_err(|error| SettingsError::new(file, error))
     }
@@ -66,7 +68,7 @@
             lending: stonewheel_lending::parse_sections(sections())?,
             ..Self::default()
         };
-        for (section, keys) in ini.iter().filter(|(name, _)| !name.is_some_and(is_of_a_part)) {
+        for (section, keys) in ini.iter().filter(|(name, _)| !name.is_some_and(is_part_section)) {
             for (key, value) in keys.iter() {
                 operator.set(&format!("{}.{key}", section.unwrap_or("")), value)?;
             }
@@ -77,9 +79,9 @@
         Ok(operator)
     }
 
-    /// Sets the number that `field`, a section and key, stands for.
+    /// Sets the number named by `field`, which is a section and a key ("scheduler.round_s").
     fn set(&mut self, field: &str, value: &str) -> Result<(), FieldError> {
-        let slot = match field {
+        let setting = match field {
             "scheduler.round_s" => &mut self.round_s,
             "scheduler.resize_gain" => &mut self.resize_gain,
             "scheduler.gang_slope" => &mut self.gang_slope,
@@ -89,13 +91,14 @@
             _ => return Err(FieldError::new(field, "unknown key")),
         };
         let number = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
-        *slot = number.ok_or_else(|| FieldError::new(field, "must be a number of at least 0"))?;
+        *setting =
+            number.ok_or_else(|| FieldError::new(field, "must be a number of at least 0"))?;
         Ok(())
     }
 }
 
-/// Whether a section is read by a part of its own.
-fn is_of_a_part(section: &str) -> bool {
+/// Whether a section belongs to an optional part, which parses the section itself.
+fn is_part_section(section: &str) -> bool {
     stonewheel_activation::is_section(section)
         || stonewheel_rollout::is_section(section)
         || stonewheel_lending::is_section(section)
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's file (TOML): its tables as structs, and how it is read.
+//! The platform's file (TOML): its tables as structs, and its parsing.
 //!
-//! Field names are the keys of the file. Keys that end in `_s` are seconds, `_kb` KiB,
-//! `_mb` MiB, and `rps` calls a second.
+//! Field names are the keys of the file. Keys that end in `_s` are in seconds, `_kb` in KiB,
+//! `_mb` in MiB, and `rps` in calls a second.
 
 use std::{net::SocketAddr, path::Path, sync::Arc};
 
@@ -10,28 +10,29 @@
 
 use super::{error::SettingsError, limits::StateLimits, operator::OperatorSettings};
 
-/// Amounts are sums of decimal numbers, so equality needs a little slack.
+/// The tolerance in comparisons of amounts with limits: amounts are sums of decimal fractions,
+/// which floating point rounds.
 const AMOUNT_TOLERANCE: f64 = 1e-6;
 
 /// All settings of one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// This controller's own name.
+    /// This controller's name.
     pub member: String,
-    /// The zone that it runs in.
+    /// The zone that this controller runs in.
     pub zone: String,
-    /// Where users and workers reach it.
+    /// The address on which this controller listens for users and workers.
     pub public_addr: SocketAddr,
-    /// Where the other controllers reach it.
+    /// The address on which this controller listens for the other controllers.
     pub internal_addr: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub members: Vec<Member>,
-    /// The services that it depends on.
+    /// The services that this controller depends on.
     pub services: Services,
-    /// What holds for the whole deployment.
+    /// The settings of the whole deployment.
     pub cluster: Cluster,
-    /// The operators' own settings, from a file of theirs.
+    /// The operators' settings, from a separate file.
     #[serde(skip)]
     pub operator: OperatorSettings,
 }
@@ -39,27 +40,27 @@
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The controller's name.
     pub member: String,
-    /// Its internal address.
+    /// The controller's internal address.
     pub endpoint: SocketAddr,
 }
 
 /// Addresses of the services that a controller depends on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud's interface.
+    /// The address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// The address of the state service.
     pub state: SocketAddr,
 }
 
-/// What holds for the whole deployment.
+/// The settings of the whole deployment, the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Cluster {
-    /// How many controllers there are.
+    /// The number of controllers.
     pub size: u32,
-    /// All zones, in the order by which records number them.
+    /// All zones. Records refer to a zone by its index in this list.
     pub zones: Vec<Arc<str>>,
     /// Teams and their quotas.
     #[serde(default)]
@@ -67,20 +68,20 @@
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times that workers and controllers agree on.
+    /// Intervals and time-outs that workers and controllers have in common.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What a controller itself may use.
+    /// The resources that a controller process may use.
     pub quota: Quota,
 }
 
-/// A team's guarantee and limit. 0 means none: no guarantee, no limit.
+/// A team's guarantee and limit. 0 means no guarantee or no limit.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// The team's name.
     pub name: Arc<str>,
     /// Guaranteed CPU cores.
     #[serde(default)]
@@ -97,8 +98,8 @@
 }
 
 impl Team {
-    /// Whether so much in use lies within the team's guarantee. A team
-    /// without any guarantee has nothing within it.
+    /// Whether a use of this many CPU cores and GPUs is within the team's guarantee. Always
+    /// false for a team that has neither a CPU nor a GPU guarantee.
     pub fn guarantees(&self, cpus: f64, gpus: f64) -> bool {
         let has_guarantee = self.cpus > 0.0 || self.gpus > 0.0;
         has_guarantee && is_within(cpus, self.cpus) && is_within(gpus, self.gpus)
@@ -112,28 +113,30 @@
 /// A service-level objective of the operators.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What it is about.
+    /// The kind of the objective. The scheduler acts on `wait` only, the time until a job's tasks
+    /// start; other kinds are accepted and ignored.
     pub kind: String,
-    /// The class of jobs that it holds for; all if absent.
+    /// The class of jobs that the objective applies to; all classes if absent.
     #[serde(default)]
     pub class: Option<Arc<str>>,
-    /// The longest wait, in seconds.
+    /// The maximum wait, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// Times that workers and controllers agree on, in seconds.
+/// Intervals and time-outs that workers and controllers have in common, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Between two heartbeats of a worker.
+    /// The time between two heartbeats of a worker.
     pub report_s: f64,
-    /// A worker's lease.
+    /// The duration of a worker's lease.
     pub lease_s: f64,
-    /// Times of the platform's workers for gangs, which this service checks but doesn't use.
+    /// A time that the platform's workers apply to gangs. This service validates the value and
+    /// doesn't use it.
     pub gang_wait_s: f64,
-    /// See `gang_wait_s`.
+    /// Another time for gangs, validated and not used like `gang_wait_s`.
     pub gang_peer_s: f64,
-    /// From the answer to a cancellation until none of the job's tasks may run.
+    /// The maximum time from the response to a cancellation until none of the job's tasks runs.
     pub cancel_s: f64,
 }
 
@@ -142,14 +145,14 @@
 pub struct CloudLimits {
     /// Calls a second.
     pub rps: f64,
-    /// How far a list of machines may lag behind, in seconds.
+    /// The maximum age of the state that a machine list shows, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What a controller itself may use of its machine.
+/// The resources of its machine that a controller process may use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Quota {
-    /// Share of a core.
+    /// The share of a CPU core.
     pub core_share: f64,
     /// Memory in MiB.
     pub mem_mb: f64,
@@ -158,7 +161,7 @@
 }
 
 impl Settings {
-    /// Reads and checks the platform's file and, if there is one, the operators'.
+    /// Reads and validates the platform's file and, if given, the operators' file.
     pub fn load(path: &Path, operator: Option<&Path>) -> Result<Self, SettingsError> {
         let mut settings = Self::parse(&path.display().to_string(), &read_file(path)?)?;
         if let Some(path) = operator {
@@ -169,7 +172,7 @@
         Ok(settings)
     }
 
-    /// Reads and checks the platform's settings; `file` is their name in errors.
+    /// Parses and validates the platform's settings. Errors name `file`.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let deserializer = toml::Deserializer::parse(text)
             .map_err(|error| toml_error(file, "syntax", error.message()))?;
@@ -180,15 +183,15 @@
         Ok(settings)
     }
 
-    /// The team of this name.
+    /// Returns the team of this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.cluster.teams.iter().find(|team| &*team.name == name)
     }
 
-    /// A zone's number in the records.
+    /// Returns the index by which records refer to a zone.
     pub fn zone_index(&self, zone: &str) -> Option<u8> {
-        let at = self.cluster.zones.iter().position(|known| &**known == zone)?;
-        u8::try_from(at).ok()
+        let index = self.cluster.zones.iter().position(|known| &**known == zone)?;
+        u8::try_from(index).ok()
     }
 }
 
@@ -199,7 +202,8 @@
     })
 }
 
-/// The library's messages can have several lines, a settings error has one.
+/// Converts a message of the TOML library, which can have several lines, into a settings error,
+/// which has one.
 fn toml_error(file: &str, field: &str, message: &str) -> SettingsError {
     let reason = message.split_whitespace().collect::<Vec<_>>().join(" ");
     SettingsError::new(file, FieldError::new(field, reason))
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -33,7 +33,7 @@
 "#;
 
 #[test]
-fn each_mistake_is_named_in_one_line() {
+fn settings_errors_name_the_invalid_field_in_one_line() {
     assert!(Settings::parse("f", GOOD).is_ok());
     let mistakes = [
         ("member = \"m-0\"", "", "member"),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn operators_mistakes_are_named_too() {
+fn operator_settings_errors_name_the_invalid_field() {
     let good = OperatorSettings::parse("o", "[scheduler]\nround_s = 5\n").expect("valid");
     assert_eq!(good.round_s, 5.0);
     for (text, field) in [
@@ -75,12 +75,12 @@
 }
 
 #[test]
-fn the_operators_file_that_comes_with_the_project_is_valid_and_its_teams_are_checked() {
+fn deployed_activation_file_is_valid_and_checked_against_teams_and_members() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/activation.ini");
-    let text = std::fs::read_to_string(file).expect("it is there");
+    let text = std::fs::read_to_string(file).expect("the file exists");
     let operator = OperatorSettings::parse("deploy/activation.ini", &text).expect("valid");
-    let activation = operator.activation.as_ref().expect("switched on");
-    assert_eq!(activation.models["rush-router"].load_s, 120.0, "comments end a line");
+    let activation = operator.activation.as_ref().expect("enabled");
+    assert_eq!(activation.models["rush-router"].load_s, 120.0, "the trailing comment is ignored");
     let mut settings = Settings::parse("f", GOOD).expect("valid");
     settings.operator = operator;
     let error = settings.check_parts("o").expect_err("no such team");
@@ -90,22 +90,22 @@
     settings.cluster.teams.push(team("station-ops-00"));
     assert_eq!(settings.check_parts("o"), Ok(()));
     settings.member = "m 0".into();
-    assert_eq!(settings.check_parts("o").expect_err("no key").field, "activation");
+    assert_eq!(settings.check_parts("o").expect_err("not a valid key segment").field, "activation");
     settings.member = "m-0".into();
     let member = |number| Member {
         member: format!("m-{number}"),
         endpoint: "127.0.0.1:9".parse().expect("an address"),
     };
     settings.members = (1..200).map(member).collect();
-    assert_eq!(settings.check_parts("o").expect_err("too many").field, "activation");
+    assert_eq!(settings.check_parts("o").expect_err("too many members").field, "activation");
 }
 
 #[test]
-fn lending_promises_no_more_than_the_platforms_file() {
+fn lending_guarantees_above_those_of_the_platform_are_rejected() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/lending.ini");
-    let text = std::fs::read_to_string(file).expect("it is there");
+    let text = std::fs::read_to_string(file).expect("the file exists");
     let operator = OperatorSettings::parse("deploy/lending.ini", &text).expect("valid");
-    let lending = operator.lending.clone().expect("switched on");
+    let lending = operator.lending.clone().expect("enabled");
     assert_eq!(lending.teams.len(), 8);
     let mut settings = Settings::parse("f", GOOD).expect("valid");
     settings.operator = operator;
@@ -121,13 +121,13 @@
     settings.cluster.teams = lending.teams.keys().map(|name| team(name, 40.0)).collect();
     assert_eq!(settings.check_parts("o"), Ok(()));
     settings.cluster.teams[2] = team("station-ops-02", 39.0);
-    let error = settings.check_parts("o").expect_err("too much");
+    let error = settings.check_parts("o").expect_err("above the platform's guarantee");
     assert_eq!(error.field, "lending-team station-ops-02.guarantee");
     assert_eq!(error.reason, "40 GPUs are more than cluster.teams guarantees");
 }
 
 #[test]
-fn a_budget_too_small_for_the_site_is_named() {
+fn limits_too_small_for_the_deployment_cause_warnings() {
     let warn = |from: &str, to: &str| {
         let text = GOOD.replacen("size = 3", "size = 1", 1).replacen(from, to, 1);
         Settings::parse("f", &text).expect("valid").warnings().join("; ")
@@ -135,7 +135,7 @@
     assert_eq!(warn("", ""), "");
     assert!(warn("\nrps = 150.0", "\nrps = 2.0").starts_with("cluster.state.rps"));
     assert!(warn("write_rps = 60.0", "write_rps = 0.5").starts_with("cluster.state.write_rps"));
-    // Many controllers live on the same budget.
+    // 90 controllers share the same rate limit.
     let many = warn("size = 1", "size = 90");
     assert!(many.contains("cluster.state.rps") && many.contains("members"), "{many}");
     assert!(warn("zone = \"a\"", "zone = \"z\"").starts_with("zone"));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn what_falls_short_for_a_large_fleet_is_named() {
+fn limits_too_small_for_the_expected_machines_cause_warnings() {
     let warnings = |machines: &str, changes: &[(&str, &str)]| {
         let text = changes
             .iter()
@@ -155,33 +155,33 @@
         settings.operator = OperatorSettings::parse("o", &operator).expect("valid");
         settings.warnings()
     };
-    assert_eq!(warnings("0", &[]), Vec::<String>::new(), "nobody said how many");
-    let short = warnings("4000", &[("write_rps = 60.0", "write_rps = 40.0")]);
+    assert_eq!(warnings("0", &[]), Vec::<String>::new(), "the number of machines is unknown");
+    let too_small = warnings("4000", &[("write_rps = 60.0", "write_rps = 40.0")]);
     let fields = [
         "cluster.quota.fd_limit",
         "cluster.quota.mem_mb",
         "cluster.quota.core_share",
         "cluster.state.write_rps",
     ];
-    assert_eq!(short.len(), fields.len(), "{short:?}");
-    for (warning, field) in short.iter().zip(fields) {
+    assert_eq!(too_small.len(), fields.len(), "{too_small:?}");
+    for (warning, field) in too_small.iter().zip(fields) {
         assert!(warning.starts_with(field), "{warning}");
     }
-    // What docs/operations.md names for such a fleet.
-    let enough = [
+    // The limits that docs/operations.md recommends for a fleet of this size.
+    let sufficient = [
         ("fd_limit = 600", "fd_limit = 9000"),
         ("mem_mb = 40.0", "mem_mb = 128.0"),
         ("core_share = 0.08", "core_share = 0.6"),
         ("write_rps = 60.0", "write_rps = 240.0"),
         ("\nrps = 150.0", "\nrps = 600.0"),
     ];
-    assert_eq!(warnings("4000", &enough), Vec::<String>::new());
+    assert_eq!(warnings("4000", &sufficient), Vec::<String>::new());
     let slow_cloud = warnings("40000", &[("\nrps = 8.0", "\nrps = 1.0")]);
     assert!(slow_cloud.iter().any(|w| w.starts_with("cluster.cloud.rps")), "{slow_cloud:?}");
 }
 
 #[test]
-fn what_heartbeats_and_listeners_hold_grows_with_the_settings() {
+fn heartbeat_and_backlog_limits_grow_with_the_settings() {
     let settings =
         |from: &str, to: &str| Settings::parse("f", &GOOD.replacen(from, to, 1)).expect("valid");
     let usual = settings("", "");
@@ -189,7 +189,7 @@
     assert_eq!(usual.frame_limit(), crate::peers::MIN_FRAME_LIMIT);
     assert_eq!(usual.listen_backlog(), MIN_BACKLOG);
     let fast = settings("write_rps = 60.0", "write_rps = 600.0");
-    // Two leader leases of 11 / 3 s, which others may use for cancellations alone.
+    // 600 writes a second for two leader leases of 11 / 3 s, all of them cancellations.
     assert_eq!(fast.max_cancellations_per_heartbeat(), 4400);
     assert!(crate::peers::max_cancellations_per_frame(fast.frame_limit()) >= 4400);
     let large = settings("fd_limit = 600", "fd_limit = 9000");
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn zero_means_no_guarantee() {
+fn team_without_a_guarantee_guarantees_nothing() {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     assert!(!team.guarantees(0.0, 0.0));
 }
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn the_smaller_of_present_and_coming_limits_holds() {
+fn effective_limits_are_the_smaller_of_present_and_coming_ones() {
     let limits = |text: &str| Settings::parse("f", text).expect("valid").state_limits();
     let today = limits(GOOD);
     assert_eq!((today.value_bytes, today.transaction_writes), (8192, 24));
@@ -215,21 +215,22 @@
     assert_eq!((lower.value_bytes, lower.transaction_writes), (2048, 8));
     assert_eq!((lower.writes_per_s, lower.requests_per_s), (42.0, 150.0));
     assert_eq!(lower.transaction_conditions(), 32);
-    // Larger coming limits change nothing, for nobody tells when they begin.
+    // Larger coming limits change nothing, since the time when they take effect is unknown.
     let higher = limits(&with_next("value_kb = 64.0\ntxn_ops = 99\nwrite_rps = 500.0"));
     assert_eq!(higher, today);
     assert_eq!(limits(&with_next("")), today);
 }
 
 #[test]
-fn the_page_layout_is_that_of_versions_that_do_not_know_the_coming_limits() {
-    // Production's figure for 8 KiB: an old and a new leader must agree on it.
+fn page_size_does_not_depend_on_coming_limits() {
+    // The page size in production for values of 8 KiB. Versions that don't know the coming limits
+    // use it, and an old and a new leader must agree on it.
     let settings = Settings::parse("f", &with_next("value_kb = 2.0")).expect("valid");
     assert_eq!(settings.page_tasks(), 128);
 }
 
 #[test]
-fn coming_limits_that_cannot_work_are_named() {
+fn invalid_coming_limits_are_rejected_with_their_field() {
     let mistakes = [
         ("txn_ops = 3", "cluster.state.next.txn_ops"),
         ("value_kb = 0.1", "cluster.state.next.value_kb"),
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,22 +1,23 @@
-//! Checks of the platform's file by itself, and together with the operators'.
+//! Validation of the platform's file, and of the operators' file against it.
 
 use stonewheel_lending::LendingSettings;
 use stonewheel_settings::FieldError;
 
 use super::{error::SettingsError, limits::MIN_TRANSACTION_WRITES, platform::Settings};
 
-/// The longest name of a member that fits a key with another name, in bytes.
+/// The maximum length in bytes of a member's name in a key that contains another name too.
 const MAX_KEY_PART_BYTES: usize = 64;
-/// Records number zones by one byte.
+/// The maximum number of zones: records store a zone's index as one byte.
 const MAX_ZONES: usize = u8::MAX as usize;
 const MIN_FD_LIMIT: u32 = 32;
-/// A page whose size follows today's limit must fit the coming one as long as
-/// few of its tasks are bound: what is kept of completed ones takes a tenth.
-const MAX_VALUE_SHRINKING: f64 = 8.0;
+/// The largest factor by which `value_kb` may shrink. A page sized for the present limit must
+/// fit the coming limit while few of its tasks are bound: its completed tasks take about a tenth
+/// of the space that bound ones do.
+const MAX_VALUE_SHRINK_FACTOR: f64 = 8.0;
 
 impl Settings {
-    /// What the parts that operators switched on need of the deployment; `file` is the
-    /// operators' file in errors.
+    /// Checks the requirements of the enabled optional parts (activation, rollout, lending) on
+    /// the deployment. Errors name `file`, the operators' file.
     pub fn check_parts(&self, file: &str) -> Result<(), SettingsError> {
         self.check_parts_fields().map_err(|error| SettingsError::new(file, error))
     }
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The first of the parts that is switched on, for errors that concern all of them.
+    /// Returns the name of the first enabled optional part, for errors that concern all parts.
     fn first_part(&self) -> Option<&'static str> {
         let operator = &self.operator;
         let parts = [
@@ -40,10 +41,10 @@
             ("rollout", operator.rollout.is_some()),
             ("lending", operator.lending.is_some()),
         ];
-        parts.into_iter().find(|(_, is_on)| *is_on).map(|(part, _)| part)
+        parts.into_iter().find(|(_, is_enabled)| *is_enabled).map(|(part, _)| part)
     }
 
-    /// Models and services belong to teams that the platform's file has.
+    /// Checks that the teams of all models and services are in the platform's file.
     fn check_part_teams(&self) -> Result<(), FieldError> {
         let operator = &self.operator;
         let models = operator.activation.iter().flat_map(|part| &part.models);
@@ -59,15 +60,15 @@
         Ok(())
     }
 
-    /// Lending promises no team more than the platform's file does.
+    /// Checks that lending guarantees no team more GPUs than the platform's file does.
     fn check_lending(&self, lending: &LendingSettings) -> Result<(), FieldError> {
         for (name, team) in &lending.teams {
             let field = format!("lending-team {name}");
-            let Some(promised) = self.team(name) else {
+            let Some(platform_team) = self.team(name) else {
                 return Err(FieldError::new(field, format!("cluster.teams has no {name}")));
             };
             let gpus = f64::from(team.guarantee) * lending.times.machine_gpus;
-            if promised.gpus > 0.0 && gpus > promised.gpus {
+            if platform_team.gpus > 0.0 && gpus > platform_team.gpus {
                 let reason = format!("{gpus} GPUs are more than cluster.teams guarantees");
                 return Err(FieldError::new(format!("{field}.guarantee"), reason));
             }
@@ -75,7 +76,8 @@
         Ok(())
     }
 
-    /// Parts name controllers in keys, and all of them in one transaction.
+    /// Checks that the members' names can be used in keys, and that one transaction can have a
+    /// condition for each member. The optional parts need both.
     fn check_members_fit_keys(&self, part: &str) -> Result<(), FieldError> {
         let conditions = self.state_limits().transaction_conditions();
         if !stonewheel_activation::members_fit(self.members.len() + 1, conditions) {
@@ -91,7 +93,7 @@
         Ok(())
     }
 
-    /// Checks the platform's file; the first mistake is returned.
+    /// Checks the platform's file and returns the first mistake.
     pub(super) fn check(&self) -> Result<(), FieldError> {
         self.check_amounts()?;
         self.check_members()?;
@@ -123,7 +125,7 @@
                 return Err(FieldError::new(field, "must be more than 0"));
             }
         }
-        if is_negative(cluster.cloud.list_lag_s) {
+        if is_invalid_amount(cluster.cloud.list_lag_s) {
             return Err(FieldError::new("cluster.cloud.list_lag_s", "must be at least 0"));
         }
         Ok(())
@@ -156,7 +158,7 @@
             return Err(FieldError::new("cluster.state.txn_ops", "must be at least 4"));
         }
         state.next.check()?;
-        if state.next.value_kb.is_some_and(|kb| kb < state.value_kb / MAX_VALUE_SHRINKING) {
+        if state.next.value_kb.is_some_and(|kb| kb < state.value_kb / MAX_VALUE_SHRINK_FACTOR) {
             let reason = "must be at least an eighth of value_kb, or stored pages would not fit";
             return Err(FieldError::new("cluster.state.next.value_kb", reason));
         }
@@ -166,7 +168,7 @@
     fn check_teams(&self) -> Result<(), FieldError> {
         for team in &self.cluster.teams {
             let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-            if amounts.into_iter().any(is_negative) {
+            if amounts.into_iter().any(is_invalid_amount) {
                 return Err(FieldError::new("cluster.teams", "amounts must be at least 0"));
             }
         }
@@ -174,12 +176,12 @@
     }
 }
 
-/// Whether this is no amount: below 0, infinite, or not a number.
-fn is_negative(amount: f64) -> bool {
+/// Whether a value is not a valid amount: below 0, infinite, or NaN.
+fn is_invalid_amount(amount: f64) -> bool {
     !amount.is_finite() || amount < 0.0
 }
 
-/// Whether a name can stand between the slashes of a key.
+/// Whether a name can be a segment between the slashes of a key.
 fn is_key_part(name: &str) -> bool {
     let fits = name.len() <= MAX_KEY_PART_BYTES && name.bytes().all(|b| b.is_ascii_graphic());
     fits && !name.contains('/')
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -1,33 +1,33 @@
-//! Warnings for settings that are valid, but with which the service will perform badly.
+//! Warnings about settings that are valid, but with which the service performs badly.
 
 use super::platform::Settings;
 
-/// A machine's connection to its leader, and one of a user.
+/// Sockets for each machine: its connection to the leader, and one connection of a user.
 const SOCKETS_PER_MACHINE: f64 = 2.0;
-/// What a controller holds without machines (docs/operations.md).
-const OWN_MEMORY_MB: f64 = 8.0;
-/// A connection that idles between reports, and what the leader knows of its
-/// machine and its tasks.
+/// Memory in MiB of a controller without any machines (docs/operations.md).
+const BASE_MEMORY_MB: f64 = 8.0;
+/// Memory in MiB for each machine: a connection that is idle between heartbeats, and the
+/// leader's state of the machine and its tasks.
 const MEMORY_MB_PER_MACHINE: f64 = 0.02;
-/// The smallest share of a core that was measured to serve a heartbeat a second from each
-/// machine (docs/operations.md, "The least machine").
+/// The smallest share of a core that serves one worker heartbeat a second (docs/operations.md,
+/// "The least machine").
 const CORE_SHARE_PER_REPORT: f64 = 0.012 / 155.0;
-/// Machines that one page of the cloud's list holds.
+/// Machines on one page of the cloud's machine list.
 const MACHINES_PER_LIST: f64 = 500.0;
-/// Machines whose work one change of the records covers: a page holds the
-/// places of many tasks, a small job those of few.
+/// Machines on which one write of a record starts work. A page of a large job holds the
+/// placements of many tasks, the page of a small job only a few.
 const MACHINES_PER_WRITE: f64 = 8.0;
 
-/// Calls to the state service that each controller makes by itself per leader lease,
-/// without any user: renewals or reads several times, and a watch.
-const OWN_REQUESTS_PER_LEADER_LEASE: f64 = 8.0;
-/// Below this many changes a second a follower's submissions are late.
+/// Calls to the state service that each controller makes per leader lease without any requests
+/// of users: several lease renewals or reads, and a watch.
+const BACKGROUND_REQUESTS_PER_LEADER_LEASE: f64 = 8.0;
+/// A follower with fewer writes a second delays submissions.
 const MIN_WRITES_PER_S: f64 = 1.0;
-/// A list page, the types and a deletion, now and then, and rentals.
+/// Cloud calls a second for occasional list pages, type lists and deletions, and for rentals.
 const MIN_CLOUD_CALLS_PER_S: f64 = 1.0;
 
 impl Settings {
-    /// What will work, but badly: one line each, for the operator.
+    /// Returns one line for each setting with which the service works, but badly.
     pub fn warnings(&self) -> Vec<String> {
         let deployment = [
             self.state_request_warning(),
@@ -38,21 +38,21 @@
             self.member_warning(),
             self.zone_warning(),
         ];
-        let mut found: Vec<String> = deployment.into_iter().flatten().collect();
+        let mut warnings: Vec<String> = deployment.into_iter().flatten().collect();
         let machines = self.operator.expected_machines;
         if machines > 0.0 {
-            found.extend(self.fleet_warnings(machines));
+            warnings.extend(self.fleet_warnings(machines));
         }
-        found
+        warnings
     }
 
     fn state_request_warning(&self) -> Option<String> {
-        let own = OWN_REQUESTS_PER_LEADER_LEASE / self.leader_lease().as_secs_f64();
+        let background = BACKGROUND_REQUESTS_PER_LEADER_LEASE / self.leader_lease().as_secs_f64();
         let share = self.follower_share(self.state_limits().requests_per_s);
-        (share < own).then(|| {
+        (share < background).then(|| {
             format!(
                 "cluster.state.rps: {share:.1} requests a second are left for each of {} \
-                 controllers, and {own:.1} go to watches and reads alone: answers will be late",
+                 controllers, and {background:.1} go to watches and reads alone: answers will be late",
                 self.cluster.size
             )
         })
@@ -108,16 +108,17 @@
         (!is_known).then(|| "zone: not among cluster.zones".into())
     }
 
-    /// What falls short for as many machines as the operators expect.
+    /// Returns the warnings about limits that are too small for the number of machines that
+    /// the operators expect.
     fn fleet_warnings(&self, machines: f64) -> impl Iterator<Item = String> {
-        let found = [
+        let warnings = [
             self.fleet_socket_warning(machines),
             self.fleet_memory_warning(machines),
             self.fleet_core_warning(machines),
             self.fleet_list_warning(machines),
             self.fleet_write_warning(machines),
         ];
-        found.into_iter().flatten()
+        warnings.into_iter().flatten()
     }
 
     fn fleet_socket_warning(&self, machines: f64) -> Option<String> {
@@ -133,7 +134,7 @@
 
     fn fleet_memory_warning(&self, machines: f64) -> Option<String> {
         let available_mb = self.cluster.quota.mem_mb;
-        let needed_mb = OWN_MEMORY_MB + machines * MEMORY_MB_PER_MACHINE;
+        let needed_mb = BASE_MEMORY_MB + machines * MEMORY_MB_PER_MACHINE;
         (available_mb < needed_mb).then(|| {
             format!(
                 "cluster.quota.mem_mb: {machines} machines need about {needed_mb:.0} MB of \
