--- a/crates/stonewheel-http-client/src/lib.rs
+++ b/crates/stonewheel-http-client/src/lib.rs
@@ -1,5 +1,4 @@
-//! The pooled HTTP client that the state service, the cloud and workers are called
-//! with.
+//! The pooled HTTP client for calls to the state service, the cloud and workers.
 
 #![warn(missing_docs)]
 
@@ -16,58 +15,58 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// The shortest time in which a response that has arrived already can be read, as a
-/// part of the time that a call may take.
-const MIN_GRACE_PARTS: u32 = 16;
+/// The divisor that gives the minimum grace period from a call's time limit: time to read a
+/// response that has already arrived.
+const MIN_GRACE_DIVISOR: u32 = 16;
 
-/// No usable response came: unless it says otherwise, the request may have been
-/// carried out, may still be, or may never be.
+/// The reason why a call got no usable response. Except for `NotConnected`, the request may have
+/// been carried out, may still be carried out, or may never be.
 #[derive(Clone, Debug, Error)]
 pub enum CallError {
-    /// No response came within the time of the call.
+    /// No response came within the call's time limit.
     #[error("no answer in time")]
     Timeout,
     /// The connection failed after the request may have been sent.
     #[error("connection: {0}")]
     Connection(String),
-    /// No connection came about, so the request was certainly not carried out:
-    /// an attempt that is given up does not complete later.
+    /// No connection was established, so the request was certainly not carried out: an aborted
+    /// connection attempt doesn't complete later.
     #[error("not connected: {0}")]
     NotConnected(String),
-    /// A response came that is not of the expected form.
+    /// The response doesn't have the expected form.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
 
-/// A response that was read whole.
+/// A response that was read completely.
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// The body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// If the body is not a `T`.
+    /// Fails if the body is not a valid `T`.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|e| CallError::Malformed(e.to_string()))
     }
 }
 
-/// A client that keeps connections for later calls. Its clones share them.
+/// A client that keeps connections open for later calls. Clones share the connections.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// `max_idle` connections to each address are kept for later calls; one unused
-    /// for `idle_timeout` is closed. `connect_timeout`: how long an attempt to
-    /// connect may take.
+    /// Creates a client that keeps up to `max_idle` idle connections to each address, closes a
+    /// connection that was idle for `idle_timeout`, and aborts an attempt to connect after
+    /// `connect_timeout`.
     pub fn new(max_idle: usize, idle_timeout: Duration, connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -80,12 +79,12 @@
         Self { client }
     }
 
-    /// One call. When `time_limit` runs out the request is dropped, which also
-    /// closes its connection.
+    /// Sends a request and reads the response. When `time_limit` has passed the request is
+    /// dropped, which also closes its connection.
     ///
     /// # Errors
     ///
-    /// If no response came that could be read whole.
+    /// Fails if no response could be read completely within the limit.
     pub async fn call<B: Serialize>(
         &self,
         method: Method,
@@ -119,15 +118,17 @@
             let body = response.into_body().collect().await.map_err(|e| failed(&e))?;
             Ok(Response { status, body: body.to_bytes() })
         };
-        timeout_despite_own_delay(time_limit, exchange).await.unwrap_or(Err(CallError::Timeout))
+        timeout_with_delay_grace(time_limit, exchange).await.unwrap_or(Err(CallError::Timeout))
     }
 }
 
-/// Gives up on `exchange` after `time_limit`, but not for this process's own delay:
-/// when it falls behind, timers fire late while responses wait in its sockets. For
-/// as long as the timer was late, at most `time_limit`, those are still read. Else
-/// a leader that is busy would take its lease for lost, which makes more work.
-async fn timeout_despite_own_delay<T>(
+/// Runs `exchange` with a time limit that is extended by the delay of this process.
+///
+/// When the process is overloaded, timers fire late while responses already wait in its
+/// sockets. After a timer that fired late, `exchange` may continue for as long as the timer was
+/// late, at most for `time_limit`, so that a response that has arrived is read. Otherwise an
+/// overloaded leader would consider its lease lost, which causes further load.
+async fn timeout_with_delay_grace<T>(
     time_limit: Duration,
     exchange: impl Future<Output = T>,
 ) -> Option<T> {
@@ -136,8 +137,8 @@
     if let Ok(output) = timeout_at(deadline, &mut exchange).await {
         return Some(output);
     }
-    let late = Instant::now().saturating_duration_since(deadline);
-    let grace = late.clamp(time_limit / MIN_GRACE_PARTS, time_limit);
+    let timer_delay = Instant::now().saturating_duration_since(deadline);
+    let grace = timer_delay.clamp(time_limit / MIN_GRACE_DIVISOR, time_limit);
     timeout(grace, exchange).await.ok()
 }
 
--- a/crates/stonewheel-http-client/src/tests.rs
+++ b/crates/stonewheel-http-client/src/tests.rs
@@ -5,35 +5,38 @@
 
 use super::*;
 
-const WITHIN: Duration = Duration::from_secs(1);
+const TIME_LIMIT: Duration = Duration::from_secs(1);
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_came_while_the_process_stood_still_is_read() {
-    let (answer, answered) = oneshot::channel();
-    let call = tokio::spawn(timeout_despite_own_delay(WITHIN, answered));
+async fn response_that_arrived_while_the_process_was_stalled_is_read() {
+    let (response, received) = oneshot::channel();
+    let call = tokio::spawn(timeout_with_delay_grace(TIME_LIMIT, received));
     tokio::task::yield_now().await;
-    // Nothing runs for longer than the call may take, and then its timer runs
-    // before what would have read the answer.
-    advance(WITHIN * 2).await;
-    // Much else waits too.
-    sleep(WITHIN / 2).await;
-    assert!(!call.is_finished(), "given up though the delay was this process's own");
-    answer.send(7).expect("somebody waits");
-    assert_eq!(call.await.expect("ran"), Some(Ok(7)));
+    // The process stalls for longer than the time limit. When it continues, the timer of the call
+    // runs before the task that reads the response.
+    advance(TIME_LIMIT * 2).await;
+    // Other overdue tasks run first.
+    sleep(TIME_LIMIT / 2).await;
+    assert!(!call.is_finished(), "timed out although this process caused the delay");
+    response.send(7).expect("the call still waits");
+    assert_eq!(call.await.expect("no panic"), Some(Ok(7)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_ends_a_call_in_time_and_a_delay_puts_that_off_by_no_more_than_itself() {
-    let begin = Instant::now();
-    assert!(timeout_despite_own_delay(WITHIN, std::future::pending::<()>()).await.is_none());
-    assert!(begin.elapsed() < WITHIN * 9 / 8, "{:?}", begin.elapsed());
-    for delay in [WITHIN / 2, WITHIN * 20] {
-        let begin = Instant::now();
-        let call = tokio::spawn(timeout_despite_own_delay(WITHIN, std::future::pending::<()>()));
+async fn call_without_response_ends_within_its_limit_plus_the_delay_of_the_process() {
+    let started_at = Instant::now();
+    assert!(timeout_with_delay_grace(TIME_LIMIT, std::future::pending::<()>()).await.is_none());
+    assert!(started_at.elapsed() < TIME_LIMIT * 9 / 8, "{:?}", started_at.elapsed());
+    for delay in [TIME_LIMIT / 2, TIME_LIMIT * 20] {
+        let started_at = Instant::now();
+        let call = tokio::spawn(timeout_with_delay_grace(TIME_LIMIT, std::future::pending::<()>()));
         tokio::task::yield_now().await;
-        advance(WITHIN + delay).await;
-        assert!(call.await.expect("ran").is_none());
-        let grace = begin.elapsed() - WITHIN - delay;
-        assert!(grace <= delay.min(WITHIN) + WITHIN / 8, "{grace:?} after a delay of {delay:?}");
+        advance(TIME_LIMIT + delay).await;
+        assert!(call.await.expect("no panic").is_none());
+        let grace = started_at.elapsed() - TIME_LIMIT - delay;
+        assert!(
+            grace <= delay.min(TIME_LIMIT) + TIME_LIMIT / 8,
+            "{grace:?} after a delay of {delay:?}"
+        );
     }
 }
--- a/crates/stonewheel-http-server/src/lib.rs
+++ b/crates/stonewheel-http-server/src/lib.rs
@@ -1,4 +1,5 @@
-//! Listeners and connections of HTTP servers, with bounds on both.
+//! Listeners and connections of HTTP servers, with bounded backlogs, connection counts, header
+//! times and buffers.
 
 #![warn(missing_docs)]
 
@@ -17,20 +18,20 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 use tracing::debug;
 
-/// After a failed accept the next one waits so long.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// The pause after a failed accept before the next attempt.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Listens, with room for so many connections that wait to be accepted.
+/// Opens a listener with a queue of up to `backlog` connections that wait to be accepted.
 pub fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A process that comes back at once finds its port still in use.
+    // Lets a restarted process bind the port while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// The next connection, or none once told to stop. A failed accept (no free
-/// sockets, a caller gone already) is tried again after a moment.
+/// Returns the next connection, or `None` once `stop` is cancelled. A failed accept (no free
+/// socket, or a client that has already disconnected) is retried after a pause.
 async fn accept(listener: &TcpListener, stop: &CancellationToken) -> Option<TcpStream> {
     loop {
         let accepted = tokio::select! {
@@ -40,21 +41,23 @@
         match accepted {
             Ok((stream, _)) => return Some(stream),
             Err(e) => {
-                debug!(error = %e, "accept");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                debug!(error = %e, "accepting a connection failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Accepts connections until told to stop, with a routine for each, no more at once
-/// than `slots` has room for; then waits for those that are left. Each routine gets
-/// the word to stop, and ends by itself.
+/// Accepts connections until `stop` is cancelled, and then waits until all of them are closed.
+///
+/// Each connection is handled by a task that runs `handle` and holds a permit of `slots`, so
+/// their number bounds the number of open connections. Each task gets a clone of `stop` and
+/// is expected to end soon after it is cancelled.
 pub async fn accept_connections<R: Future<Output = ()> + Send + 'static>(
     listener: TcpListener,
     slots: Arc<Semaphore>,
     stop: CancellationToken,
-    routine: impl Fn(TcpStream, CancellationToken) -> R,
+    handle: impl Fn(TcpStream, CancellationToken) -> R,
 ) {
     let connections = TaskTracker::new();
     loop {
@@ -63,9 +66,9 @@
             () = stop.cancelled() => break,
         };
         let Some(stream) = accept(&listener, &stop).await else { break };
-        let serving = routine(stream, stop.clone());
+        let handling = handle(stream, stop.clone());
         connections.spawn(async move {
-            serving.await;
+            handling.await;
             drop(slot);
         });
     }
@@ -73,17 +76,17 @@
     connections.wait().await;
 }
 
-/// What one connection may take.
+/// The limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// How long a request's header may take, idle time before it included.
+    /// The time-out for reading a request's header, including the idle time before it.
     pub header_timeout: Duration,
-    /// Bytes that are read ahead.
+    /// The maximum size of the read buffer, in bytes.
     pub buffer_bytes: usize,
 }
 
-/// Serves one connection until it closes. Once told to stop, the request in progress
-/// is still answered.
+/// Serves one connection until it closes. Once `stop` is cancelled, the request in progress is
+/// still answered, and then the connection is closed.
 pub async fn serve_connection<S, B>(
     stream: TcpStream,
     service: S,
@@ -104,7 +107,7 @@
     tokio::select! {
         result = connection.as_mut() => {
             if let Err(e) = result {
-                debug!(error = %e, "connection");
+                debug!(error = %e, "serving a connection failed");
             }
         }
         () = stop.cancelled() => {
--- a/crates/stonewheel-settings/src/checks.rs
+++ b/crates/stonewheel-settings/src/checks.rs
@@ -1,13 +1,13 @@
-//! Checks that several parts share, as functions for `garde`.
+//! Validators that several parts share, as functions for `garde`.
 
-/// The shortest time of a setting, in seconds: nothing is measured more finely.
+/// The minimum of a duration setting, in seconds: the resolution of all times in the service.
 pub const MIN_TIME_S: f64 = 0.001;
-/// The longest time of a setting, in seconds: a day. Longer waits are mistakes.
+/// The maximum of a duration setting, in seconds: one day. Longer waits are mistakes.
 pub const MAX_TIME_S: f64 = 86_400.0;
-/// Priorities of jobs, in the submission's terms.
+/// The priorities of jobs, by their names in submissions.
 const PRIORITIES: [&str; 4] = ["production", "high", "standard", "best_effort"];
 
-/// A check: one of the priorities of jobs.
+/// Checks that a value is one of the priorities of jobs.
 pub fn known_priority(value: &str, _: &()) -> garde::Result {
     if PRIORITIES.contains(&value) {
         return Ok(());
@@ -15,7 +15,8 @@
     Err(garde::Error::new(format!("must be one of {}", PRIORITIES.join(", "))))
 }
 
-/// A check: the path of a URL.
+/// Checks that a value is the path of a URL: it begins with `/` and has only visible ASCII
+/// characters.
 pub fn url_path(value: &str, _: &()) -> garde::Result {
     if value.starts_with('/') && value.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Ok(());
@@ -23,12 +24,12 @@
     Err(garde::Error::new("must begin with / and hold no spaces"))
 }
 
-/// A check: a whole number.
+/// Checks that a value is a whole number.
 pub fn whole_number(value: &f64, _: &()) -> garde::Result {
     if value.fract() == 0.0 { Ok(()) } else { Err(garde::Error::new("must be a whole number")) }
 }
 
-/// A check: a number that is not below the one of another setting, `field`.
+/// Returns a validator of numbers that are at least `minimum`, the value of the setting `field`.
 pub fn at_least(field: &'static str, minimum: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
     move |value, &()| {
         if *value >= minimum {
@@ -38,7 +39,7 @@
     }
 }
 
-/// A check: a number that is not above the one of another setting, `field`.
+/// Returns a validator of numbers that are at most `maximum`, the value of the setting `field`.
 pub fn at_most(field: &'static str, maximum: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
     move |value, &()| {
         if *value <= maximum {
--- a/crates/stonewheel-settings/src/error.rs
+++ b/crates/stonewheel-settings/src/error.rs
@@ -1,24 +1,24 @@
-//! The error of all settings.
+//! The error type of all settings.
 
 use thiserror::Error;
 
-/// A mistake in the settings: which field, and what is wrong with it.
+/// A mistake in the settings: the field and the reason why it is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{field}: {reason}")]
 pub struct FieldError {
-    /// The path of a key, or its section and name.
+    /// The path of the key (TOML), or the section and the key (INI).
     pub field: String,
-    /// What is wrong.
+    /// The reason why the field is invalid.
     pub reason: String,
 }
 
 impl FieldError {
-    /// A mistake in this field.
+    /// Creates the error for a mistake in this field.
     pub fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self { field: field.into(), reason: reason.into() }
     }
 
-    /// A section that the file has more than once.
+    /// Creates the error for a section that the file contains more than once.
     pub fn duplicate_section(section: &str) -> Self {
         Self { field: section.into(), reason: "stands twice".into() }
     }
--- a/crates/stonewheel-settings/src/lib.rs
+++ b/crates/stonewheel-settings/src/lib.rs
@@ -1,5 +1,8 @@
-//! Sections of the operators' file: read key by key, with every mistake named, and the
-//! checks that several parts share.
+//! Parsing of the sections of the operators' file, key by key, with errors that name the
+//! invalid key, and validators that several parts share.
+//!
+//! A *part* is an optional component of the service that its sections enable: activation
+//! (scale to zero), rollout, or lending.
 
 #![warn(missing_docs)]
 
--- a/crates/stonewheel-settings/src/part.rs
+++ b/crates/stonewheel-settings/src/part.rs
@@ -1,5 +1,5 @@
-//! The sections of one part of the service: a general one, which switches the part on, and
-//! a named one for each of its subjects.
+//! The sections of one optional part of the service: a general section, which enables the part,
+//! and one named section for each model, service or team that the part manages.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,23 @@
     section::{Section, check_name},
 };
 
-/// How the sections of a part are called.
+/// The names of a part's sections.
 #[derive(Clone, Copy, Debug)]
 pub struct PartSections {
-    /// The section with what holds for the whole part.
+    /// The name of the general section, with the settings of the whole part.
     pub general: &'static str,
-    /// What the names of the other sections begin with, up to and with the space.
+    /// The prefix of the names of all other sections, including the space ("model ").
     pub prefix: &'static str,
-    /// The field of the validated settings that maps names to the other sections.
+    /// The field of the validated settings that maps names to the named sections.
     pub table: &'static str,
 }
 
 /// The settings of a part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part<G, N> {
-    /// What its general section says.
+    /// The settings of the general section.
     pub general: G,
-    /// What its named sections say, by name; there is at least one.
+    /// The settings of the named sections, by name without the prefix; at least one.
     pub named: BTreeMap<String, N>,
 }
 
@@ -34,8 +34,8 @@
         section == self.general || section.starts_with(self.prefix)
     }
 
-    /// Reads the sections of this part out of an INI file's. None if there is none of
-    /// them. Sections of other parts are passed over.
+    /// Reads the sections of this part from all sections of an INI file, and ignores the other
+    /// sections. Returns `None` if the file has no section of this part.
     pub fn read<'a, G, N>(
         &self,
         sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
@@ -61,24 +61,27 @@
         self.complete(general, named)
     }
 
-    /// A part has a general section and a named one, or none of both.
+    /// Checks that the file has both the general section and a named one, or neither.
     fn complete<G, N>(
         &self,
         general: Option<G>,
         named: BTreeMap<String, N>,
     ) -> Result<Option<Part<G, N>>, FieldError> {
-        let needs = |field: String, section: String| {
+        let missing_section = |field: String, section: String| {
             Err(FieldError::new(field, format!("needs a section [{section}]")))
         };
         match (general, named.keys().next()) {
             (Some(general), Some(_)) => Ok(Some(Part { general, named })),
-            (Some(_), None) => needs(self.general.into(), format!("{}NAME", self.prefix)),
-            (None, Some(name)) => needs(format!("{}{name}", self.prefix), self.general.into()),
+            (Some(_), None) => missing_section(self.general.into(), format!("{}NAME", self.prefix)),
+            (None, Some(name)) => {
+                missing_section(format!("{}{name}", self.prefix), self.general.into())
+            }
             (None, None) => Ok(None),
         }
     }
 
-    /// A mistake that the validation of the whole part found, in the file's terms.
+    /// Converts a validation error of the whole part into an error that names the section and
+    /// the key of the file.
     pub fn validation_error(&self, found: Option<&(garde::Path, garde::Error)>) -> FieldError {
         let Some((path, error)) = found else {
             return FieldError::new(self.general, "is invalid");
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud that machines come from.
+//! The client of the cloud that provides the machines.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,53 +13,54 @@
     state::Budget,
 };
 
-/// The most machines that one deletion may name.
+/// The maximum number of machines in one deletion.
 pub const MAX_DELETED_MACHINES: usize = 100;
 
-/// The most machines that one provision request may ask for.
+/// The maximum number of machines in one provision request.
 pub const MAX_PROVISIONED_MACHINES: u32 = 50;
 
-/// The part of the body of a 503 by which the cloud refuses for want of machines.
+/// The text in the body of a 503 response that means that the cloud has no machines available.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
-/// The machines on one page of the machine list.
+/// The number of machines on one page of the machine list.
 const LIST_PAGE_LIMIT: usize = 500;
 
-/// Connections kept open to the cloud.
+/// The maximum number of idle connections kept open to the cloud.
 const IDLE_CONNECTIONS: usize = 2;
 
-/// Why a request to the cloud failed.
+/// The reason why a request to the cloud failed.
 #[derive(Debug, Error)]
 pub enum CloudError {
-    /// The cloud has no such machines at present. Nothing was provisioned.
+    /// The cloud has none of the requested machines available. Nothing was provisioned.
     #[error("no capacity")]
     NoCapacity,
-    /// Answered with another status than 200. Certainly not carried out.
+    /// The cloud responded with a status other than 200. The request was certainly not carried
+    /// out.
     #[error("refused with {0}")]
     Refused(StatusCode),
-    /// It may have been carried out.
-    #[error("unsure: {0}")]
+    /// No usable response came. The request may have been carried out.
+    #[error("outcome unknown: {0}")]
     OutcomeUnknown(#[from] CallError),
 }
 
-/// What the leader requests of the cloud.
+/// The requests that the leader makes to the cloud.
 pub trait CloudApi: Send + Sync {
-    /// The machine types that can be provisioned.
+    /// Returns the machine types that can be provisioned.
     fn machine_types(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>>;
-    /// Provisions machines. Repeated under the same name it provisions nothing more, and
-    /// answers the same.
+    /// Provisions machines and returns their ids. A repeated request with the same name
+    /// provisions nothing more and returns the same ids.
     fn provision(
         &self,
         request: ProvisionRequest,
     ) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>>;
-    /// Returns machines to the cloud, at most `MAX_DELETED_MACHINES`.
+    /// Returns up to `MAX_DELETED_MACHINES` machines to the cloud.
     fn delete(&self, machines: Vec<MachineId>) -> BoxFuture<'_, Result<(), CloudError>>;
-    /// A page of the machine list, from after the machine named `since` (empty: from the
-    /// beginning). The list lags behind.
+    /// Returns the page of the machine list that begins after the machine named `since`, or the
+    /// first page if `since` is empty. The list may be out of date by up to `list_lag_s`.
     fn list(&self, since: &str) -> BoxFuture<'_, Result<MachineList, CloudError>>;
 }
 
-/// The cloud's HTTP interface.
+/// The client of the cloud's HTTP API.
 pub struct HttpCloud {
     client: HttpClient,
     address: SocketAddr,
@@ -68,15 +69,15 @@
 }
 
 impl HttpCloud {
-    /// The client of the cloud that the settings name.
+    /// Creates a client of the cloud that the settings name.
     pub fn new(settings: &Settings) -> Self {
         let timeout = settings.leader_lease();
         Self {
             client: HttpClient::new(IDLE_CONNECTIONS, settings.worker_lease(), timeout),
             address: settings.services.cloud,
             timeout,
-            // Only the leader sends most requests; the other half of the rate
-            // is left for a predecessor's last calls.
+            // Most requests come from the leader, which may use half of the rate. The other half
+            // is left for the last calls of a preceding leader.
             budget: Arc::new(Budget::new(settings.cluster.cloud.rps / 2.0)),
         }
     }
@@ -88,11 +89,11 @@
         body: Option<&B>,
     ) -> Result<Response, CloudError> {
         self.budget.take(1.0).await;
-        let answer = self.client.call(method, self.address, &path, body, self.timeout).await?;
-        match answer.status {
-            StatusCode::OK => Ok(answer),
+        let response = self.client.call(method, self.address, &path, body, self.timeout).await?;
+        match response.status {
+            StatusCode::OK => Ok(response),
             StatusCode::SERVICE_UNAVAILABLE
-                if answer.body.windows(NO_CAPACITY.len()).any(|w| w == NO_CAPACITY) =>
+                if response.body.windows(NO_CAPACITY.len()).any(|w| w == NO_CAPACITY) =>
             {
                 Err(CloudError::NoCapacity)
             }
@@ -104,8 +105,8 @@
 impl CloudApi for HttpCloud {
     fn machine_types(&self) -> BoxFuture<'_, Result<Vec<MachineType>, CloudError>> {
         Box::pin(async move {
-            let answer = self.call::<()>(Method::GET, "/machine_types".into(), None).await?;
-            Ok(answer.parse::<MachineTypes>()?.types)
+            let response = self.call::<()>(Method::GET, "/machine_types".into(), None).await?;
+            Ok(response.parse::<MachineTypes>()?.types)
         })
     }
 
@@ -114,8 +115,8 @@
         request: ProvisionRequest,
     ) -> BoxFuture<'_, Result<Vec<MachineId>, CloudError>> {
         Box::pin(async move {
-            let answer = self.call(Method::POST, "/rentals".into(), Some(&request)).await?;
-            Ok(answer.parse::<MachineNames>()?.machines)
+            let response = self.call(Method::POST, "/rentals".into(), Some(&request)).await?;
+            Ok(response.parse::<MachineNames>()?.machines)
         })
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! stonewheel: a scheduler for fleets that serve language models.
 //!
-//! A leading controller periodically admits waiting elastic jobs in arrival
-//! order and sets every job's width by a dynamic program maximising summed
-//! throughput scaling factors, resizing through checkpoint and resume.
+//! The controllers elect a leader. Periodically the leader admits waiting elastic jobs in
+//! arrival order and sets the width of each job by a dynamic program that maximises the sum of
+//! the throughput scaling factors. Jobs are resized by checkpoint and resume.
 
 #![warn(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: arguments, logging, and the library's node on its listeners.
+//! The program: parses the arguments, sets up logging, and runs a node with its listeners.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -75,21 +75,22 @@
         let workers = Arc::new(HttpWorkers::new(&settings));
         let node = Node::new(settings, state, cloud, workers, seed);
         let stop = CancellationToken::new();
-        let parts = TaskTracker::new();
-        start_parts(&node, public.local_addr()?.ip(), seed, &parts, &stop).await?;
+        let part_tasks = TaskTracker::new();
+        start_enabled_parts(&node, public.local_addr()?.ip(), seed, &part_tasks, &stop).await?;
         node.run(public, internal, stop).await;
-        parts.close();
-        parts.wait().await;
+        part_tasks.close();
+        part_tasks.wait().await;
         Ok(())
     })
 }
 
-/// Starts the parts that the operators' settings switch on.
-async fn start_parts(
+/// Starts the optional parts (activation, rollout, lending) that the operators' settings enable,
+/// as tasks tracked by `part_tasks`.
+async fn start_enabled_parts(
     node: &Arc<Node>,
     public: IpAddr,
     seed: u64,
-    parts: &TaskTracker,
+    part_tasks: &TaskTracker,
     stop: &CancellationToken,
 ) -> std::io::Result<()> {
     let probe = Arc::new(HttpProbe::new(&node.settings));
@@ -98,21 +99,21 @@
     let executor = rollout::executor(node, coordinator.clone(), probe, seed);
     let lending = lending::lending(node, coordinator.clone(), seed);
     if activator.is_some() || executor.is_some() || lending.is_some() {
-        parts.spawn(coordinator.run(stop.clone()));
+        part_tasks.spawn(coordinator.run(stop.clone()));
     }
     if let Some(lending) = lending {
-        parts.spawn(lending.run(stop.clone()));
+        part_tasks.spawn(lending.run(stop.clone()));
     }
     if let Some(activator) = activator {
         let address = activator.settings().listen.address(public);
         let listener = bind(address, "activation.listen").await?;
-        parts.spawn(activator.clone().run(stop.clone()));
-        parts.spawn(stonewheel_activation::serve(activator, listener, stop.clone()));
+        part_tasks.spawn(activator.clone().run(stop.clone()));
+        part_tasks.spawn(stonewheel_activation::serve(activator, listener, stop.clone()));
     }
     if let (Some(executor), Some(settings)) = (executor, &node.settings.operator.rollout) {
         let listener = bind(settings.listen, "rollout.listen").await?;
-        parts.spawn(executor.clone().run(stop.clone()));
-        parts.spawn(stonewheel_rollout::serve(executor, listener, stop.clone()));
+        part_tasks.spawn(executor.clone().run(stop.clone()));
+        part_tasks.spawn(stonewheel_rollout::serve(executor, listener, stop.clone()));
     }
     Ok(())
 }
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! The client of workers' own addresses: direct commands, over HTTP.
+//! The HTTP client that sends direct commands to workers' addresses.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,11 +11,11 @@
     settings::Settings,
 };
 
-/// What the leader requests of workers.
+/// The requests that the leader makes to workers.
 pub trait WorkerApi: Send + Sync {
-    /// Sends commands to a worker's own address. The answer is its heartbeat after it
-    /// has carried them out or refused them; without an answer they may still be
-    /// carried out for as long as fencing token and incarnation match.
+    /// Sends commands to a worker's address. Returns the worker's heartbeat after it has carried
+    /// out or refused the commands. If no response comes, they may still be carried out for as
+    /// long as their fencing token and incarnation match those of the worker.
     fn command(
         &self,
         address: &str,
@@ -23,21 +23,21 @@
     ) -> BoxFuture<'_, Result<WorkerHeartbeat, CallError>>;
 }
 
-/// Workers' HTTP interface. Each call takes a socket; the leader composes no more
-/// direct requests than there are sockets for them (`controller/direct_commands.rs`),
-/// so none waits here.
+/// The client of workers' HTTP API. Each call takes a socket. The leader limits the direct
+/// requests in flight to the number of sockets for them (`controller/direct_commands.rs`), so no
+/// call has to wait for a socket here.
 pub struct HttpWorkers {
     client: HttpClient,
     timeout: Duration,
 }
 
 impl HttpWorkers {
-    /// A client with time-outs that follow from the heartbeat interval.
+    /// Creates a client whose time-outs derive from the heartbeat interval.
     pub fn new(settings: &Settings) -> Self {
         let timeout = settings.heartbeat_interval();
-        // Commands to one machine mostly come alone, so no connection is kept open
-        // for longer than a call may last. An attempt to connect ends before the
-        // call does, so that it is known then that nothing was sent.
+        // Consecutive calls to one machine are rare, so an idle connection is closed after a
+        // fraction of a call's time-out. An attempt to connect times out before the call does, so
+        // that the error shows that nothing was sent.
         let client = HttpClient::new(1, timeout / 4, timeout * 3 / 4);
         Self { client, timeout }
     }
@@ -53,10 +53,10 @@
         Box::pin(async move {
             let address = address.map_err(|e| CallError::Malformed(e.to_string()))?;
             let body = Some(&commands);
-            let answer =
+            let response =
                 self.client.call(Method::POST, address, "/commands", body, self.timeout).await?;
-            match answer.status {
-                StatusCode::OK | StatusCode::CONFLICT => answer.parse(),
+            match response.status {
+                StatusCode::OK | StatusCode::CONFLICT => response.parse(),
                 other => Err(CallError::Malformed(format!("status {other}"))),
             }
         })
