--- a/src/activation.rs
+++ b/src/activation.rs
@@ -1,5 +1,6 @@
-//! Scale to zero onto the scheduler: a model's replicas are the tasks of a service
-//! job, which the owner of a cold start submits and, once the model scales to zero, cancels.
+//! The adapter from activation (scale to zero) to the scheduler. The replicas of a model are the
+//! tasks of one service job. The controller that owns the model's cold start submits the job, and
+//! the job is cancelled when the model scales to zero.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -11,31 +12,33 @@
 
 use crate::{
     node::Node,
-    replica_jobs::{JobOrder, JobProbe, ReplicaJobError, ReplicaJobs, ReplicaNeeds, ReplicaProbe},
+    replica_jobs::{
+        JobOrder, JobProbe, ReplicaJobError, ReplicaJobs, ReplicaProbe, ReplicaRequirements,
+    },
 };
 
-/// Replicas as tasks of service jobs.
+/// Starts, probes and stops replicas as the tasks of service jobs.
 pub struct SchedulerStarter {
     jobs: ReplicaJobs,
     models: HashMap<String, ModelSettings>,
 }
 
 impl SchedulerStarter {
-    /// Starts replicas of these models.
+    /// Creates a starter for replicas of these models, by name.
     pub fn new(jobs: ReplicaJobs, models: HashMap<String, ModelSettings>) -> Self {
         Self { jobs, models }
     }
 
-    /// The settings of the model that an order is for.
+    /// Returns the settings of the model of an order.
     fn model(&self, order: &ReplicaOrder) -> Result<&ModelSettings, StarterError> {
         let unknown = || StarterError::Rejected(format!("no model {}", order.model));
         self.models.get(&order.model).ok_or_else(unknown)
     }
 
     async fn start_job(&self, order: &ReplicaOrder) -> Result<(), StarterError> {
-        let needs = needs(self.model(order)?);
+        let requirements = requirements(self.model(order)?);
         let marker = job_key(&order.job);
-        Ok(self.jobs.start(job_order(order, &marker), &needs).await?)
+        Ok(self.jobs.start(job_order(order, &marker), &requirements).await?)
     }
 
     async fn stop_job(&self, order: &ReplicaOrder) -> Result<(), StarterError> {
@@ -43,22 +46,23 @@
         Ok(self.jobs.stop(job_order(order, &marker)).await?)
     }
 
-    async fn probe_at(&self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
+    async fn probe_job(&self, order: &ReplicaOrder) -> Result<Replicas, StarterError> {
         let model = self.model(order)?;
         let placed = match self.jobs.probe(&order.job, model.port as u16, &model.health).await {
             JobProbe::Gone => return Ok(Replicas::Gone),
             JobProbe::Pending => return Ok(Replicas::Pending),
             JobProbe::Placed(placed) => placed,
         };
-        let answering = placed.iter().filter(|replica| replica.is_healthy);
-        let endpoints: Vec<String> = answering
+        let healthy = placed.iter().filter(|replica| replica.is_healthy);
+        let endpoints: Vec<String> = healthy
             .map(|replica| replica.endpoint.to_string())
             .take(self.max_endpoints())
             .collect();
         Ok(if endpoints.is_empty() { Replicas::Pending } else { Replicas::Ready(endpoints) })
     }
 
-    /// As many endpoints as surely fit a record.
+    /// Returns the number of endpoints that always fit the model's record: they may take half of
+    /// a value.
     fn max_endpoints(&self) -> usize {
         const MAX_ENDPOINT_BYTES: usize = 64;
         let value_bytes = self.jobs.node.settings.state_limits().value_bytes;
@@ -74,7 +78,7 @@
 
     fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<Replicas, StarterError>> {
         let order = order.clone();
-        Box::pin(async move { self.probe_at(&order).await })
+        Box::pin(async move { self.probe_job(&order).await })
     }
 
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), StarterError>> {
@@ -87,8 +91,8 @@
     JobOrder { job: &order.job, fence: &order.fence, marker }
 }
 
-fn needs(model: &ModelSettings) -> ReplicaNeeds<'_> {
-    ReplicaNeeds {
+fn requirements(model: &ModelSettings) -> ReplicaRequirements<'_> {
+    ReplicaRequirements {
         team: &model.team,
         class: &model.class,
         priority: &model.priority,
@@ -112,7 +116,8 @@
     }
 }
 
-/// The activator of this controller, if the operators' settings switch it on.
+/// Creates this controller's activator. Returns `None` if the operators' settings don't enable
+/// activation.
 pub fn activator(
     node: &Arc<Node>,
     coordinator: Arc<Coordinator>,
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,5 +1,5 @@
-//! Coordination with the other controllers, through this controller's own client and
-//! budget.
+//! The coordinator of this controller's optional parts, which uses the node's state service
+//! client, request budget and writer.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::node::Node;
 
-/// The coordination of this controller. Its parts share it.
+/// Creates the coordinator of this controller, which activation, rollout and lending share.
 pub fn coordinator(node: &Arc<Node>) -> Arc<Coordinator> {
     let owner = Owner { member: node.settings.member.clone(), incarnation: node.incarnation };
     let mut members: Vec<String> =
--- a/src/lending.rs
+++ b/src/lending.rs
@@ -1,6 +1,8 @@
-//! The adapter of lending onto the scheduler: jobs inside their team's guarantee that wait for room claim
-//! machines on which others' batch runs. The leader alone holds the ledger: it observes its
-//! machines, and its records prove that work has terminated.
+//! The adapter from lending to the scheduler.
+//!
+//! Jobs within their team's guarantee that wait for capacity claim machines on which batch work of
+//! other teams runs. Only the leader holds the lending ledger, since it receives the heartbeats of
+//! the machines, and its records prove that work has terminated.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -31,31 +33,33 @@
     scheduler::Reservation,
 };
 
-/// The ledger is read so many times within a probe interval.
-const REFRESH_PARTS: u32 = 4;
-/// Jobs have waited for so many probe intervals before machines are reclaimed for them: most find
-/// room by themselves.
+/// The divisor that gives the interval between reads of the ledger from the probe interval.
+const REFRESH_INTERVAL_DIVISOR: u32 = 4;
+/// The number of probe intervals that a job waits before machines are reclaimed for it: most jobs
+/// are placed on free capacity before that.
 const MIN_WAITED_INTERVALS: u32 = 4;
 
-/// Separates the job from the number of its claim, in the claim's id.
+/// Separates the job's id from the claim's number in the id of a claim.
 const CLAIM_NUMBER_SEPARATOR: char = '.';
 
-/// The leader's machines.
+/// The machines of the leader, as the host that lending observes.
 struct SchedulerMachines {
     node: Arc<Node>,
     coordinator: Arc<Coordinator>,
     settings: LendingSettings,
-    /// The ledger as last read.
+    /// The ledger at the latest refresh.
     ledger: Mutex<Ledger>,
-    ticks: AtomicU64,
+    /// The number of the next observation. Reports must have rising numbers.
+    next_tick: AtomicU64,
 }
 
 impl SchedulerMachines {
-    /// The ledger as the records have it now.
+    /// Refreshes the ledger from the records and returns it.
     fn ledger(&self) -> MutexGuard<'_, Ledger> {
         let mut ledger = lock(&self.ledger);
         let records = self.coordinator.records();
-        let shards = records.get::<HolderRecord>(HOLDER_KEY).map_or(0, |held| held.value.shards);
+        let shards =
+            records.get::<HolderRecord>(HOLDER_KEY).map_or(0, |holder| holder.value.shards);
         if ledger.shards() != shards {
             *ledger = Ledger::new(shards, self.node.settings.state_limits().value_bytes);
         }
@@ -63,6 +67,7 @@
         ledger
     }
 
+    /// Returns the leader's view for lending, or `None` if this controller doesn't lead.
     fn view(&self) -> Option<LendingView> {
         let times = &self.settings.times;
         self.node.lending_view(times.grace_s, times.probe_interval() * MIN_WAITED_INTERVALS)
@@ -70,11 +75,12 @@
 
     fn observation(&self, view: &LendingView, token: u64) -> Observation {
         let ledger = self.ledger();
-        let tick = self.ticks.fetch_add(1, Ordering::Relaxed);
+        let tick = self.next_tick.fetch_add(1, Ordering::Relaxed);
         let mut observation = Observation::default();
         for (machine, seen) in &view.machines {
             let entry = ledger.get(machine);
-            // Free machines are the scheduler's to give, like those with work that stays.
+            // The scheduler alone places work on free machines and on machines with work that
+            // can't be revoked, so lending doesn't see them.
             if entry.is_none() && seen.lent.is_none() {
                 continue;
             }
@@ -89,7 +95,8 @@
                 });
             }
         }
-        // Until the leader has received its machines' heartbeats an absence proves nothing.
+        // Until the leader has received its machines' heartbeats, the absence of a machine from
+        // the view doesn't prove that the machine is gone.
         if view.settled {
             let entries = ledger.entries().map(|(machine, _)| machine);
             let gone = entries.filter(|machine| !view.machines.contains_key(*machine));
@@ -111,7 +118,8 @@
         zone: seen.zone,
         session: 0,
         tick,
-        // The leader's own tokens keep replaced leaders from the machines.
+        // Always the holder's own token: workers refuse commands of replaced leaders by the
+        // leaders' fencing tokens, so no check of the ledger's token is needed here.
         token,
         silent: Duration::ZERO,
         leaving: !seen.ready,
@@ -119,20 +127,21 @@
     }
 }
 
-/// What a loan's work does: work of other jobs than the claimant is what has to go, and
-/// what is granted is used up once its job waits no more.
+/// Returns the state of the work under a loan. A loan that is being reclaimed is saving while the
+/// machine holds work of jobs other than the claimant. A granted loan ends once its job no longer
+/// waits for capacity: the scheduler has placed the job, or the job has ended.
 fn run_report(entry: &Entry, seen: &LendableMachine, view: &LendingView) -> RunReport {
     let waits = |claim: &str| view.waiting.iter().any(|job| *job.id == *job_of(claim));
-    let others = match &entry.claimant {
+    let has_other_jobs = match &entry.claimant {
         Some(claimant) => seen.jobs.iter().any(|job| **job != *job_of(claimant)),
-        // Without a claimant whatever runs there continues.
+        // Without a claimant no job has to leave the machine.
         None => false,
     };
     let state = match entry.state {
         LoanState::Lent => RunState::Running,
         LoanState::Granted if waits(&entry.claim) => RunState::Running,
         LoanState::Granted => RunState::Ended(Exit::Done),
-        _ if others => RunState::Saving,
+        _ if has_other_jobs => RunState::Saving,
         _ => RunState::Ended(Exit::Saved),
     };
     RunReport {
@@ -151,22 +160,24 @@
 
     fn observe(&self, token: u64) -> BoxFuture<'_, Result<Observation, HostError>> {
         let view = self.view();
-        let view = view.ok_or_else(|| HostError::Unavailable("it leads no more".into()));
+        let view =
+            view.ok_or_else(|| HostError::Unavailable("this controller is not the leader".into()));
         Box::pin(async move { Ok(self.observation(&view?, token)) })
     }
 
-    /// The leader's pass follows the ledger by itself, see [`reservations`].
+    /// Does nothing: the leader's scheduling pass stops work on machines that the ledger reserves,
+    /// see [`reservations`].
     fn order(&self, _: &Order) -> BoxFuture<'_, Result<(), HostError>> {
         Box::pin(async { Ok(()) })
     }
 
-    /// Whether a machine is returned is the leader's to decide.
+    /// Always fails, since only the leader's autoscaler returns machines to the cloud.
     fn retire(&self, _: &MachineName, _: u64) -> BoxFuture<'_, Result<(), HostError>> {
         Box::pin(async { Err(HostError::Unavailable("the leader returns machines".into())) })
     }
 }
 
-/// The machines that are kept for a job: from the durable request on.
+/// Returns the machines reserved for a job. A reservation begins with the durable reclaim request.
 fn reservations(ledger: &Ledger) -> BTreeMap<MachineId, Reservation> {
     let reserved = ledger.entries().filter_map(|(machine, entry)| {
         let granted = entry.state == LoanState::Granted;
@@ -177,50 +188,53 @@
     reserved.collect()
 }
 
-/// Lending on one controller.
+/// The lending part of one controller.
 pub struct Lending {
     executor: Arc<Executor>,
     machines: Arc<SchedulerMachines>,
-    attempts: Mutex<HashMap<JobId, Attempt>>,
+    unplaced_jobs: Mutex<HashMap<JobId, UnplacedJob>>,
 }
 
-/// A job that has had all its machines, and waits all the same.
-struct Attempt {
-    served_since: Instant,
-    /// Its claim was withdrawn: they don't suit it.
-    given_up: bool,
+/// A job that was granted all machines of its claim but still waits.
+struct UnplacedJob {
+    granted_at: Instant,
+    /// The claim is withdrawn, since the scheduler can't place the job on the granted machines.
+    abandoned: bool,
 }
 
 impl Lending {
-    /// The executor, for the status of claims.
+    /// Returns the executor, which reports the status of claims.
     pub fn executor(&self) -> &Arc<Executor> {
         &self.executor
     }
 
-    /// Runs until it is cancelled.
+    /// Runs until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let executor = self.executor.clone().run(stop.clone());
         tokio::select! {
             () = executor => {}
-            () = self.follow() => {}
+            () = self.run_claim_loop() => {}
             () = stop.cancelled() => {}
         }
     }
 
-    async fn follow(&self) {
-        let pause = self.machines.settings.times.probe_interval() / REFRESH_PARTS;
+    /// Periodically applies the ledger's reservations and, on the holder of the ledger, updates
+    /// the claims of waiting jobs.
+    async fn run_claim_loop(&self) {
+        let interval = self.machines.settings.times.probe_interval() / REFRESH_INTERVAL_DIVISOR;
         loop {
-            sleep(pause).await;
+            sleep(interval).await;
             let reserved = reservations(&self.machines.ledger());
             self.machines.node.reserve(reserved);
             if self.executor.holds_ledger() {
-                self.claim_for_waiting_jobs().await;
+                self.update_claims().await;
             }
         }
     }
 
-    /// Claims for jobs that wait, and withdraws those of jobs that don't any more.
-    async fn claim_for_waiting_jobs(&self) {
+    /// Submits claims for jobs that have waited for long enough, and withdraws the claims of jobs
+    /// that no longer wait.
+    async fn update_claims(&self) {
         let Some(mut view) = self.machines.view().filter(|view| view.settled) else { return };
         let active: BTreeMap<JobId, ClaimId> = self
             .executor
@@ -228,10 +242,10 @@
             .into_iter()
             .map(|claim| (JobId::from(job_of(&claim.id)), claim.id))
             .collect();
-        self.give_up_unused(&mut view, &active);
-        let claims = |job: &&WaitingJob| job.overdue && !active.contains_key(&job.id);
-        for job in view.waiting.iter().filter(claims) {
-            let (id, team) = (self.next_claim(&job.id), job.team.clone());
+        self.abandon_unplaceable_jobs(&mut view, &active);
+        let needs_claim = |job: &&WaitingJob| job.overdue && !active.contains_key(&job.id);
+        for job in view.waiting.iter().filter(needs_claim) {
+            let (id, team) = (self.unused_claim_id(&job.id), job.team.clone());
             let claim = Claim { team, machines: job.machines, gpus: job.gpus, work: Work::Serving };
             if let Err(error) = self.executor.submit(&id, &claim).await {
                 debug!(job = %job.id, %error, "claim submission failed");
@@ -245,38 +259,42 @@
         }
     }
 
-    /// A job that isn't placed on the machines that it was granted, within the time of a
-    /// reclaim, never will be: others get them, and it claims no more while it waits.
-    fn give_up_unused(&self, view: &mut LendingView, active: &BTreeMap<JobId, ClaimId>) {
+    /// Removes from the view the jobs that were not placed on their granted machines within the
+    /// duration of a reclaim. The scheduler will never place such a job there, so its claim is
+    /// withdrawn, other claims get the machines, and the job makes no new claim while it waits.
+    fn abandon_unplaceable_jobs(&self, view: &mut LendingView, active: &BTreeMap<JobId, ClaimId>) {
         let now = Instant::now();
-        let mut attempts = lock(&self.attempts);
-        attempts.retain(|job, _| view.waiting.iter().any(|waiting| waiting.id == *job));
+        let mut unplaced_jobs = lock(&self.unplaced_jobs);
+        unplaced_jobs.retain(|job, _| view.waiting.iter().any(|waiting| waiting.id == *job));
         for (job, id) in active {
             let served = ClaimStatus::Active(Some(WaitReason::Served));
             if self.executor.status(id) == served {
-                let attempt = Attempt { served_since: now, given_up: false };
-                let attempt = attempts.entry(job.clone()).or_insert(attempt);
-                attempt.given_up |= now >= attempt.served_since + self.executor.bounds().reclaim;
+                let unplaced = UnplacedJob { granted_at: now, abandoned: false };
+                let unplaced = unplaced_jobs.entry(job.clone()).or_insert(unplaced);
+                unplaced.abandoned |= now >= unplaced.granted_at + self.executor.bounds().reclaim;
             }
         }
-        view.waiting.retain(|job| !attempts.get(&job.id).is_some_and(|attempt| attempt.given_up));
+        view.waiting
+            .retain(|job| !unplaced_jobs.get(&job.id).is_some_and(|unplaced| unplaced.abandoned));
     }
 
-    /// A job may wait again after its claim was withdrawn: then it makes another one.
-    fn next_claim(&self, job: &str) -> String {
+    /// Returns the first claim id of a job that no finished claim has. A job that waits again
+    /// after its claim was withdrawn makes another claim.
+    fn unused_claim_id(&self, job: &str) -> String {
         let ids = (0_u64..).map(|number| format!("{job}{CLAIM_NUMBER_SEPARATOR}{number}"));
-        let is_over = |id: &String| self.executor.status(id) == ClaimStatus::Finished;
-        let mut unused = ids.skip_while(is_over);
+        let is_finished = |id: &String| self.executor.status(id) == ClaimStatus::Finished;
+        let mut unused = ids.skip_while(is_finished);
         unused.next().unwrap_or_default()
     }
 }
 
-/// The job that a claim was made for.
+/// Returns the id of the job that a claim was made for.
 fn job_of(claim: &str) -> &str {
     claim.rsplit_once(CLAIM_NUMBER_SEPARATOR).map_or(claim, |(job, _)| job)
 }
 
-/// Lending on this controller, if the operators' settings switch it on.
+/// Creates the lending part of this controller. Returns `None` if the operators' settings don't
+/// enable lending.
 pub fn lending(node: &Arc<Node>, coordinator: Arc<Coordinator>, seed: u64) -> Option<Arc<Lending>> {
     let settings = node.settings.operator.lending.clone()?;
     let machines = Arc::new(SchedulerMachines {
@@ -284,7 +302,7 @@
         coordinator: coordinator.clone(),
         settings: settings.clone(),
         ledger: Mutex::default(),
-        ticks: AtomicU64::new(1),
+        next_tick: AtomicU64::new(1),
     });
     let limits = node.settings.state_limits();
     let limits = StateLimits {
@@ -293,5 +311,5 @@
     };
     let host = machines.clone();
     let executor = Executor::new(coordinator, settings, host, planner::plan, limits, seed);
-    Some(Arc::new(Lending { executor, machines, attempts: Mutex::default() }))
+    Some(Arc::new(Lending { executor, machines, unplaced_jobs: Mutex::default() }))
 }
--- a/src/replica_jobs.rs
+++ b/src/replica_jobs.rs
@@ -1,5 +1,7 @@
-//! Replicas as tasks of internal service jobs: submitted and cancelled under a fence, and
-//! probed through the records and over HTTP. Scale to zero and rollouts share this.
+//! Replicas that run as tasks of internal service jobs, for activation and rollouts.
+//!
+//! Jobs are submitted and cancelled on the condition that a record is unchanged (the fence), and
+//! probed by the placements in the watch cache and by HTTP requests to the replicas.
 
 use std::{
     collections::HashMap,
@@ -21,26 +23,27 @@
     state::lock,
 };
 
-/// Connections kept to each replica for probes.
+/// The maximum number of idle connections kept open to each replica for probes.
 const IDLE_CONNECTIONS: usize = 1;
 
-/// Probes whether a replica can take requests.
+/// Probes whether a replica can serve requests.
 pub trait ReplicaProbe: Send + Sync {
-    /// Whether the replica at this endpoint answers this path with 200.
+    /// Whether the replica at this endpoint responds to a GET of this path with status 200.
     fn is_healthy(&self, endpoint: SocketAddr, path: &str) -> BoxFuture<'_, bool>;
 }
 
-/// Probes over HTTP.
+/// A probe that sends HTTP requests.
 pub struct HttpProbe {
     client: HttpClient,
-    within: Duration,
+    timeout: Duration,
 }
 
 impl HttpProbe {
-    /// A replica that takes longer than a heartbeat interval counts as not answering.
+    /// Creates a probe with a heartbeat interval as its time-out: a replica that takes longer
+    /// counts as unhealthy.
     pub fn new(settings: &Settings) -> Self {
-        let within = settings.heartbeat_interval();
-        Self { client: HttpClient::new(IDLE_CONNECTIONS, within, within / 2), within }
+        let timeout = settings.heartbeat_interval();
+        Self { client: HttpClient::new(IDLE_CONNECTIONS, timeout, timeout / 2), timeout }
     }
 }
 
@@ -48,8 +51,8 @@
     fn is_healthy(&self, endpoint: SocketAddr, path: &str) -> BoxFuture<'_, bool> {
         let path = path.to_owned();
         Box::pin(async move {
-            let asked = self.client.call::<()>(Method::GET, endpoint, &path, None, self.within);
-            asked.await.is_ok_and(|answer| answer.status == StatusCode::OK)
+            let call = self.client.call::<()>(Method::GET, endpoint, &path, None, self.timeout);
+            call.await.is_ok_and(|response| response.status == StatusCode::OK)
         })
     }
 }
@@ -57,113 +60,114 @@
 /// A replica that is placed on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedReplica {
-    /// The machine that it is on.
+    /// The machine that the replica is placed on.
     pub machine: MachineId,
-    /// The endpoint at which it is to answer.
+    /// The endpoint at which the replica serves requests once it is ready.
     pub endpoint: SocketAddr,
     /// Whether the endpoint answered the latest probe with 200.
     pub is_healthy: bool,
 }
 
-/// What a probe of a job shows.
+/// The result of a probe of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobProbe {
-    /// It is done or cancelled.
+    /// The job is done or cancelled.
     Gone,
-    /// None of its tasks is placed, as far as the records are known here.
+    /// None of the job's tasks is placed according to this controller's watch cache.
     Pending,
-    /// These replicas are placed.
+    /// These replicas of the job are placed.
     Placed(Vec<PlacedReplica>),
 }
 
-/// What the replicas of a job need.
+/// The requirements of the replicas of a job.
 #[derive(Clone, Debug)]
-pub struct ReplicaNeeds<'a> {
-    /// The team that pays for it.
+pub struct ReplicaRequirements<'a> {
+    /// The team whose quota the job uses.
     pub team: &'a str,
-    /// Its class of jobs.
+    /// The class of the job.
     pub class: &'a str,
-    /// Its priority, in the submission's terms.
+    /// The job's priority, by its name in submissions.
     pub priority: &'a str,
-    /// The image.
+    /// The image that each replica runs.
     pub image: &'a str,
-    /// Its size.
+    /// The size of the image in GB.
     pub image_gb: f64,
-    /// What each replica takes.
+    /// The CPU cores of each replica.
     pub cpus: f64,
-    /// What each replica takes.
+    /// The GPUs of each replica.
     pub gpus: f64,
-    /// What each replica takes.
+    /// The memory of each replica in GB.
     pub memory_gb: f64,
-    /// How many there are.
+    /// The number of replicas.
     pub replicas: u32,
 }
 
-/// Why the job of a replica was not submitted or cancelled, or may not have been.
+/// The reason why the job of a replica was not submitted or cancelled, or may not have been.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ReplicaJobError {
-    /// Another job has its id.
+    /// Another job has the same id.
     #[error("its job's id is taken")]
     NameTaken,
-    /// The fence no longer holds.
+    /// The fence failed: the record has changed since the decision.
     #[error("the order is out of date")]
     Stale,
     /// The job can never run.
     #[error("{0}")]
     Rejected(String),
-    /// Whether it was carried out is not known; a repeat is safe.
+    /// It isn't known whether the request was carried out. Repeating it is safe.
     #[error("{0}")]
     Unavailable(String),
 }
 
-/// The identity of a replica's job, and under what it may be changed.
+/// The identity of a replica's job, and the condition for submitting or cancelling it.
 #[derive(Clone, Copy, Debug)]
 pub struct JobOrder<'a> {
     /// The job's id.
     pub job: &'a str,
-    /// The condition that must hold when the change is made.
+    /// The condition of the transaction that submits or cancels the job.
     pub fence: &'a Condition,
-    /// The key of the record that marks the job as submitted.
+    /// The key of the marker record, which exists while an internal job of this id is submitted
+    /// and distinguishes it from a user's job with the same id.
     pub marker: &'a str,
 }
 
 /// Submits, cancels and probes the jobs of replicas.
 pub struct ReplicaJobs {
-    /// The controller that they are submitted through.
+    /// The controller that submits and cancels the jobs.
     pub node: Arc<Node>,
     probe: Arc<dyn ReplicaProbe>,
-    /// Addresses of machines, as the cloud named them. They never change.
+    /// Addresses of machines from the cloud's list. The address of a machine never changes.
     addresses: Mutex<HashMap<MachineId, SocketAddr>>,
 }
 
 impl ReplicaJobs {
-    /// Over a controller, and with this probe for the replicas.
+    /// Creates a client of a controller that uses this probe for the replicas.
     pub fn new(node: Arc<Node>, probe: Arc<dyn ReplicaProbe>) -> Self {
         Self { node, probe, addresses: Mutex::default() }
     }
 
-    /// Submits a service job whose tasks are replicas. A repeat has no further effect.
+    /// Submits a service job whose tasks are replicas. Repeating a submission has no effect.
     pub async fn start(
         &self,
         order: JobOrder<'_>,
-        needs: &ReplicaNeeds<'_>,
+        requirements: &ReplicaRequirements<'_>,
     ) -> Result<(), ReplicaJobError> {
-        let spec = job_spec(order.job, needs).map_err(ReplicaJobError::Rejected)?;
+        let spec = job_spec(order.job, requirements).map_err(ReplicaJobError::Rejected)?;
         outcome(self.node.submit_internal_job(&spec, order.fence, order.marker).await)
     }
 
-    /// Cancels a job. A repeat has no further effect.
+    /// Cancels a job. Repeating a cancellation has no effect.
     pub async fn stop(&self, order: JobOrder<'_>) -> Result<(), ReplicaJobError> {
         outcome(self.node.cancel_internal_job(order.job, order.fence, order.marker).await)
     }
 
-    /// Probes a job by the records and its replicas' health paths, without a call to the
+    /// Probes a job by the watch cache and its replicas' health paths, without a call to the
     /// state service.
     pub async fn probe(&self, job: &str, port: u16, health: &str) -> JobProbe {
         let state = lock(&self.node.watch_cache).status(job).map(|status| status.state);
         match state {
             Some(JobState::Done | JobState::Cancelled) => return JobProbe::Gone,
-            // The watch may not have brought it yet.
+            // An unknown job may have been submitted without the watch having received it yet.
             None | Some(JobState::Pending) => return JobProbe::Pending,
             Some(JobState::Running) => {}
         }
@@ -175,14 +179,14 @@
             }
         }
         let probes = placed.iter().map(|replica| self.probe.is_healthy(replica.endpoint, health));
-        let is_healthy = join_all(probes).await;
-        for (replica, is_healthy) in placed.iter_mut().zip(is_healthy) {
+        let results = join_all(probes).await;
+        for (replica, is_healthy) in placed.iter_mut().zip(results) {
             replica.is_healthy = is_healthy;
         }
         JobProbe::Placed(placed)
     }
 
-    /// The machines that hold the job's tasks, by the records.
+    /// Returns the machines that the job's tasks are placed on according to the watch cache.
     fn machines_of(&self, job: &str) -> Vec<MachineId> {
         let mut machines = lock(&self.node.watch_cache).machines_of(job);
         machines.sort_unstable();
@@ -190,14 +194,15 @@
         machines
     }
 
-    /// Where a machine's worker answers. The cloud lists machines in the order of
-    /// their names, so one page from just before it holds it.
+    /// Returns the address of a machine's worker. The cloud lists machines in the order of their
+    /// names, so the page that begins after the name without its last character contains the
+    /// machine.
     async fn address(&self, machine: &MachineId) -> Option<SocketAddr> {
         if let Some(known) = lock(&self.addresses).get(machine) {
             return Some(*known);
         }
-        let before = &machine[..machine.len().saturating_sub(1)];
-        let list = self.node.cloud.list(before).await.ok()?;
+        let name_prefix = &machine[..machine.len().saturating_sub(1)];
+        let list = self.node.cloud.list(name_prefix).await.ok()?;
         let mut addresses = lock(&self.addresses);
         for listed in list.machines {
             if let Ok(address) = listed.address.parse() {
@@ -218,9 +223,9 @@
     }
 }
 
-/// The service job whose tasks are replicas, or why there can't be one.
-fn job_spec(job: &str, needs: &ReplicaNeeds<'_>) -> Result<JobSpec, String> {
-    let priority = match needs.priority {
+/// Returns the service job whose tasks are replicas, or the reason why it is not valid.
+fn job_spec(job: &str, requirements: &ReplicaRequirements<'_>) -> Result<JobSpec, String> {
+    let priority = match requirements.priority {
         "production" => Priority::Production,
         "high" => Priority::High,
         "standard" => Priority::Standard,
@@ -228,16 +233,16 @@
     };
     let spec = JobSpec {
         id: job.into(),
-        class: needs.class.into(),
-        team: needs.team.into(),
+        class: requirements.class.into(),
+        team: requirements.team.into(),
         shape: Shape::Service,
         priority,
-        tasks: needs.replicas,
-        cpus: needs.cpus,
-        gpus: needs.gpus,
-        memory_gb: needs.memory_gb,
-        image: needs.image.into(),
-        image_gb: needs.image_gb,
+        tasks: requirements.replicas,
+        cpus: requirements.cpus,
+        gpus: requirements.gpus,
+        memory_gb: requirements.memory_gb,
+        image: requirements.image.into(),
+        image_gb: requirements.image_gb,
         types: None,
         zone: None,
         one_zone: false,
@@ -249,6 +254,6 @@
         deadline_s: None,
         dependencies: Vec::new(),
     };
-    let text = serde_json::to_vec(&spec).map_err(|error| error.to_string())?;
-    JobSpec::parse(&text).map_err(|error| error.to_string())
+    let json = serde_json::to_vec(&spec).map_err(|error| error.to_string())?;
+    JobSpec::parse(&json).map_err(|error| error.to_string())
 }
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Stepped rollout onto the scheduler: each replica of a service is a service job of one
-//! task, and a version is the image that it runs.
+//! The adapter from stepped rollouts to the scheduler. Each replica of a service is a service job
+//! with one task, and a version of the service is the image that the task runs.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,10 +11,12 @@
 
 use crate::{
     node::Node,
-    replica_jobs::{JobOrder, JobProbe, ReplicaJobError, ReplicaJobs, ReplicaNeeds, ReplicaProbe},
+    replica_jobs::{
+        JobOrder, JobProbe, ReplicaJobError, ReplicaJobs, ReplicaProbe, ReplicaRequirements,
+    },
 };
 
-/// Replicas as service jobs of one task each.
+/// Starts, probes and stops replicas as service jobs of one task each.
 pub struct SchedulerHost {
     jobs: ReplicaJobs,
     services: BTreeMap<String, ServiceSettings>,
@@ -27,12 +29,12 @@
     }
 
     async fn start_job(&self, order: &ReplicaOrder) -> Result<(), HostError> {
-        let needs = needs(self.service(order)?, &order.version);
+        let requirements = requirements(self.service(order)?, &order.version);
         let marker = job_key(&order.job);
-        Ok(self.jobs.start(job_order(order, &marker), &needs).await?)
+        Ok(self.jobs.start(job_order(order, &marker), &requirements).await?)
     }
 
-    async fn probe_at(&self, order: &ReplicaOrder) -> Result<ProbeResult, HostError> {
+    async fn probe_job(&self, order: &ReplicaOrder) -> Result<ProbeResult, HostError> {
         let service = self.service(order)?;
         let placed = match self.jobs.probe(&order.job, service.port as u16, &service.health).await {
             JobProbe::Gone => return Ok(ProbeResult::Gone),
@@ -63,7 +65,7 @@
 
     fn probe(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<ProbeResult, HostError>> {
         let order = order.clone();
-        Box::pin(async move { self.probe_at(&order).await })
+        Box::pin(async move { self.probe_job(&order).await })
     }
 
     fn stop(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), HostError>> {
@@ -76,8 +78,8 @@
     JobOrder { job: &order.job, fence: &order.fence, marker }
 }
 
-fn needs<'a>(service: &'a ServiceSettings, version: &'a str) -> ReplicaNeeds<'a> {
-    ReplicaNeeds {
+fn requirements<'a>(service: &'a ServiceSettings, version: &'a str) -> ReplicaRequirements<'a> {
+    ReplicaRequirements {
         team: &service.team,
         class: &service.class,
         priority: &service.priority,
@@ -93,7 +95,8 @@
 impl From<ReplicaJobError> for HostError {
     fn from(error: ReplicaJobError) -> Self {
         match error {
-            // Ids are random with 16 digits: reported, and the rollout is rolled back.
+            // Job ids have 16 random digits, so a collision is practically impossible. As a
+            // rejection it is reported and the rollout is rolled back.
             ReplicaJobError::NameTaken => Self::Rejected(error.to_string()),
             ReplicaJobError::Stale => Self::Stale,
             ReplicaJobError::Rejected(reason) => Self::Rejected(reason),
@@ -102,7 +105,8 @@
     }
 }
 
-/// The executor of this controller, if the operators' settings switch it on.
+/// Creates this controller's rollout executor. Returns `None` if the operators' settings don't
+/// enable rollouts.
 pub fn executor(
     node: &Arc<Node>,
     coordinator: Arc<Coordinator>,
@@ -115,6 +119,6 @@
     let gates = services.map(|(name, service)| (name.clone(), service.promote_when.clone()));
     let gates = gates.collect();
     let host = Arc::new(SchedulerHost { jobs, services: settings.services.clone() });
-    let most = node.settings.state_limits().value_bytes;
-    Some(Executor::new(coordinator, settings.times, gates, host, most, seed))
+    let max_record_bytes = node.settings.state_limits().value_bytes;
+    Some(Executor::new(coordinator, settings.times, gates, host, max_record_bytes, seed))
 }
