--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -15,7 +15,7 @@
 /// The number of attempts of a state service call that fit into a leader lease.
 const STATE_ATTEMPTS_PER_LEASE: u32 = 3;
 /// The share of the time between `lease_s` and `cancel_s` during which worker heartbeats may
-/// be answered; the rest is a safety margin.
+/// be answered. The rest is a safety margin.
 const RENEWAL_SHARE: f64 = 0.9;
 
 /// Sockets for the state service. Twice the number of connections in use, since connections
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -52,7 +52,8 @@
         (share < background).then(|| {
             format!(
                 "cluster.state.rps: {share:.1} requests a second are left for each of {} \
-                 controllers, and {background:.1} go to watches and reads alone: answers will be late",
+                 controllers, and {background:.1} go to watches and reads alone: answers will be \
+                 late",
                 self.cluster.size
             )
         })
