--- a/crates/stonewheel-activation/src/settings.rs
+++ b/crates/stonewheel-activation/src/settings.rs
@@ -10,7 +10,7 @@
 use garde::Validate;
 use stonewheel_settings::{
     FieldError, MAX_TIME_S, MIN_TIME_S, PartSections, Section, at_least, at_most, known_priority,
-    path, whole,
+    url_path, whole_number,
 };
 
 /// Names of this crate's sections in the settings file.
@@ -93,7 +93,7 @@
     #[garde(custom(known_priority))]
     pub priority: String,
     /// Number of replicas.
-    #[garde(range(min = 1.0, max = 1e5), custom(whole))]
+    #[garde(range(min = 1.0, max = 1e5), custom(whole_number))]
     pub replicas: f64,
     /// CPUs of each replica.
     #[garde(range(min = 0.0, max = 1e6))]
@@ -105,11 +105,11 @@
     #[garde(range(min = 0.0, max = 1e9))]
     pub memory_gb: f64,
     /// Port at which a replica answers on its machine.
-    #[garde(range(min = 1.0, max = 65535.0), custom(whole))]
+    #[garde(range(min = 1.0, max = 65535.0), custom(whole_number))]
     pub port: f64,
     /// Path of the health check: a replica answers it with status 200 once it can serve
     /// requests.
-    #[garde(custom(path))]
+    #[garde(custom(url_path))]
     pub health: String,
     /// Usual time from the request for a replica until the replica first answers.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
@@ -128,7 +128,7 @@
     #[garde(range(min = 0.0, max = MAX_TIME_S))]
     pub awake_s: f64,
     /// Maximum number of start attempts in one cold start.
-    #[garde(range(min = 1.0, max = 100.0), custom(whole))]
+    #[garde(range(min = 1.0, max = 100.0), custom(whole_number))]
     pub attempts: f64,
     /// Back-off before the second attempt; doubles with each further attempt.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
@@ -194,7 +194,7 @@
 
 /// Whether a section of the settings file belongs to this crate.
 pub fn is_section(name: &str) -> bool {
-    SECTIONS.contain(name)
+    SECTIONS.contains(name)
 }
 
 /// Returns the first error of a report, by the names that the file uses.
@@ -218,7 +218,7 @@
         outage_s: section.number("outage_s", Some(30.0))?,
         models: BTreeMap::new(),
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok(settings)
 }
 
@@ -247,7 +247,7 @@
         retry_s: section.number("retry_s", Some(load_s))?,
         look_s: section.number("look_s", Some(load_s / 30.0))?,
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok(settings)
 }
 
--- a/crates/stonewheel-lending/src/settings.rs
+++ b/crates/stonewheel-lending/src/settings.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use garde::Validate;
-use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole};
+use stonewheel_settings::{FieldError, PartSections, Section, at_least, whole_number};
 use tokio::time::Duration;
 
 use crate::names::{MAX_NAME_BYTES, TeamName};
@@ -37,7 +37,7 @@
     #[garde(range(min = 0.0, max = 1e5))]
     pub spread_s: f64,
     /// The maximum number of runs of one zone that are halted to save at the same time.
-    #[garde(range(min = 1.0, max = 1e6), custom(whole))]
+    #[garde(range(min = 1.0, max = 1e6), custom(whole_number))]
     pub halts_a_zone: f64,
     /// How long machines that a team's claims inside its guarantee released stay reserved for the
     /// team.
@@ -50,7 +50,7 @@
     #[garde(range(min = 0.0, max = 1e6))]
     pub machine_gpus: f64,
     /// The number of machines that the ledger's shards are sized for.
-    #[garde(range(min = 1.0, max = 1e7), custom(whole))]
+    #[garde(range(min = 1.0, max = 1e7), custom(whole_number))]
     pub expected_machines: f64,
 }
 
@@ -77,7 +77,7 @@
 
 /// Whether a settings section belongs to lending.
 pub fn is_section(name: &str) -> bool {
-    SECTIONS.contain(name)
+    SECTIONS.contains(name)
 }
 
 /// Reads the sections of lending from the sections of an INI file, and ignores others. Returns none
@@ -108,7 +108,7 @@
         machine_gpus: section.number("machine_gpus", None)?,
         expected_machines: section.number("expected_machines", Some(DEFAULT_EXPECTED_MACHINES))?,
     };
-    section.end()?;
+    section.reject_unknown_keys()?;
     times.validate().map_err(|report| SECTIONS.validation_error(report.iter().next()))?;
     Ok(times)
 }
@@ -123,7 +123,7 @@
     if name.len() > MAX_NAME_BYTES {
         return Err(section.error("name", &format!("has more than {MAX_NAME_BYTES} bytes")));
     }
-    section.end()?;
+    section.reject_unknown_keys()?;
     Ok(Team { guarantee, ceiling })
 }
 
--- a/src/controller/pages.rs
+++ b/src/controller/pages.rs
@@ -28,7 +28,7 @@
 use crate::{
     fleet::TaskKey,
     protocol::{JobSpec, Shape},
-    settings::{LARGEST_BINDING_BYTES, Settings},
+    settings::{MAX_BINDING_BYTES, Settings},
     store::{self, BoundTask, Page, TaskRange},
 };
 
@@ -136,7 +136,7 @@
         bounds: BindingSizeBounds,
     ) -> Vec<u32> {
         let tasks = self.page_tasks.min(self.spec.tasks) as usize;
-        if tasks * LARGEST_BINDING_BYTES <= max_value_bytes {
+        if tasks * MAX_BINDING_BYTES <= max_value_bytes {
             return pending;
         }
         let max_attempt = self.attempt + pending.len() as u64;
@@ -177,7 +177,7 @@
 pub(super) fn tasks_per_page(settings: &Settings, spec: &JobSpec, layout: PageLayout) -> u32 {
     let common_tasks = settings.page_tasks();
     let starts_together = spec.shape != Shape::Array;
-    let may_exceed_limit = spec.tasks.min(common_tasks) as usize * LARGEST_BINDING_BYTES
+    let may_exceed_limit = spec.tasks.min(common_tasks) as usize * MAX_BINDING_BYTES
         > settings.state_limits().value_bytes;
     if starts_together && may_exceed_limit && layout == PageLayout::CommonOrSmall {
         settings.small_page_tasks()
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -98,7 +98,7 @@
             request_budget,
             admission: AdmissionLimit::new(target_latency, max_concurrent_requests),
             watch_cache: Mutex::new(WatchCache::with_notice_limit(
-                settings.noticed_cancellations(),
+                settings.max_cancellations_per_heartbeat(),
             )),
             peers: Peers::new(members, settings.renewal_abstention(), incarnation),
             settings,
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -101,7 +101,7 @@
         let since = acknowledged.revision;
         // The receiver drops a frame that exceeds its length limit, with the whole message.
         let max_per_frame = max_cancellations_per_frame(self.peers.frame_limit(receiver));
-        let max = self.settings.noticed_cancellations().min(max_per_frame);
+        let max = self.settings.max_cancellations_per_heartbeat().min(max_per_frame);
         watch_cache.cancelled_since(since, max)
     }
 
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -16,7 +16,7 @@
 /// The limits of the public listener, derived from the settings.
 pub(super) fn server_limits(settings: &Settings) -> ServerLimits {
     ServerLimits {
-        max_connections: settings.public_sockets(),
+        max_connections: settings.max_public_sockets(),
         // A worker that is silent for longer than its lease has stopped. A connection that
         // a network failure left half open must not occupy a socket for long.
         idle_timeout: settings.worker_lease() * 2,
--- a/src/node/workers.rs
+++ b/src/node/workers.rs
@@ -144,7 +144,7 @@
     /// Until when this node may renew leases as a follower. After that, tasks of cancelled
     /// jobs that this node doesn't know as cancelled could run for longer than `cancel_s`.
     fn follower_renewal_deadline(&self) -> Instant {
-        let limit = self.settings.renewal_limit();
+        let limit = self.settings.renewal_window();
         match self.peers.last_read_at() {
             Some(at) => at + limit,
             // Cancellations from before the start of this process are unknown to it. Half of
@@ -177,7 +177,7 @@
     /// that their tasks could run for longer than `cancel_s`. The limit is at least a leader
     /// lease, whatever the settings give: a leader may always renew during its own lease.
     fn may_renew_as_leader(&self, now: Instant) -> bool {
-        let limit = self.settings.renewal_limit().max(self.settings.leader_lease());
+        let limit = self.settings.renewal_window().max(self.settings.leader_lease());
         self.knows_cancellations(now, limit)
     }
 
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -8,7 +8,7 @@
     protocol::{
         CancellationNotice, CancelledJob, ControllerHeartbeat, Features, HeartbeatId, WorkerContact,
     },
-    settings::MIN_NOTICED_CANCELLATIONS,
+    settings::MIN_CANCELLATIONS_PER_HEARTBEAT,
 };
 
 fn heartbeat() -> ControllerHeartbeat {
@@ -62,7 +62,7 @@
 #[test]
 fn notice_with_the_maximum_of_cancellations_fits_the_frame_limit() {
     let longest_id = "j-99999999999999999999".to_owned();
-    for cancellations in [MIN_NOTICED_CANCELLATIONS, 4_400, 100_000] {
+    for cancellations in [MIN_CANCELLATIONS_PER_HEARTBEAT, 4_400, 100_000] {
         let job = CancelledJob { id: longest_id.clone(), version: u64::MAX, done: u32::MAX };
         let jobs = vec![job; cancellations];
         let notice = CancellationNotice { since: u64::MAX, complete: false, jobs };
@@ -87,7 +87,7 @@
     let read = decode(&encode(Message::new(heartbeat(), MIN_FRAME_LIMIT))).expect("a message");
     peers.record_frame_limit("m-1", read.frame_limit);
     assert_eq!(peers.frame_limit("m-1"), MIN_FRAME_LIMIT);
-    assert!(max_cancellations_per_frame(MIN_FRAME_LIMIT) >= MIN_NOTICED_CANCELLATIONS);
+    assert!(max_cancellations_per_frame(MIN_FRAME_LIMIT) >= MIN_CANCELLATIONS_PER_HEARTBEAT);
 }
 
 /// A frame as the last version without `Features` encoded it, byte for byte.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
-//! The platform's settings (TOML), the operators' own (INI), and the figures
-//! derived from both.
+//! The platform's settings (TOML), the operators' settings (INI), and the durations and
+//! limits derived from both.
 //!
-//! Everything is checked at the start: a controller that starts has settings
-//! it can work with.
+//! All settings are validated before the controller starts, so the rest of the code relies
+//! on them without further checks.
 
 mod derived;
 mod error;
@@ -14,10 +14,10 @@
 mod validation;
 mod warnings;
 
-pub use derived::{LARGEST_BINDING_BYTES, MIN_NOTICED_CANCELLATIONS};
+pub use derived::{MAX_BINDING_BYTES, MIN_CANCELLATIONS_PER_HEARTBEAT};
 pub use error::SettingsError;
 pub use limits::{EffectiveLimits, NextStateLimits, StateLimits};
-pub use operator::Operator;
+pub use operator::OperatorSettings;
 pub use platform::{
     CloudLimits, Cluster, Member, Objective, Quota, Services, Settings, Team, Workers,
 };
--- a/src/store/recent_cancellations.rs
+++ b/src/store/recent_cancellations.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{protocol::JobId, settings::MIN_NOTICED_CANCELLATIONS};
+use crate::{protocol::JobId, settings::MIN_CANCELLATIONS_PER_HEARTBEAT};
 
 /// How many cancellations are retained, as a multiple of the number that one heartbeat
 /// carries.
@@ -44,7 +44,7 @@
 
 impl Default for RecentCancellations {
     fn default() -> Self {
-        Self::with_notice_limit(MIN_NOTICED_CANCELLATIONS)
+        Self::with_notice_limit(MIN_CANCELLATIONS_PER_HEARTBEAT)
     }
 }
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -340,7 +340,7 @@
     assert_eq!((notice.jobs.as_slice(), notice.complete), (latest.as_slice(), true));
     let notice = watch_cache.cancelled_since(10, usize::MAX);
     assert!(!notice.complete, "the cancellations right after revision 10 were dropped");
-    assert!(notice.jobs.len() >= crate::settings::MIN_NOTICED_CANCELLATIONS);
+    assert!(notice.jobs.len() >= crate::settings::MIN_CANCELLATIONS_PER_HEARTBEAT);
     // A cache that gets the same records in reverse order answers alike: a full read lists
     // records by key, not by revision.
     let mut reread = WatchCache::default();
