--- a/crates/stonewheel-rollout/src/command.rs
+++ b/crates/stonewheel-rollout/src/command.rs
@@ -92,7 +92,7 @@
     },
     /// It was deployed before.
     #[error("the service is deployed already")]
-    Deployed,
+    AlreadyDeployed,
     /// A rollout is under way.
     #[error("rollout {0} is under way")]
     UnderWay(String),
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -137,7 +137,7 @@
         check_version(version)?;
         self.check_size(replicas, version)?;
         if self.record(service).is_some() {
-            return Err(CommandError::Deployed.into());
+            return Err(CommandError::AlreadyDeployed.into());
         }
         let mut record = ServiceRecord {
             epoch: 0,
@@ -162,7 +162,7 @@
         let job = |record: &ServiceRecord| record.replicas.first().map(|r| r.job.clone());
         match self.record(service) {
             Some(found) if job(&found.value) == job(&record) => Ok(()),
-            Some(_) => Err(CommandError::Deployed.into()),
+            Some(_) => Err(CommandError::AlreadyDeployed.into()),
             None => Err(CommandFailure::Unknown),
         }
     }
--- a/crates/stonewheel-rollout/src/host.rs
+++ b/crates/stonewheel-rollout/src/host.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
     /// It waits for room.
-    NoRoom,
+    NoCapacity,
     /// It has a place, and doesn't answer.
-    Silent {
+    Unresponsive {
         /// The machine that it is on.
         machine: String,
     },
--- a/crates/stonewheel-rollout/src/observer.rs
+++ b/crates/stonewheel-rollout/src/observer.rs
@@ -102,8 +102,8 @@
         let observed = self.replicas.entry(number).or_default();
         observed.at = Some(now);
         let (health, machine) = match probe {
-            ProbeResult::NoRoom => (ReplicaHealth::NoRoom, None),
-            ProbeResult::Silent { machine } => (ReplicaHealth::Silent, Some(machine)),
+            ProbeResult::NoCapacity => (ReplicaHealth::NoCapacity, None),
+            ProbeResult::Unresponsive { machine } => (ReplicaHealth::Unresponsive, Some(machine)),
             ProbeResult::Answering { machine, endpoint } => {
                 observed.endpoint = Some(endpoint);
                 (ReplicaHealth::Answering, Some(machine))
@@ -115,8 +115,10 @@
             (observed.probes, observed.failures, observed.silent_since) = (0, 0, None);
         }
         (observed.health, observed.machine) = (health, machine);
-        let (answers, silent) =
-            (observed.health == ReplicaHealth::Answering, observed.health == ReplicaHealth::Silent);
+        let (answers, silent) = (
+            observed.health == ReplicaHealth::Answering,
+            observed.health == ReplicaHealth::Unresponsive,
+        );
         observed.silent_since = if silent { observed.silent_since.or(Some(now)) } else { None };
         // Before the first answer it loads; while it has no place its machine was lost.
         if answers || (silent && observed.probes > 0) {
--- a/crates/stonewheel-rollout/src/planner.rs
+++ b/crates/stonewheel-rollout/src/planner.rs
@@ -23,9 +23,9 @@
     #[default]
     Unknown,
     /// It waits for room in the fleet.
-    NoRoom,
+    NoCapacity,
     /// It has a place, and doesn't answer.
-    Silent,
+    Unresponsive,
     /// It answers.
     Answering,
     /// It is gone for good.
@@ -115,7 +115,7 @@
     /// Replicas don't answer yet.
     NotAnswering,
     /// Replicas wait for room in the fleet.
-    NoRoom,
+    NoCapacity,
     /// Replicas finish the requests that they have.
     Draining,
     /// The step is watched.
@@ -408,8 +408,8 @@
     let starting = |r: &&Replica| r.stage == ReplicaStage::Starting;
     let health = |r: &Replica| facts.observations.of(r).health;
     let mut waiting = facts.record.replicas.iter().filter(starting);
-    if waiting.clone().any(|replica| health(replica) == ReplicaHealth::NoRoom) {
-        Reason::NoRoom
+    if waiting.clone().any(|replica| health(replica) == ReplicaHealth::NoCapacity) {
+        Reason::NoCapacity
     } else if waiting.next().is_some() {
         Reason::NotAnswering
     } else if facts.record.replicas.iter().any(|r| r.stage == ReplicaStage::Draining) {
--- a/crates/stonewheel-rollout/tests/common/mod.rs
+++ b/crates/stonewheel-rollout/tests/common/mod.rs
@@ -118,8 +118,8 @@
             let health = match (running, machine) {
                 (None, _) => ReplicaHealth::Unknown,
                 _ if self.answers(replica) => ReplicaHealth::Answering,
-                (_, Some(_)) => ReplicaHealth::Silent,
-                (_, None) => ReplicaHealth::NoRoom,
+                (_, Some(_)) => ReplicaHealth::Unresponsive,
+                (_, None) => ReplicaHealth::NoCapacity,
             };
             let overdue = self.silent.get(&replica.number).is_some_and(|n| *n > OVERDUE);
             let flaps = self.missed.get(&replica.number).is_some_and(|n| *n > 3);
--- a/crates/stonewheel-rollout/tests/common/servers.rs
+++ b/crates/stonewheel-rollout/tests/common/servers.rs
@@ -189,15 +189,15 @@
     }
 
     fn probe(&mut self, order: &ReplicaOrder) -> Result<ProbeResult, HostError> {
-        let Some(server) = self.servers.get(&order.job) else { return Ok(ProbeResult::NoRoom) };
+        let Some(server) = self.servers.get(&order.job) else { return Ok(ProbeResult::NoCapacity) };
         let Some(machine) = server.machine.filter(|_| !server.stopped) else {
-            return Ok(if server.stopped { ProbeResult::Gone } else { ProbeResult::NoRoom });
+            return Ok(if server.stopped { ProbeResult::Gone } else { ProbeResult::NoCapacity });
         };
         let machine = format!("n-{machine}");
         Ok(if self.answers(server) {
             ProbeResult::Answering { machine, endpoint: order.job.clone() }
         } else {
-            ProbeResult::Silent { machine }
+            ProbeResult::Unresponsive { machine }
         })
     }
 
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -36,16 +36,16 @@
         let service = self.service(order)?;
         let placed = match self.jobs.probe(&order.job, service.port as u16, &service.health).await {
             JobProbe::Gone => return Ok(ProbeResult::Gone),
-            JobProbe::Pending => return Ok(ProbeResult::NoRoom),
+            JobProbe::Pending => return Ok(ProbeResult::NoCapacity),
             JobProbe::Placed(placed) => placed,
         };
-        let Some(replica) = placed.into_iter().next() else { return Ok(ProbeResult::NoRoom) };
+        let Some(replica) = placed.into_iter().next() else { return Ok(ProbeResult::NoCapacity) };
         let machine = replica.machine.to_string();
         let endpoint = replica.endpoint.to_string();
         Ok(if replica.answers {
             ProbeResult::Answering { machine, endpoint }
         } else {
-            ProbeResult::Silent { machine }
+            ProbeResult::Unresponsive { machine }
         })
     }
 
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -87,7 +87,7 @@
     sleep(Duration::from_secs(10)).await;
     executors[0].create(SERVICE, "img-1", LEVEL).await.expect("deployed");
     let again = executors[1].create(SERVICE, "img-1", LEVEL).await;
-    assert_eq!(again, Err(CommandFailure::Refused(CommandError::Deployed)));
+    assert_eq!(again, Err(CommandFailure::Refused(CommandError::AlreadyDeployed)));
     cluster.until("it answers", || capacity(&cluster) == LEVEL as usize).await;
     sleep(Duration::from_secs(10)).await;
     assert_eq!(executors[2].endpoints(SERVICE).await.map(|e| e.len()), Some(LEVEL as usize));
