--- a/crates/stonewheel-rollout/src/command.rs
+++ b/crates/stonewheel-rollout/src/command.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     planner::ReplicaObservations,
-    record::{DoneCommand, Phase, REMEMBERED_COMMANDS, ReplicaStage, Rollout, ServiceRecord},
+    record::{DoneCommand, MAX_REMEMBERED_COMMANDS, Phase, ReplicaStage, Rollout, ServiceRecord},
 };
 
 /// A command with the id that its caller chose.
@@ -26,7 +26,7 @@
         to: String,
         /// Percentages, rising to 100.
         steps: Vec<u8>,
-        /// Replicas beyond the level that may exist at once.
+        /// Replicas excess the level that may exist at once.
         surge: u32,
     },
     /// Begin no further step, start and drain nothing.
@@ -41,7 +41,7 @@
 
 impl CommandKind {
     /// The command as it is remembered.
-    fn text(&self) -> String {
+    fn stored_text(&self) -> String {
         match self {
             Self::Start { to, steps, surge } => format!("start {to} {steps:?} {surge}"),
             Self::Pause => "pause".into(),
@@ -57,7 +57,7 @@
 pub enum CommandError {
     /// An empty id, or one that is too long.
     #[error("id must have 1 to 64 characters")]
-    Id,
+    InvalidId,
     /// The id was used for another command.
     #[error("id {0} was used for another command")]
     IdUsed(String),
@@ -66,49 +66,51 @@
     SameVersion(String),
     /// Not rising to 100.
     #[error("steps must rise to 100")]
-    Steps,
+    InvalidSteps,
     /// Nothing could ever be drained.
-    #[error("surge must be at least {least}: a machine holds {holds} replicas, and may be lost")]
-    Surge {
+    #[error(
+        "surge must be at least {min}: a machine holds {per_machine} replicas, and may be lost"
+    )]
+    SurgeTooSmall {
         /// What would do.
-        least: u32,
+        min: u32,
         /// Replicas on the fullest machine.
-        holds: u32,
+        per_machine: u32,
     },
     /// Whether a replica answers isn't known.
     #[error("replica {0} could not be looked at")]
     Unobserved(u32),
     /// No replica answers: there is nothing to keep up.
     #[error("no replica of the service answers")]
-    NothingAnswers,
+    NoReplicaAnswers,
     /// It can't be named so.
     #[error("to must be a name of 1 to 100 visible characters")]
-    Version,
+    InvalidVersion,
     /// The record would not fit a value of the state service.
-    #[error("size and surge together must be at most {most} replicas")]
+    #[error("size and surge together must be at most {max} replicas")]
     TooLarge {
         /// Replicas that would fit.
-        most: u32,
+        max: u32,
     },
     /// It was deployed before.
     #[error("the service is deployed already")]
     AlreadyDeployed,
     /// A rollout is under way.
     #[error("rollout {0} is under way")]
-    UnderWay(String),
+    RolloutInProgress(String),
     /// There is none to command.
     #[error("no rollout is under way")]
-    NoneUnderWay,
+    NoRolloutInProgress,
 }
 
-const LONGEST_ID: usize = 64;
-const LONGEST_VERSION: usize = 100;
+const MAX_ID_BYTES: usize = 64;
+const MAX_VERSION_BYTES: usize = 100;
 
 /// Whether a version's name can be kept.
 pub fn check_version(version: &str) -> Result<(), CommandError> {
     let visible = version.bytes().all(|byte| byte.is_ascii_graphic());
-    let fits = (1..=LONGEST_VERSION).contains(&version.len());
-    if visible && fits { Ok(()) } else { Err(CommandError::Version) }
+    let fits = (1..=MAX_VERSION_BYTES).contains(&version.len());
+    if visible && fits { Ok(()) } else { Err(CommandError::InvalidVersion) }
 }
 
 /// The record after a command. `sightings`: what was lately seen of the replicas.
@@ -118,10 +120,10 @@
     command: &Command,
     observations: &ReplicaObservations,
 ) -> Result<Option<ServiceRecord>, CommandError> {
-    if command.id.is_empty() || command.id.len() > LONGEST_ID {
-        return Err(CommandError::Id);
+    if command.id.is_empty() || command.id.len() > MAX_ID_BYTES {
+        return Err(CommandError::InvalidId);
     }
-    let kind = command.kind.text();
+    let kind = command.kind.stored_text();
     if let Some(done) = record.commands.iter().find(|done| done.id == command.id) {
         let same = done.kind == kind;
         return if same { Ok(None) } else { Err(CommandError::IdUsed(command.id.clone())) };
@@ -129,25 +131,28 @@
     let mut next = record.clone();
     match &command.kind {
         CommandKind::Start { to, steps, surge } => {
-            next.rollout = Some(start(record, &command.id, to, steps, *surge, observations)?);
+            next.rollout =
+                Some(start_rollout(record, &command.id, to, steps, *surge, observations)?);
+        }
+        CommandKind::Pause => active_rollout_mut(&mut next)?.paused = true,
+        CommandKind::Resume => active_rollout_mut(&mut next)?.paused = false,
+        CommandKind::RollBack => {
+            roll_back(active_rollout_mut(&mut next)?, "an operator asked for it")
         }
-        CommandKind::Pause => under_way(&mut next)?.paused = true,
-        CommandKind::Resume => under_way(&mut next)?.paused = false,
-        CommandKind::RollBack => roll_back(under_way(&mut next)?, "an operator asked for it"),
         CommandKind::Abort => abort(&mut next)?,
     }
     next.commands.push(DoneCommand { id: command.id.clone(), kind });
-    let beyond = next.commands.len().saturating_sub(REMEMBERED_COMMANDS);
-    next.commands.drain(..beyond);
+    let excess = next.commands.len().saturating_sub(MAX_REMEMBERED_COMMANDS);
+    next.commands.drain(..excess);
     Ok(Some(next))
 }
 
-fn under_way(record: &mut ServiceRecord) -> Result<&mut Rollout, CommandError> {
+fn active_rollout_mut(record: &mut ServiceRecord) -> Result<&mut Rollout, CommandError> {
     let rollout = record.rollout.as_mut().filter(|rollout| !rollout.phase.is_over());
-    rollout.ok_or(CommandError::NoneUnderWay)
+    rollout.ok_or(CommandError::NoRolloutInProgress)
 }
 
-fn start(
+fn start_rollout(
     record: &ServiceRecord,
     id: &str,
     to: &str,
@@ -155,29 +160,29 @@
     surge: u32,
     observations: &ReplicaObservations,
 ) -> Result<Rollout, CommandError> {
-    if let Some(rollout) = record.under_way() {
-        return Err(CommandError::UnderWay(rollout.id.clone()));
+    if let Some(rollout) = record.active_rollout() {
+        return Err(CommandError::RolloutInProgress(rollout.id.clone()));
     }
     check_version(to)?;
     let rising = steps.windows(2).all(|pair| pair[0] < pair[1]);
     if !rising || steps.first().is_none_or(|first| *first == 0) || steps.last() != Some(&100) {
-        return Err(CommandError::Steps);
+        return Err(CommandError::InvalidSteps);
     }
     if record.version == to && record.replicas.iter().all(|replica| replica.version == to) {
         return Err(CommandError::SameVersion(to.into()));
     }
     // A probe without an answer would lower the level for good.
-    if let Some(number) = observations.unobserved(record) {
+    if let Some(number) = observations.first_unobserved(record) {
         return Err(CommandError::Unobserved(number));
     }
     let answering = observations.answering(record);
     let level = answering.len() as u32;
     if level == 0 {
-        return Err(CommandError::NothingAnswers);
+        return Err(CommandError::NoReplicaAnswers);
     }
-    let holds = observations.fullest_machine(&answering);
-    if surge <= holds {
-        return Err(CommandError::Surge { least: holds + 1, holds });
+    let per_machine = observations.max_replicas_per_machine(&answering);
+    if surge <= per_machine {
+        return Err(CommandError::SurgeTooSmall { min: per_machine + 1, per_machine });
     }
     let mut rollout = Rollout {
         id: id.into(),
@@ -192,7 +197,7 @@
         paused: false,
         history: Vec::new(),
     };
-    rollout.enter(Phase::Stepping, "an operator started it");
+    rollout.enter_phase(Phase::Stepping, "an operator started it");
     Ok(rollout)
 }
 
@@ -200,12 +205,12 @@
 pub(crate) fn roll_back(rollout: &mut Rollout, why: &str) {
     if rollout.phase != Phase::RollingBack {
         rollout.paused = false;
-        rollout.enter(Phase::RollingBack, why);
+        rollout.enter_phase(Phase::RollingBack, why);
     }
 }
 
 fn abort(record: &mut ServiceRecord) -> Result<(), CommandError> {
-    under_way(record)?.enter(Phase::Aborted, "an operator ended it");
+    active_rollout_mut(record)?.enter_phase(Phase::Aborted, "an operator ended it");
     for replica in &mut record.replicas {
         if replica.stage == ReplicaStage::Starting {
             replica.stage = ReplicaStage::Stopping;
--- a/crates/stonewheel-rollout/src/condition.rs
+++ b/crates/stonewheel-rollout/src/condition.rs
@@ -17,15 +17,15 @@
 use thiserror::Error;
 
 /// The longest script, in bytes.
-const MOST_BYTES: usize = 1024;
+const MAX_SCRIPT_BYTES: usize = 1024;
 /// Operations that one evaluation may take.
-const MOST_OPERATIONS: u64 = 10_000;
+const MAX_OPERATIONS: u64 = 10_000;
 /// How deeply expressions may be nested.
-const MOST_DEPTH: usize = 32;
+const MAX_EXPRESSION_DEPTH: usize = 32;
 /// Calls of functions within functions.
-const MOST_CALLS: usize = 8;
+const MAX_CALL_DEPTH: usize = 8;
 /// The longest string, array and map that a script may build.
-const MOST_ELEMENTS: usize = 256;
+const MAX_COLLECTION_LENGTH: usize = 256;
 
 /// What a script may ask of the step that was watched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     pub failures: u32,
     /// Replicas that take requests and answer, of any version.
     pub answering: u32,
-    /// Replicas that answered when the rollout began.
+    /// Replicas that answered when the rollout started_at.
     pub level: u32,
     /// The step, from 1.
     pub step: u32,
@@ -49,9 +49,9 @@
 pub enum ConditionError {
     /// It can't be read.
     #[error("{0}")]
-    Unreadable(String),
+    InvalidScript(String),
     /// It is longer than it may be.
-    #[error("must be at most {MOST_BYTES} bytes")]
+    #[error("must be at most {MAX_SCRIPT_BYTES} bytes")]
     TooLong,
     /// It failed, or its value is not a boolean.
     #[error("the promotion condition fails: {0}")]
@@ -83,24 +83,24 @@
 impl PromotionCondition {
     /// Reads a script. Names that it can't know are refused here, not in a rollout.
     pub fn parse(text: &str) -> Result<Self, ConditionError> {
-        if text.len() > MOST_BYTES {
+        if text.len() > MAX_SCRIPT_BYTES {
             return Err(ConditionError::TooLong);
         }
         let script = limited_engine()
-            .compile_with_scope(&scope(&StepFigures::default()), text)
-            .map_err(|error| ConditionError::Unreadable(error.to_string()))?;
+            .compile_with_scope(&figures_scope(&StepFigures::default()), text)
+            .map_err(|error| ConditionError::InvalidScript(error.to_string()))?;
         Ok(Self { text: text.to_owned(), script: Arc::new(script) })
     }
 
-    /// Whether the condition holds. An evaluation that takes longer than `limit` is
+    /// Whether the condition holds. An evaluation that takes longer than `timeout` is
     /// given up.
-    pub fn holds(&self, figures: &StepFigures, limit: Duration) -> Result<bool, ConditionError> {
+    pub fn holds(&self, figures: &StepFigures, timeout: Duration) -> Result<bool, ConditionError> {
         let mut engine = limited_engine();
-        let began = Instant::now();
-        engine.on_progress(move |_| (began.elapsed() >= limit).then(|| ().into()));
+        let started_at = Instant::now();
+        engine.on_progress(move |_| (started_at.elapsed() >= timeout).then(|| ().into()));
         engine
-            .eval_ast_with_scope::<bool>(&mut scope(figures), &self.script)
-            .map_err(|error| reason_of(&error))
+            .eval_ast_with_scope::<bool>(&mut figures_scope(figures), &self.script)
+            .map_err(|error| condition_error(&error))
     }
 }
 
@@ -113,18 +113,18 @@
     // The optimizer would put the figures that a script is read with, all zero, in
     // place of those that it is asked with.
     engine.set_optimization_level(OptimizationLevel::None);
-    engine.set_max_operations(MOST_OPERATIONS);
-    engine.set_max_expr_depths(MOST_DEPTH, MOST_DEPTH);
-    engine.set_max_call_levels(MOST_CALLS);
-    engine.set_max_string_size(MOST_ELEMENTS);
-    engine.set_max_array_size(MOST_ELEMENTS);
-    engine.set_max_map_size(MOST_ELEMENTS);
+    engine.set_max_operations(MAX_OPERATIONS);
+    engine.set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
+    engine.set_max_call_levels(MAX_CALL_DEPTH);
+    engine.set_max_string_size(MAX_COLLECTION_LENGTH);
+    engine.set_max_array_size(MAX_COLLECTION_LENGTH);
+    engine.set_max_map_size(MAX_COLLECTION_LENGTH);
     engine.disable_symbol("eval");
     engine.disable_symbol("import");
     engine
 }
 
-fn scope(figures: &StepFigures) -> Scope<'static> {
+fn figures_scope(figures: &StepFigures) -> Scope<'static> {
     let mut scope = Scope::new();
     scope.push_constant("looks", i64::from(figures.probes));
     scope.push_constant("failures", i64::from(figures.failures));
@@ -135,7 +135,7 @@
     scope
 }
 
-fn reason_of(error: &EvalAltResult) -> ConditionError {
+fn condition_error(error: &EvalAltResult) -> ConditionError {
     match error {
         EvalAltResult::ErrorTerminated(..) | EvalAltResult::ErrorTooManyOperations(..) => {
             ConditionError::TooSlow
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -21,15 +21,15 @@
     condition::PromotionCondition,
     host::{HostError, ReplicaHost, ReplicaOrder},
     observer::Observer,
-    planner::{Facts, Reason, ReplicaObservations, Step, Verdict, decide, has_work},
-    record::{Replica, ServiceRecord, record_bytes, service_key},
+    planner::{Facts, ReplicaObservations, Step, Verdict, WaitReason, decide, has_work},
+    record::{Replica, ServiceRecord, max_record_bytes, service_key},
     settings::RolloutSettings,
 };
 
 /// How often a command is tried whose record changes meanwhile.
-const COMMAND_TRIES: u32 = 8;
+const MAX_COMMAND_ATTEMPTS: u32 = 8;
 /// Jobs are named from a number with so many digits on.
-const JOB_DIGITS: u32 = 16;
+const JOB_ID_DIGITS: u32 = 16;
 
 /// Why a command has not done its work.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     Unavailable,
     /// It may have been carried out: the same id tells.
     #[error("the outcome is not known; ask again with the same id")]
-    Unknown,
+    OutcomeUnknown,
 }
 
 /// What is kept of one service.
@@ -54,7 +54,7 @@
     promote_when: Option<PromotionCondition>,
     observer: Mutex<Observer>,
     succession: Mutex<Succession>,
-    next_probe: Mutex<Instant>,
+    next_probe_at: Mutex<Instant>,
 }
 
 /// The executor of one controller.
@@ -64,20 +64,20 @@
     host: Arc<dyn ReplicaHost>,
     services: BTreeMap<String, Arc<Service>>,
     /// Bytes of the largest record.
-    most_bytes: usize,
+    max_value_bytes: usize,
     rng: Mutex<StdRng>,
 }
 
 impl Executor {
     /// Over the coordination of this controller, for these services and what must
-    /// hold before their next steps. `most_bytes`: the largest value that the state
+    /// hold before their next steps. `max_value_bytes`: the largest value that the state
     /// service takes.
     pub fn new(
         coordinator: Arc<Coordinator>,
         settings: RolloutSettings,
         services: BTreeMap<String, Option<PromotionCondition>>,
         host: Arc<dyn ReplicaHost>,
-        most_bytes: usize,
+        max_value_bytes: usize,
         seed: u64,
     ) -> Arc<Self> {
         let service = |(name, promote_when): (String, Option<PromotionCondition>)| {
@@ -86,7 +86,7 @@
                 promote_when,
                 observer: Mutex::new(Observer::new(settings)),
                 succession: Mutex::default(),
-                next_probe: Mutex::new(Instant::now()),
+                next_probe_at: Mutex::new(Instant::now()),
             };
             (name, Arc::new(service))
         };
@@ -95,7 +95,7 @@
             settings,
             host,
             services: services.into_iter().map(service).collect(),
-            most_bytes,
+            max_value_bytes,
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
         })
     }
@@ -104,7 +104,7 @@
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let tasks = TaskTracker::new();
         for service in self.services.values() {
-            let task = self.clone().drive(service.clone());
+            let task = self.clone().run_service(service.clone());
             let stop = stop.clone();
             tasks.spawn(async move {
                 tokio::select! {
@@ -148,9 +148,9 @@
             rollout: None,
             commands: Vec::new(),
         };
-        let job_base = self.job_base();
+        let job_id_base = self.job_id_base();
         for _ in 0..replicas {
-            record.add_replica(version, job_base);
+            record.add_replica(version, job_id_base);
         }
         let before = Versioned { version: 0, value: record.clone() };
         match self.commit(service, &before, &record).await {
@@ -163,34 +163,34 @@
         match self.record(service) {
             Some(found) if job(&found.value) == job(&record) => Ok(()),
             Some(_) => Err(CommandError::AlreadyDeployed.into()),
-            None => Err(CommandFailure::Unknown),
+            None => Err(CommandFailure::OutcomeUnknown),
         }
     }
 
     /// Whether a record of so many replicas fits.
     fn check_size(&self, replicas: u32, version: &str) -> Result<(), CommandError> {
-        let fits = |replicas: u32| record_bytes(replicas, version) <= self.most_bytes;
+        let fits = |replicas: u32| max_record_bytes(replicas, version) <= self.max_value_bytes;
         if replicas > 0 && fits(replicas) {
             return Ok(());
         }
-        let most = (1..replicas).rev().find(|fewer| fits(*fewer)).unwrap_or(0);
-        Err(CommandError::TooLarge { most })
+        let max = (1..replicas).rev().find(|fewer| fits(*fewer)).unwrap_or(0);
+        Err(CommandError::TooLarge { max })
     }
 
     /// Where the replicas that take requests answer, by a probe of each.
     pub async fn endpoints(&self, service: &str) -> Option<Vec<String>> {
-        let known = self.services.get(service)?;
+        let runtime = self.services.get(service)?;
         let record = self.record(service)?;
-        self.probe_now(known, &record).await;
-        Some(lock(&known.observer).endpoints(&record.value, Instant::now()))
+        self.probe_replicas(runtime, &record).await;
+        Some(lock(&runtime.observer).endpoints(&record.value, Instant::now()))
     }
 
     /// Carries out a command, once however often it is asked for. When this returns it
     /// stands, whatever becomes of this controller.
     pub async fn command(&self, service: &str, command: &Command) -> Result<(), CommandFailure> {
-        let known = self.services.get(service);
-        let known = known.ok_or_else(|| CommandFailure::UnknownService(service.into()))?;
-        for _ in 0..COMMAND_TRIES {
+        let runtime = self.services.get(service);
+        let runtime = runtime.ok_or_else(|| CommandFailure::UnknownService(service.into()))?;
+        for _ in 0..MAX_COMMAND_ATTEMPTS {
             // Never decided on what this process alone may still believe.
             if self.coordinator.session().is_none_or(|s| s.valid_until <= Instant::now()) {
                 return Err(CommandFailure::Unavailable);
@@ -202,7 +202,7 @@
                 let replicas = record.value.replicas.len() as u32;
                 self.check_size(replicas.saturating_add(*surge), to)?;
             }
-            let observations = self.probe_now(known, &record).await;
+            let observations = self.probe_replicas(runtime, &record).await;
             let next = match apply(&record.value, command, &observations) {
                 Ok(Some(next)) => next,
                 Ok(None) => return Ok(()),
@@ -223,12 +223,12 @@
                 Err(_) => self.coordinator.refresh().await,
             }
         }
-        Err(CommandFailure::Unknown)
+        Err(CommandFailure::OutcomeUnknown)
     }
 
     // Driving.
 
-    async fn drive(self: Arc<Self>, service: Arc<Service>) {
+    async fn run_service(self: Arc<Self>, service: Arc<Service>) {
         let mut changes = self.coordinator.subscribe();
         loop {
             changes.mark_unchanged();
@@ -241,7 +241,7 @@
             }
             match self.plan(&service, &record) {
                 Step::Wait(reason) => {
-                    let until = self.wake_at(&service, reason);
+                    let until = self.next_wake_at(&service, reason);
                     tokio::select! {
                         _ = changes.changed() => {}
                         () = sleep_until(until) => {}
@@ -253,8 +253,8 @@
                         self.coordinator.refresh().await;
                     }
                 }
-                Step::Start(number) => self.start(&service, &record, number).await,
-                Step::Stop(number) => self.stop(&service, &record, number).await,
+                Step::Start(number) => self.start_replica(&service, &record, number).await,
+                Step::Stop(number) => self.stop_replica(&service, &record, number).await,
             }
         }
     }
@@ -263,9 +263,9 @@
         record.value.owner.as_ref() == Some(self.coordinator.me())
     }
 
-    fn job_base(&self) -> u64 {
-        let least = 10_u64.pow(JOB_DIGITS);
-        lock(&self.rng).random_range(least..least * 9)
+    fn job_id_base(&self) -> u64 {
+        let min = 10_u64.pow(JOB_ID_DIGITS);
+        lock(&self.rng).random_range(min..min * 9)
     }
 
     fn plan(&self, service: &Service, record: &Versioned<ServiceRecord>) -> Step {
@@ -275,7 +275,7 @@
         let owner_alive = owner.is_some_and(|owner| self.coordinator.records().is_alive(owner));
         let may_adopt = lock(&service.succession).may_adopt(&self.coordinator, owner);
         let mut observer = lock(&service.observer);
-        observer.follow(&record.value, now);
+        observer.update_from_record(&record.value, now);
         decide(&Facts {
             me: self.coordinator.me(),
             record: &record.value,
@@ -284,7 +284,7 @@
             may_adopt,
             observations: &observer.observations(now),
             verdict: &self.verdict(service, &observer, &record.value, now),
-            job_base: self.job_base(),
+            job_id_base: self.job_id_base(),
         })
     }
 
@@ -302,20 +302,20 @@
             return verdict;
         };
         let figures = observer.step_figures(record, now);
-        match condition.holds(&figures, self.settings.condition_limit()) {
+        match condition.holds(&figures, self.settings.condition_timeout()) {
             Ok(true) => Verdict::Healthy,
             Ok(false) => Verdict::Unhealthy("the promotion condition does not hold".into()),
             Err(error) => Verdict::Unhealthy(error.to_string()),
         }
     }
 
-    fn wake_at(&self, service: &Service, reason: Reason) -> Instant {
+    fn next_wake_at(&self, service: &Service, reason: WaitReason) -> Instant {
         let now = Instant::now();
-        let probe = (*lock(&service.next_probe)).max(now);
-        let due = lock(&service.observer).next_due(now);
+        let probe = (*lock(&service.next_probe_at)).max(now);
+        let due = lock(&service.observer).next_deadline(now);
         match reason {
             // A change of the records wakes the task by itself; this is for adoption.
-            Reason::NotOwner | Reason::NoSession | Reason::Nothing => {
+            WaitReason::NotOwner | WaitReason::NoSession | WaitReason::NoWork => {
                 now + self.coordinator.timing().session / ADOPTION_PARTS
             }
             _ => due.map_or(probe, |due| due.min(probe)),
@@ -335,11 +335,11 @@
         let condition = Condition { key: key.clone(), version: from.version };
         let write = put(key, to, None)?;
         self.coordinator.commit_under(session, vec![condition], vec![write]).await?;
-        tell(service, &from.value, to);
+        log_change(service, &from.value, to);
         Ok(())
     }
 
-    fn order(
+    fn replica_order(
         &self,
         service: &Service,
         record: &Versioned<ServiceRecord>,
@@ -355,23 +355,28 @@
         }
     }
 
-    fn order_for(
+    fn replica_order_by_number(
         &self,
         service: &Service,
         record: &Versioned<ServiceRecord>,
         number: u32,
     ) -> Option<ReplicaOrder> {
         let replica = record.value.replicas.iter().find(|replica| replica.number == number)?;
-        Some(self.order(service, record, replica))
+        Some(self.replica_order(service, record, replica))
     }
 
-    async fn start(&self, service: &Service, record: &Versioned<ServiceRecord>, number: u32) {
-        let Some(order) = self.order_for(service, record, number) else { return };
+    async fn start_replica(
+        &self,
+        service: &Service,
+        record: &Versioned<ServiceRecord>,
+        number: u32,
+    ) {
+        let Some(order) = self.replica_order_by_number(service, record, number) else { return };
         let outcome = self.host.start(&order).await;
         match outcome {
-            Ok(()) => lock(&service.observer).requested(number, None),
+            Ok(()) => lock(&service.observer).record_start(number, None),
             Err(HostError::Rejected(reason)) => {
-                lock(&service.observer).requested(number, Some(reason));
+                lock(&service.observer).record_start(number, Some(reason));
             }
             Err(error) => {
                 debug!(service = service.name, number, %error, "start");
@@ -380,11 +385,16 @@
         }
     }
 
-    async fn stop(&self, service: &Service, record: &Versioned<ServiceRecord>, number: u32) {
-        let Some(order) = self.order_for(service, record, number) else { return };
+    async fn stop_replica(
+        &self,
+        service: &Service,
+        record: &Versioned<ServiceRecord>,
+        number: u32,
+    ) {
+        let Some(order) = self.replica_order_by_number(service, record, number) else { return };
         let outcome = self.host.stop(&order).await;
         match outcome {
-            Ok(()) => lock(&service.observer).stopped(number),
+            Ok(()) => lock(&service.observer).record_stop(number),
             Err(error) => {
                 debug!(service = service.name, number, %error, "stop");
                 self.coordinator.refresh().await;
@@ -393,27 +403,27 @@
     }
 
     async fn probe_if_due(&self, service: &Service, record: &Versioned<ServiceRecord>) {
-        if *lock(&service.next_probe) > Instant::now() {
+        if *lock(&service.next_probe_at) > Instant::now() {
             return;
         }
-        self.probe_now(service, record).await;
-        *lock(&service.next_probe) = Instant::now() + self.settings.probe();
+        self.probe_replicas(service, record).await;
+        *lock(&service.next_probe_at) = Instant::now() + self.settings.probe_interval();
     }
 
-    /// Probes all replicas, and tells what is known then.
-    async fn probe_now(
+    /// Probes all replicas, and tells what is runtime then.
+    async fn probe_replicas(
         &self,
         service: &Service,
         record: &Versioned<ServiceRecord>,
     ) -> ReplicaObservations {
-        lock(&service.observer).follow(&record.value, Instant::now());
+        lock(&service.observer).update_from_record(&record.value, Instant::now());
         let probes = record.value.replicas.iter().map(|replica| {
-            let order = self.order(service, record, replica);
+            let order = self.replica_order(service, record, replica);
             async move { (replica, self.host.probe(&order).await) }
         });
         let probes = join_all(probes).await;
         let now = Instant::now();
-        let to = record.value.under_way().map(|rollout| rollout.to.as_str());
+        let to = record.value.active_rollout().map(|rollout| rollout.to.as_str());
         let mut observer = lock(&service.observer);
         for (replica, probe) in probes {
             let new = to == Some(replica.version.as_str());
@@ -427,7 +437,7 @@
 }
 
 /// Tells the operator what a committed record means.
-fn tell(service: &str, from: &ServiceRecord, to: &ServiceRecord) {
+fn log_change(service: &str, from: &ServiceRecord, to: &ServiceRecord) {
     if from.owner != to.owner {
         info!(service, epoch = to.epoch, "drives the service");
     }
--- a/crates/stonewheel-rollout/src/observer.rs
+++ b/crates/stonewheel-rollout/src/observer.rs
@@ -13,9 +13,9 @@
 };
 
 /// A probe that is older than so many intervals says nothing any more.
-const STALE_PROBES: u32 = 3;
+const STALE_PROBE_INTERVALS: u32 = 3;
 /// Probes of a replica before its share of failures says anything.
-const MIN_PROBES: u32 = 10;
+const MIN_PROBES_TO_JUDGE: u32 = 10;
 
 /// What was seen of one replica.
 #[derive(Clone, Debug, Default)]
@@ -23,11 +23,11 @@
     health: ReplicaHealth,
     machine: Option<String>,
     endpoint: Option<String>,
-    at: Option<Instant>,
-    requested: bool,
+    probed_at: Option<Instant>,
+    start_requested: bool,
     rejected: Option<String>,
     stopped: bool,
-    silent_since: Option<Instant>,
+    unresponsive_since: Option<Instant>,
     draining_since: Option<Instant>,
     /// Probes since it first answered, and how many went unanswered.
     probes: u32,
@@ -36,7 +36,7 @@
 
 /// Which step of which owner the health gate watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Watched {
+struct SoakedStep {
     epoch: u64,
     step: u32,
 }
@@ -47,7 +47,7 @@
     settings: RolloutSettings,
     epoch: u64,
     replicas: BTreeMap<u32, ObservedReplica>,
-    soaking: Option<(Watched, Instant)>,
+    current_soak: Option<(SoakedStep, Instant)>,
     /// Probes of new replicas within the present soak, and how many went unanswered.
     soak_probes: u32,
     soak_failures: u32,
@@ -59,18 +59,18 @@
             settings,
             epoch: 0,
             replicas: BTreeMap::new(),
-            soaking: None,
+            current_soak: None,
             soak_probes: 0,
             soak_failures: 0,
         }
     }
 
     /// Takes over what the record says. What a former owner saw is not known here.
-    pub fn follow(&mut self, record: &ServiceRecord, now: Instant) {
+    pub fn update_from_record(&mut self, record: &ServiceRecord, now: Instant) {
         if record.epoch != self.epoch {
             self.epoch = record.epoch;
             self.replicas.clear();
-            self.soaking = None;
+            self.current_soak = None;
         }
         self.replicas.retain(|number, _| record.replicas.iter().any(|r| r.number == *number));
         for replica in &record.replicas {
@@ -79,28 +79,34 @@
                 observed.draining_since.get_or_insert(now);
             }
         }
-        let rollout = record.under_way().filter(|rollout| rollout.phase == Phase::Soaking);
-        let watched = rollout.map(|r| Watched { epoch: record.epoch, step: r.step });
-        if self.soaking.map(|(held, _)| held) != watched {
-            self.soaking = watched.map(|watched| (watched, now));
+        let rollout = record.active_rollout().filter(|rollout| rollout.phase == Phase::Soaking);
+        let soaked_step = rollout.map(|r| SoakedStep { epoch: record.epoch, step: r.step });
+        if self.current_soak.map(|(soaked_step, _)| soaked_step) != soaked_step {
+            self.current_soak = soaked_step.map(|step| (step, now));
             (self.soak_probes, self.soak_failures) = (0, 0);
         }
     }
 
-    pub fn requested(&mut self, number: u32, rejected: Option<String>) {
+    pub fn record_start(&mut self, number: u32, rejected: Option<String>) {
         let observed = self.replicas.entry(number).or_default();
-        observed.requested = true;
+        observed.start_requested = true;
         observed.rejected = rejected;
     }
 
-    pub fn stopped(&mut self, number: u32) {
+    pub fn record_stop(&mut self, number: u32) {
         self.replicas.entry(number).or_default().stopped = true;
     }
 
     /// Notes a probe. `new`: the replica is of the version that is rolled out.
-    pub fn record_probe(&mut self, number: u32, probe: ProbeResult, new: bool, now: Instant) {
+    pub fn record_probe(
+        &mut self,
+        number: u32,
+        probe: ProbeResult,
+        is_new_version: bool,
+        now: Instant,
+    ) {
         let observed = self.replicas.entry(number).or_default();
-        observed.at = Some(now);
+        observed.probed_at = Some(now);
         let (health, machine) = match probe {
             ProbeResult::NoCapacity => (ReplicaHealth::NoCapacity, None),
             ProbeResult::Unresponsive { machine } => (ReplicaHealth::Unresponsive, Some(machine)),
@@ -112,55 +118,62 @@
         };
         if machine != observed.machine {
             // Its machine was lost, and it loads anew: that says nothing of its version.
-            (observed.probes, observed.failures, observed.silent_since) = (0, 0, None);
+            (observed.probes, observed.failures, observed.unresponsive_since) = (0, 0, None);
         }
         (observed.health, observed.machine) = (health, machine);
-        let (answers, silent) = (
+        let (answers, unresponsive) = (
             observed.health == ReplicaHealth::Answering,
             observed.health == ReplicaHealth::Unresponsive,
         );
-        observed.silent_since = if silent { observed.silent_since.or(Some(now)) } else { None };
+        observed.unresponsive_since =
+            if unresponsive { observed.unresponsive_since.or(Some(now)) } else { None };
         // Before the first answer it loads; while it has no place its machine was lost.
-        if answers || (silent && observed.probes > 0) {
+        if answers || (unresponsive && observed.probes > 0) {
             observed.probes += 1;
-            observed.failures += u32::from(silent);
-            if new && self.soaking.is_some() {
+            observed.failures += u32::from(unresponsive);
+            if is_new_version && self.current_soak.is_some() {
                 self.soak_probes += 1;
-                self.soak_failures += u32::from(silent);
+                self.soak_failures += u32::from(unresponsive);
             }
         }
     }
 
     /// What is known now.
     pub fn observations(&self, now: Instant) -> ReplicaObservations {
-        let stale = self.settings.probe() * STALE_PROBES;
+        let stale = self.settings.probe_interval() * STALE_PROBE_INTERVALS;
         let observation = |observed: &ObservedReplica| {
-            let fresh = observed.at.is_some_and(|at| now < at + stale);
+            let fresh = observed.probed_at.is_some_and(|probed_at| now < probed_at + stale);
             ReplicaObservation {
                 health: if fresh { observed.health } else { ReplicaHealth::Unknown },
                 machine: observed.machine.clone(),
-                requested: observed.requested,
-                failed: self.failure(observed, now),
+                start_requested: observed.start_requested,
+                failure: self.failure_reason(observed, now),
                 drained: observed
                     .draining_since
-                    .is_some_and(|since| now >= since + self.settings.drain()),
+                    .is_some_and(|since| now >= since + self.settings.drain_time()),
                 stopped: observed.stopped,
             }
         };
         ReplicaObservations(
-            self.replicas.iter().map(|(number, s)| (*number, observation(s))).collect(),
+            self.replicas
+                .iter()
+                .map(|(number, observed)| (*number, observation(observed)))
+                .collect(),
         )
     }
 
-    fn failure(&self, observed: &ObservedReplica, now: Instant) -> Option<String> {
+    fn failure_reason(&self, observed: &ObservedReplica, now: Instant) -> Option<String> {
         if let Some(reason) = &observed.rejected {
             return Some(format!("a replica can't be started: {reason}"));
         }
-        if observed.silent_since.is_some_and(|since| now >= since + self.settings.start()) {
+        if observed
+            .unresponsive_since
+            .is_some_and(|since| now >= since + self.settings.start_timeout())
+        {
             return Some(format!("a replica did not answer for {} s", self.settings.start_s));
         }
-        let most = f64::from(observed.probes) * self.settings.most_failures;
-        (observed.probes >= MIN_PROBES && f64::from(observed.failures) > most)
+        let max_failures = f64::from(observed.probes) * self.settings.most_failures;
+        (observed.probes >= MIN_PROBES_TO_JUDGE && f64::from(observed.failures) > max_failures)
             .then(|| "a replica answers now and then".to_owned())
     }
 
@@ -173,11 +186,11 @@
 
     /// What the health gate says of the step that is watched.
     pub fn verdict(&self, now: Instant) -> Verdict {
-        let Some((_, since)) = self.soaking else { return Verdict::Undecided };
-        let most = f64::from(self.soak_probes) * self.settings.most_failures;
-        if now < since + self.settings.soak() || self.soak_probes == 0 {
+        let Some((_, since)) = self.current_soak else { return Verdict::Undecided };
+        let max_failures = f64::from(self.soak_probes) * self.settings.most_failures;
+        if now < since + self.settings.soak_time() || self.soak_probes == 0 {
             Verdict::Undecided
-        } else if f64::from(self.soak_failures) > most {
+        } else if f64::from(self.soak_failures) > max_failures {
             let (failures, probes) = (self.soak_failures, self.soak_probes);
             Verdict::Unhealthy(format!("{failures} of {probes} looks went unanswered"))
         } else {
@@ -187,7 +200,7 @@
 
     /// What was counted of the step that is watched.
     pub fn step_figures(&self, record: &ServiceRecord, now: Instant) -> StepFigures {
-        let Some(rollout) = record.under_way() else { return StepFigures::default() };
+        let Some(rollout) = record.active_rollout() else { return StepFigures::default() };
         StepFigures {
             probes: self.soak_probes,
             failures: self.soak_failures,
@@ -199,10 +212,10 @@
     }
 
     /// When something comes due that no look brings.
-    pub fn next_due(&self, now: Instant) -> Option<Instant> {
-        let drains = self.replicas.values().filter_map(|s| s.draining_since);
-        let drains = drains.map(|since| since + self.settings.drain());
-        let soaks = self.soaking.map(|(_, since)| since + self.settings.soak());
-        drains.chain(soaks).filter(|at| *at > now).min()
+    pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
+        let drains = self.replicas.values().filter_map(|observed| observed.draining_since);
+        let drains = drains.map(|since| since + self.settings.drain_time());
+        let soaks = self.current_soak.map(|(_, since)| since + self.settings.soak_time());
+        drains.chain(soaks).filter(|deadline| *deadline > now).min()
     }
 }
--- a/crates/stonewheel-rollout/src/planner.rs
+++ b/crates/stonewheel-rollout/src/planner.rs
@@ -40,10 +40,10 @@
     /// The machine that it is on.
     pub machine: Option<String>,
     /// Its start was asked for, by this owner.
-    pub requested: bool,
+    pub start_requested: bool,
     /// It has had a place and no answer for longer than a start may take, can never be
     /// started, or answers now and then.
-    pub failed: Option<String>,
+    pub failure: Option<String>,
     /// It has drained for long enough.
     pub drained: bool,
     /// It was stopped, by this owner.
@@ -55,7 +55,7 @@
 pub struct ReplicaObservations(pub BTreeMap<u32, ReplicaObservation>);
 
 impl ReplicaObservations {
-    fn of(&self, replica: &Replica) -> ReplicaObservation {
+    fn observation_of(&self, replica: &Replica) -> ReplicaObservation {
         self.0.get(&replica.number).cloned().unwrap_or_default()
     }
 
@@ -72,21 +72,22 @@
     }
 
     /// A replica that takes requests and of which nothing is known.
-    pub fn unobserved(&self, record: &ServiceRecord) -> Option<u32> {
+    pub fn first_unobserved(&self, record: &ServiceRecord) -> Option<u32> {
         let serving = record.replicas.iter().filter(|r| r.stage == ReplicaStage::Serving);
-        let unobserved = |replica: &&Replica| self.of(replica).health == ReplicaHealth::Unknown;
+        let unobserved =
+            |replica: &&Replica| self.observation_of(replica).health == ReplicaHealth::Unknown;
         serving.filter(unobserved).map(|replica| replica.number).next()
     }
 
     /// How many of these are on the machine that holds most of them. Those whose machine
     /// is unknown may all be on one.
-    pub fn fullest_machine(&self, replicas: &[u32]) -> u32 {
-        let mut held: BTreeMap<Option<&str>, u32> = BTreeMap::new();
+    pub fn max_replicas_per_machine(&self, replicas: &[u32]) -> u32 {
+        let mut replicas_on: BTreeMap<Option<&str>, u32> = BTreeMap::new();
         for number in replicas {
             let machine = self.0.get(number).and_then(|observation| observation.machine.as_deref());
-            *held.entry(machine).or_default() += 1;
+            *replicas_on.entry(machine).or_default() += 1;
         }
-        held.into_values().max().unwrap_or(0)
+        replicas_on.into_values().max().unwrap_or(0)
     }
 }
 
@@ -103,13 +104,13 @@
 
 /// Why nothing is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum WaitReason {
     /// This process holds no session.
     NoSession,
     /// Another process drives the rollout.
     NotOwner,
     /// There is nothing to do.
-    Nothing,
+    NoWork,
     /// An operator holds it.
     Paused,
     /// Replicas don't answer yet.
@@ -140,14 +141,14 @@
     /// What the health gate says.
     pub verdict: &'a Verdict,
     /// New jobs are named from here on.
-    pub job_base: u64,
+    pub job_id_base: u64,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Nothing, until something changes.
-    Wait(Reason),
+    Wait(WaitReason),
     /// Replace the record.
     Write(Box<ServiceRecord>),
     /// Ask for a replica.
@@ -160,64 +161,64 @@
 pub fn decide(facts: &Facts<'_>) -> Step {
     let record = facts.record;
     if !facts.session_valid {
-        return Step::Wait(Reason::NoSession);
+        return Step::Wait(WaitReason::NoSession);
     }
     if !has_work(record) {
-        return Step::Wait(Reason::Nothing);
+        return Step::Wait(WaitReason::NoWork);
     }
     if record.owner.as_ref() != Some(facts.me) {
         return adopt(facts);
     }
-    if let Some(step) = carry_on(facts) {
+    if let Some(step) = advance_replicas(facts) {
         return step;
     }
-    let Some(rollout) = record.under_way() else { return Step::Wait(Reason::Draining) };
-    if let Some(why) = failure(facts, rollout) {
-        return change(record, |next| turn_back(next, &why));
+    let Some(rollout) = record.active_rollout() else { return Step::Wait(WaitReason::Draining) };
+    if let Some(why) = rollback_reason(facts, rollout) {
+        return write_changed(record, |next| roll_back_record(next, &why));
     }
     match rollout.phase {
-        _ if rollout.paused => Step::Wait(Reason::Paused),
+        _ if rollout.paused => Step::Wait(WaitReason::Paused),
         Phase::Stepping => step_forward(facts, rollout),
-        Phase::Soaking => soak(facts, rollout),
+        Phase::Soaking => continue_soak(facts, rollout),
         Phase::Finishing => finish(facts, rollout, Phase::Done),
-        Phase::RollingBack => bring_back(facts, rollout),
-        Phase::Done | Phase::RolledBack | Phase::Aborted => Step::Wait(Reason::Nothing),
+        Phase::RollingBack => restore_old_version(facts, rollout),
+        Phase::Done | Phase::RolledBack | Phase::Aborted => Step::Wait(WaitReason::NoWork),
     }
 }
 
 /// Whether anything is left to do for a service.
 pub fn has_work(record: &ServiceRecord) -> bool {
     let unsettled = |replica: &Replica| replica.stage != ReplicaStage::Serving;
-    record.under_way().is_some() || record.replicas.iter().any(unsettled)
+    record.active_rollout().is_some() || record.replicas.iter().any(unsettled)
 }
 
 fn adopt(facts: &Facts<'_>) -> Step {
     let vacant = facts.record.owner.is_none() || !facts.owner_alive;
     if !vacant || !facts.may_adopt {
-        return Step::Wait(Reason::NotOwner);
+        return Step::Wait(WaitReason::NotOwner);
     }
-    change(facts.record, |next| {
+    write_changed(facts.record, |next| {
         next.owner = Some(facts.me.clone());
         next.epoch += 1;
     })
 }
 
-fn change(record: &ServiceRecord, how: impl FnOnce(&mut ServiceRecord)) -> Step {
+fn write_changed(record: &ServiceRecord, edit: impl FnOnce(&mut ServiceRecord)) -> Step {
     let mut next = record.clone();
-    how(&mut next);
+    edit(&mut next);
     Step::Write(Box::new(next))
 }
 
 /// Sees through what was decided before, whatever the rollout does now.
-fn carry_on(facts: &Facts<'_>) -> Option<Step> {
+fn advance_replicas(facts: &Facts<'_>) -> Option<Step> {
     let record = facts.record;
     let mut next = record.clone();
     next.replicas.retain(|replica| {
-        let over = facts.observations.of(replica).stopped;
-        replica.stage != ReplicaStage::Stopping || !over
+        let stopped = facts.observations.observation_of(replica).stopped;
+        replica.stage != ReplicaStage::Stopping || !stopped
     });
     for replica in &mut next.replicas {
-        let observation = facts.observations.of(replica);
+        let observation = facts.observations.observation_of(replica);
         replica.stage = match replica.stage {
             ReplicaStage::Starting if observation.health == ReplicaHealth::Answering => {
                 ReplicaStage::Serving
@@ -235,20 +236,22 @@
     if next.replicas != record.replicas {
         return Some(Step::Write(Box::new(next)));
     }
-    let observation = |replica: &&Replica| facts.observations.of(replica);
+    let observation = |replica: &&Replica| facts.observations.observation_of(replica);
     let in_stage = |stage| record.replicas.iter().filter(move |replica| replica.stage == stage);
     let to_stop = in_stage(ReplicaStage::Stopping).next();
-    let to_start = in_stage(ReplicaStage::Starting).find(|replica| !observation(replica).requested);
+    let to_start =
+        in_stage(ReplicaStage::Starting).find(|replica| !observation(replica).start_requested);
     to_stop.map(|r| Step::Stop(r.number)).or(to_start.map(|r| Step::Start(r.number)))
 }
 
 /// Why the new version is no good, if so. Turning back is final, so it isn't asked again.
-fn failure(facts: &Facts<'_>, rollout: &Rollout) -> Option<String> {
+fn rollback_reason(facts: &Facts<'_>, rollout: &Rollout) -> Option<String> {
     if rollout.phase == Phase::RollingBack {
         return None;
     }
-    let new = of_version(facts.record, &rollout.to);
-    let failed = new.into_iter().find_map(|replica| facts.observations.of(replica).failed);
+    let new = kept_of_version(facts.record, &rollout.to);
+    let failed =
+        new.into_iter().find_map(|replica| facts.observations.observation_of(replica).failure);
     match (failed, facts.verdict) {
         (Some(why), _) => Some(why),
         (None, Verdict::Unhealthy(why)) if rollout.phase == Phase::Soaking => Some(why.clone()),
@@ -256,50 +259,54 @@
     }
 }
 
-fn turn_back(record: &mut ServiceRecord, why: &str) {
+fn roll_back_record(record: &mut ServiceRecord, why: &str) {
     if let Some(rollout) = &mut record.rollout {
         roll_back(rollout, why);
     }
 }
 
 /// Replicas of a version that are there to stay.
-fn of_version<'a>(record: &'a ServiceRecord, version: &str) -> Vec<&'a Replica> {
-    let stays = |r: &&Replica| matches!(r.stage, ReplicaStage::Starting | ReplicaStage::Serving);
-    record.replicas.iter().filter(stays).filter(|replica| replica.version == version).collect()
+fn kept_of_version<'a>(record: &'a ServiceRecord, version: &str) -> Vec<&'a Replica> {
+    let kept = |r: &&Replica| matches!(r.stage, ReplicaStage::Starting | ReplicaStage::Serving);
+    record.replicas.iter().filter(kept).filter(|replica| replica.version == version).collect()
 }
 
-fn of_others<'a>(record: &'a ServiceRecord, version: &str) -> Vec<&'a Replica> {
-    let stays = |r: &&Replica| matches!(r.stage, ReplicaStage::Starting | ReplicaStage::Serving);
-    record.replicas.iter().filter(stays).filter(|replica| replica.version != version).collect()
+fn kept_of_other_versions<'a>(record: &'a ServiceRecord, version: &str) -> Vec<&'a Replica> {
+    let kept = |r: &&Replica| matches!(r.stage, ReplicaStage::Starting | ReplicaStage::Serving);
+    record.replicas.iter().filter(kept).filter(|replica| replica.version != version).collect()
 }
 
 /// Whether the level and a spare answer without this replica. One that doesn't answer
 /// takes nothing away.
-fn may_drain(facts: &Facts<'_>, rollout: &Rollout, replica: &Replica, spare: bool) -> bool {
+fn may_drain(facts: &Facts<'_>, rollout: &Rollout, replica: &Replica, keep_spare: bool) -> bool {
     let answering = facts.observations.answering(facts.record);
     if !answering.contains(&replica.number) {
         return true;
     }
     let rest: Vec<u32> = answering.into_iter().filter(|n| *n != replica.number).collect();
-    let most = rollout.surge.saturating_sub(1);
-    let spare = if spare { facts.observations.fullest_machine(&rest).min(most) } else { 0 };
+    let max_spare = rollout.surge.saturating_sub(1);
+    let spare = if keep_spare {
+        facts.observations.max_replicas_per_machine(&rest).min(max_spare)
+    } else {
+        0
+    };
     rest.len() as u32 >= rollout.level + spare
 }
 
 /// Drains one of these, one that doesn't answer first.
-fn drain_one(
+fn drain_next(
     facts: &Facts<'_>,
     rollout: &Rollout,
     candidates: &[&Replica],
-    spare: bool,
+    keep_spare: bool,
 ) -> Option<Step> {
-    let silent = candidates.iter().find(|replica| !facts.observations.answers(replica));
-    let chosen = silent.or(candidates.first())?;
-    if !may_drain(facts, rollout, chosen, spare) {
+    let unresponsive = candidates.iter().find(|replica| !facts.observations.answers(replica));
+    let chosen = unresponsive.or(candidates.first())?;
+    if !may_drain(facts, rollout, chosen, keep_spare) {
         return None;
     }
     let number = chosen.number;
-    Some(change(facts.record, |next| {
+    Some(write_changed(facts.record, |next| {
         if let Some(replica) = next.replica_mut(number) {
             replica.stage = ReplicaStage::Draining;
         }
@@ -307,114 +314,114 @@
 }
 
 /// Adds replicas of a version up to `wanted`, within the surge.
-fn add(facts: &Facts<'_>, rollout: &Rollout, version: &str, wanted: u32) -> Option<Step> {
-    let have = of_version(facts.record, version).len() as u32;
+fn add_replicas(facts: &Facts<'_>, rollout: &Rollout, version: &str, wanted: u32) -> Option<Step> {
+    let have = kept_of_version(facts.record, version).len() as u32;
     let all = facts.record.replicas.len() as u32;
-    let room = (rollout.size + rollout.surge).saturating_sub(all);
-    let count = wanted.saturating_sub(have).min(room);
+    let available = (rollout.size + rollout.surge).saturating_sub(all);
+    let count = wanted.saturating_sub(have).min(available);
     (count > 0).then(|| {
-        change(facts.record, |next| {
+        write_changed(facts.record, |next| {
             for _ in 0..count {
-                next.add_replica(version, facts.job_base);
+                next.add_replica(version, facts.job_id_base);
             }
         })
     })
 }
 
 fn step_forward(facts: &Facts<'_>, rollout: &Rollout) -> Step {
-    let old = of_others(facts.record, &rollout.to);
-    let new = rollout.wanted_new();
+    let old = kept_of_other_versions(facts.record, &rollout.to);
+    let new = rollout.new_replica_target();
     let old_left = rollout.size - new;
     let wanted = new.max(rollout.size.saturating_sub(old.len() as u32)) + rollout.surge;
-    if let Some(step) = add(facts, rollout, &rollout.to, wanted) {
+    if let Some(step) = add_replicas(facts, rollout, &rollout.to, wanted) {
         return step;
     }
     if old.len() as u32 > old_left {
-        let drained = drain_one(facts, rollout, &old, true);
-        return drained.unwrap_or_else(|| Step::Wait(why_waiting(facts)));
+        let drained = drain_next(facts, rollout, &old, true);
+        return drained.unwrap_or_else(|| Step::Wait(wait_reason(facts)));
     }
     let leaving =
-        facts.record.replicas.len() > old.len() + of_version(facts.record, &rollout.to).len();
-    let answering = of_version(facts.record, &rollout.to)
+        facts.record.replicas.len() > old.len() + kept_of_version(facts.record, &rollout.to).len();
+    let answering = kept_of_version(facts.record, &rollout.to)
         .into_iter()
         .filter(|replica| facts.observations.answers(replica))
         .count() as u32;
     if leaving || answering < new {
-        return Step::Wait(why_waiting(facts));
+        return Step::Wait(wait_reason(facts));
     }
-    change(facts.record, |next| {
+    write_changed(facts.record, |next| {
         if let Some(rollout) = &mut next.rollout {
-            rollout.enter(Phase::Soaking, format!("{answering} new replicas answer"));
+            rollout.enter_phase(Phase::Soaking, format!("{answering} new replicas answer"));
         }
     })
 }
 
-fn soak(facts: &Facts<'_>, rollout: &Rollout) -> Step {
+fn continue_soak(facts: &Facts<'_>, rollout: &Rollout) -> Step {
     if *facts.verdict != Verdict::Healthy {
-        return Step::Wait(Reason::Soaking);
+        return Step::Wait(WaitReason::Soaking);
     }
-    let last = rollout.last_step();
-    change(facts.record, |next| {
+    let last = rollout.is_last_step();
+    write_changed(facts.record, |next| {
         let Some(rollout) = &mut next.rollout else { return };
         if last {
-            rollout.enter(Phase::Finishing, "the last step is healthy");
+            rollout.enter_phase(Phase::Finishing, "the last step is healthy");
         } else {
             rollout.step += 1;
-            rollout.enter(Phase::Stepping, "the step before is healthy");
+            rollout.enter_phase(Phase::Stepping, "the step before is healthy");
         }
     })
 }
 
 /// One version is left: those beyond the size go, and the rollout ends once all answer.
 fn finish(facts: &Facts<'_>, rollout: &Rollout, end: Phase) -> Step {
-    let version = rollout.target().to_owned();
-    let left = of_version(facts.record, &version);
+    let version = rollout.target_version().to_owned();
+    let left = kept_of_version(facts.record, &version);
     let size = rollout.size;
-    if let Some(step) = add(facts, rollout, &version, size) {
+    if let Some(step) = add_replicas(facts, rollout, &version, size) {
         return step;
     }
     if left.len() as u32 > size {
-        let drained = drain_one(facts, rollout, &left, false);
-        return drained.unwrap_or(Step::Wait(Reason::NotAnswering));
+        let drained = drain_next(facts, rollout, &left, false);
+        return drained.unwrap_or(Step::Wait(WaitReason::NotAnswering));
     }
     if facts.record.replicas.len() as u32 > size {
-        return Step::Wait(Reason::Draining);
+        return Step::Wait(WaitReason::Draining);
     }
     if (facts.observations.answering(facts.record).len() as u32) < size {
-        return Step::Wait(Reason::NotAnswering);
+        return Step::Wait(WaitReason::NotAnswering);
     }
-    change(facts.record, |next| {
+    write_changed(facts.record, |next| {
         next.version = version;
         if let Some(rollout) = &mut next.rollout {
-            rollout.enter(end, "all replicas run it");
+            rollout.enter_phase(end, "all replicas run it");
         }
     })
 }
 
-fn bring_back(facts: &Facts<'_>, rollout: &Rollout) -> Step {
-    let unwanted = of_others(facts.record, &rollout.from);
-    let any_left = facts.record.replicas.iter().any(|replica| replica.version != rollout.from);
-    if !any_left {
+fn restore_old_version(facts: &Facts<'_>, rollout: &Rollout) -> Step {
+    let unwanted = kept_of_other_versions(facts.record, &rollout.from);
+    let new_left = facts.record.replicas.iter().any(|replica| replica.version != rollout.from);
+    if !new_left {
         return finish(facts, rollout, Phase::RolledBack);
     }
-    if let Some(step) = add(facts, rollout, &rollout.from, rollout.size + rollout.surge) {
+    if let Some(step) = add_replicas(facts, rollout, &rollout.from, rollout.size + rollout.surge) {
         return step;
     }
-    let drained = drain_one(facts, rollout, &unwanted, true);
-    drained.unwrap_or_else(|| Step::Wait(why_waiting(facts)))
+    let drained = drain_next(facts, rollout, &unwanted, true);
+    drained.unwrap_or_else(|| Step::Wait(wait_reason(facts)))
 }
 
-fn why_waiting(facts: &Facts<'_>) -> Reason {
+fn wait_reason(facts: &Facts<'_>) -> WaitReason {
     let starting = |r: &&Replica| r.stage == ReplicaStage::Starting;
-    let health = |r: &Replica| facts.observations.of(r).health;
+    let health = |r: &Replica| facts.observations.observation_of(r).health;
     let mut waiting = facts.record.replicas.iter().filter(starting);
     if waiting.clone().any(|replica| health(replica) == ReplicaHealth::NoCapacity) {
-        Reason::NoCapacity
+        WaitReason::NoCapacity
     } else if waiting.next().is_some() {
-        Reason::NotAnswering
+        WaitReason::NotAnswering
     } else if facts.record.replicas.iter().any(|r| r.stage == ReplicaStage::Draining) {
-        Reason::Draining
+        WaitReason::Draining
     } else {
-        Reason::NotAnswering
+        WaitReason::NotAnswering
     }
 }
--- a/crates/stonewheel-rollout/src/record.rs
+++ b/crates/stonewheel-rollout/src/record.rs
@@ -7,19 +7,19 @@
 use stonewheel_coordination::Owner;
 
 /// Entries of the history that are kept: the latest.
-pub const HISTORY: usize = 8;
+pub const MAX_HISTORY_ENTRIES: usize = 8;
 /// Commands whose outcome is remembered for repeats: the latest.
-pub const REMEMBERED_COMMANDS: usize = 8;
+pub const MAX_REMEMBERED_COMMANDS: usize = 8;
 
 /// What the longest history and the commands take, at the most.
 const FIXED_BYTES: usize = 2048;
 /// What a replica takes besides the name of its version.
 const REPLICA_BYTES: usize = 80;
 /// The longest reason that is kept.
-const LONGEST_REASON: usize = 100;
+const MAX_REASON_BYTES: usize = 100;
 
 /// What a record with so many replicas may take.
-pub fn record_bytes(replicas: u32, version: &str) -> usize {
+pub fn max_record_bytes(replicas: u32, version: &str) -> usize {
     FIXED_BYTES + replicas as usize * (REPLICA_BYTES + version.len())
 }
 
@@ -155,37 +155,37 @@
 
 impl Rollout {
     /// The version that replicas are to have in the end, as things stand.
-    pub fn target(&self) -> &str {
+    pub fn target_version(&self) -> &str {
         if self.phase == Phase::RollingBack { &self.from } else { &self.to }
     }
 
     /// New replicas that the present step asks for.
-    pub fn wanted_new(&self) -> u32 {
+    pub fn new_replica_target(&self) -> u32 {
         let percent = self.steps.get(self.step as usize).copied().unwrap_or(100);
         (self.size * u32::from(percent)).div_ceil(100)
     }
 
     /// Whether the present step is the last one.
-    pub fn last_step(&self) -> bool {
+    pub fn is_last_step(&self) -> bool {
         self.step as usize + 1 >= self.steps.len()
     }
 
     /// Begins a phase.
-    pub fn enter(&mut self, phase: Phase, why: impl Into<String>) {
+    pub fn enter_phase(&mut self, phase: Phase, why: impl Into<String>) {
         self.phase = phase;
         let mut why: String = why.into();
-        while why.len() > LONGEST_REASON {
+        while why.len() > MAX_REASON_BYTES {
             why.pop();
         }
         self.history.push(HistoryEntry { phase, step: self.step, why });
-        let beyond = self.history.len().saturating_sub(HISTORY);
-        self.history.drain(..beyond);
+        let excess = self.history.len().saturating_sub(MAX_HISTORY_ENTRIES);
+        self.history.drain(..excess);
     }
 }
 
 impl ServiceRecord {
     /// The rollout, unless it is over.
-    pub fn under_way(&self) -> Option<&Rollout> {
+    pub fn active_rollout(&self) -> Option<&Rollout> {
         self.rollout.as_ref().filter(|rollout| !rollout.phase.is_over())
     }
 
@@ -194,12 +194,12 @@
         self.replicas.iter_mut().find(|replica| replica.number == number)
     }
 
-    /// Names another replica, and its job from `job_base` on.
-    pub fn add_replica(&mut self, version: &str, job_base: u64) -> u32 {
+    /// Names another replica, and its job from `job_id_base` on.
+    pub fn add_replica(&mut self, version: &str, job_id_base: u64) -> u32 {
         let number = self.next_replica;
         self.next_replica += 1;
         let (version, stage) = (version.to_owned(), ReplicaStage::Starting);
-        let job = format!("j-{}", job_base + u64::from(number));
+        let job = format!("j-{}", job_id_base + u64::from(number));
         self.replicas.push(Replica { number, job, version, stage });
         number
     }
--- a/crates/stonewheel-rollout/src/routes.rs
+++ b/crates/stonewheel-rollout/src/routes.rs
@@ -26,27 +26,27 @@
 };
 
 /// Operators' connections at once.
-const MOST_CONNECTIONS: usize = 32;
+const MAX_CONNECTIONS: usize = 32;
 /// The longest body of a command.
-const LONGEST_BODY: u64 = 4096;
+const MAX_BODY_BYTES: u64 = 4096;
 /// A connection reads so much ahead.
-const BUFFER: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// How long a connection may idle.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// When to come back after a refusal that time heals, in seconds.
-const RETRY_AFTER: &str = "1";
+const RETRY_AFTER_S: &str = "1";
 
 /// A command as it comes in.
 #[derive(Debug, Deserialize)]
 struct CommandBody {
     id: String,
     #[serde(flatten)]
-    ask: Ask,
+    ask: CommandRequest,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
-enum Ask {
+enum CommandRequest {
     Deploy { version: String, replicas: u32 },
     Start { to: String, steps: Vec<u8>, surge: u32 },
     Pause,
@@ -71,57 +71,63 @@
     error: String,
 }
 
-fn refuse(status: StatusCode, reason: impl Into<String>) -> Response {
+fn error_response(status: StatusCode, reason: impl Into<String>) -> Response {
     let body = warp::reply::json(&ErrorBody { error: reason.into() });
     let mut response = warp::reply::with_status(body, status).into_response();
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        let retry_after = header::HeaderValue::from_static(RETRY_AFTER);
+        let retry_after = header::HeaderValue::from_static(RETRY_AFTER_S);
         response.headers_mut().insert(header::RETRY_AFTER, retry_after);
     }
     response
 }
 
-fn failure(failure: &CommandFailure) -> Response {
+fn failure_response(failure: &CommandFailure) -> Response {
     let status = match failure {
-        CommandFailure::Refused(CommandError::UnderWay(_) | CommandError::NoneUnderWay) => {
-            StatusCode::CONFLICT
-        }
+        CommandFailure::Refused(
+            CommandError::RolloutInProgress(_) | CommandError::NoRolloutInProgress,
+        ) => StatusCode::CONFLICT,
         CommandFailure::Refused(_) => StatusCode::UNPROCESSABLE_ENTITY,
         CommandFailure::UnknownService(_) => StatusCode::NOT_FOUND,
-        CommandFailure::Unavailable | CommandFailure::Unknown => StatusCode::SERVICE_UNAVAILABLE,
+        CommandFailure::Unavailable | CommandFailure::OutcomeUnknown => {
+            StatusCode::SERVICE_UNAVAILABLE
+        }
     };
-    refuse(status, failure.to_string())
+    error_response(status, failure.to_string())
 }
 
-async fn show(service: String, executor: Arc<Executor>) -> Response {
+async fn show_service(service: String, executor: Arc<Executor>) -> Response {
     let endpoints = executor.endpoints(&service).await;
     match (executor.record(&service), endpoints) {
         (Some(record), Some(endpoints)) => {
             warp::reply::json(&Status { record: record.value, endpoints }).into_response()
         }
-        _ => refuse(StatusCode::NOT_FOUND, format!("service {service} is not known")),
+        _ => error_response(StatusCode::NOT_FOUND, format!("service {service} is not known")),
     }
 }
 
-async fn command(service: String, body: CommandBody, executor: Arc<Executor>) -> Response {
+async fn carry_out_command(
+    service: String,
+    body: CommandBody,
+    executor: Arc<Executor>,
+) -> Response {
     let kind = match body.ask {
-        Ask::Deploy { version, replicas } => {
+        CommandRequest::Deploy { version, replicas } => {
             let deployed = executor.create(&service, &version, replicas).await;
-            return answer(deployed);
+            return command_response(deployed);
         }
-        Ask::Start { to, steps, surge } => CommandKind::Start { to, steps, surge },
-        Ask::Pause => CommandKind::Pause,
-        Ask::Resume => CommandKind::Resume,
-        Ask::RollBack => CommandKind::RollBack,
-        Ask::Abort => CommandKind::Abort,
+        CommandRequest::Start { to, steps, surge } => CommandKind::Start { to, steps, surge },
+        CommandRequest::Pause => CommandKind::Pause,
+        CommandRequest::Resume => CommandKind::Resume,
+        CommandRequest::RollBack => CommandKind::RollBack,
+        CommandRequest::Abort => CommandKind::Abort,
     };
-    answer(executor.command(&service, &Command { id: body.id, kind }).await)
+    command_response(executor.command(&service, &Command { id: body.id, kind }).await)
 }
 
-fn answer(outcome: Result<(), CommandFailure>) -> Response {
+fn command_response(outcome: Result<(), CommandFailure>) -> Response {
     match outcome {
         Ok(()) => warp::reply::json(&Done { done: true }).into_response(),
-        Err(reason) => failure(&reason),
+        Err(reason) => failure_response(&reason),
     }
 }
 
@@ -129,40 +135,44 @@
     executor: Arc<Executor>,
 ) -> impl Filter<Extract = (impl Reply,), Error = Infallible> + Clone + Send + Sync + 'static {
     let with_executor = warp::any().map(move || executor.clone());
-    let show =
-        warp::path!("rollouts" / String).and(warp::get()).and(with_executor.clone()).then(show);
+    let show = warp::path!("rollouts" / String)
+        .and(warp::get())
+        .and(with_executor.clone())
+        .then(show_service);
     let command = warp::path!("rollouts" / String)
         .and(warp::post())
-        .and(warp::body::content_length_limit(LONGEST_BODY))
+        .and(warp::body::content_length_limit(MAX_BODY_BYTES))
         .and(warp::body::json())
         .and(with_executor)
-        .then(command);
+        .then(carry_out_command);
     show.or(command)
         .unify()
-        .recover(|rejection: Rejection| async move { Ok::<_, Infallible>(rejected(&rejection)) })
+        .recover(|rejection: Rejection| async move {
+            Ok::<_, Infallible>(rejection_response(&rejection))
+        })
         .unify()
 }
 
-fn rejected(rejection: &Rejection) -> Response {
+fn rejection_response(rejection: &Rejection) -> Response {
     if let Some(error) = rejection.find::<warp::body::BodyDeserializeError>() {
-        refuse(StatusCode::BAD_REQUEST, error.to_string())
+        error_response(StatusCode::BAD_REQUEST, error.to_string())
     } else if rejection.find::<warp::reject::PayloadTooLarge>().is_some() {
-        refuse(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
+        error_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
     } else if rejection.is_not_found() {
-        refuse(StatusCode::NOT_FOUND, "no such path")
+        error_response(StatusCode::NOT_FOUND, "no such path")
     } else {
-        refuse(StatusCode::BAD_REQUEST, "the request can't be read")
+        error_response(StatusCode::BAD_REQUEST, "the request can't be read")
     }
 }
 
 /// Takes commands until told to stop.
 pub async fn serve(executor: Arc<Executor>, listener: TcpListener, stop: CancellationToken) {
     let service = warp::service(routes(executor));
-    let limits = ConnectionLimits { header_time: IDLE, buffer: BUFFER };
+    let limits = ConnectionLimits { header_time: IDLE_TIMEOUT, buffer: READ_BUFFER_BYTES };
     let connection = move |stream: TcpStream, stop: CancellationToken| {
         let service = TowerToHyperService::new(service.clone());
         serve_connection(stream, service, limits, stop)
     };
-    let slots = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     accept_each(listener, slots, stop, connection).await;
 }
--- a/crates/stonewheel-rollout/src/settings.rs
+++ b/crates/stonewheel-rollout/src/settings.rs
@@ -16,7 +16,7 @@
 /// Of the time between two probes, a promotion condition may take one in so many parts.
 /// Its operations are limited too, and mostly end it far earlier; a process that
 /// stands still for a moment must not turn a rollout back.
-const CONDITION_PARTS: u32 = 4;
+const CONDITION_TIMEOUT_DIVISOR: u32 = 4;
 
 /// The times of a rollout, and what its health gate allows.
 #[derive(Clone, Copy, Debug, PartialEq, Validate)]
@@ -110,7 +110,7 @@
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<Rollouts>, FieldError> {
-    let part = SECTIONS.read(sections, general, |_, section| service_settings(section))?;
+    let part = SECTIONS.read(sections, general_settings, |_, section| service_settings(section))?;
     let Some(part) = part else { return Ok(None) };
     let (listen, times) = part.general;
     let rollouts = Rollouts { listen, times, services: part.named };
@@ -118,7 +118,7 @@
     Ok(Some(rollouts))
 }
 
-fn general(mut section: Section<'_>) -> Result<(SocketAddr, RolloutSettings), FieldError> {
+fn general_settings(mut section: Section<'_>) -> Result<(SocketAddr, RolloutSettings), FieldError> {
     let listen = section.text("listen", Some("127.0.0.1:8091"))?;
     let listen = listen.parse().map_err(|_| section.error("listen", "must be address:port"))?;
     let look_s = section.number("look_s", Some(1.0))?;
@@ -161,27 +161,27 @@
 
 impl RolloutSettings {
     /// How long an evaluation of a promotion condition may take.
-    pub fn condition_limit(&self) -> Duration {
-        self.probe() / CONDITION_PARTS
+    pub fn condition_timeout(&self) -> Duration {
+        self.probe_interval() / CONDITION_TIMEOUT_DIVISOR
     }
 
     /// How often replicas are probed.
-    pub fn probe(&self) -> Duration {
+    pub fn probe_interval(&self) -> Duration {
         Duration::from_secs_f64(self.look_s)
     }
 
     /// How long a start may take from a place to an answer.
-    pub fn start(&self) -> Duration {
+    pub fn start_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.start_s)
     }
 
     /// How long a step is watched.
-    pub fn soak(&self) -> Duration {
+    pub fn soak_time(&self) -> Duration {
         Duration::from_secs_f64(self.soak_s)
     }
 
     /// How long a replica drains.
-    pub fn drain(&self) -> Duration {
+    pub fn drain_time(&self) -> Duration {
         Duration::from_secs_f64(self.drain_s)
     }
 }
--- a/crates/stonewheel-rollout/src/settings/tests.rs
+++ b/crates/stonewheel-rollout/src/settings/tests.rs
@@ -30,7 +30,7 @@
         parse_sections([("rollout", general), ("service matcher", service)].into_iter())
     };
     let rollouts = parse(general_pairs(), service_pairs()).expect("valid").expect("switched on");
-    assert_eq!(rollouts.times.soak(), Duration::from_secs(60));
+    assert_eq!(rollouts.times.soak_time(), Duration::from_secs(60));
     assert_eq!(rollouts.services["matcher"].health, "/health");
     assert_eq!(parse_sections([("scheduler", Vec::new())].into_iter()), Ok(None));
     let general = [
--- a/crates/stonewheel-rollout/tests/common/mod.rs
+++ b/crates/stonewheel-rollout/tests/common/mod.rs
@@ -126,8 +126,8 @@
             ReplicaObservation {
                 health,
                 machine: machine.map(|machine| format!("n-{machine}")),
-                requested: self.requested.contains(&replica.number),
-                failed: (overdue || flaps).then(|| "it does not answer".into()),
+                start_requested: self.requested.contains(&replica.number),
+                failure: (overdue || flaps).then(|| "it does not answer".into()),
                 drained: running.is_some_and(|running| running.draining >= DRAIN),
                 stopped: running.is_some_and(|running| running.stopped),
             }
@@ -240,7 +240,7 @@
             may_adopt: true,
             observations: &observations,
             verdict: &verdict,
-            job_base: 1000,
+            job_id_base: 1000,
         });
         match step {
             Step::Wait(_) => return false,
--- a/crates/stonewheel-rollout/tests/planner.rs
+++ b/crates/stonewheel-rollout/tests/planner.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use stonewheel_rollout::{
     command::{CommandError, CommandKind},
-    record::{Phase, REMEMBERED_COMMANDS},
+    record::{MAX_REMEMBERED_COMMANDS, Phase},
 };
 
 const STEPS: [u8; 3] = [20, 50, 100];
@@ -150,7 +150,7 @@
     fleet.command(CommandKind::Abort).expect("accepted");
     assert!(fleet.settle(20));
     assert!(fleet.capacity() >= 8);
-    assert_eq!(fleet.command(CommandKind::Resume), Err(CommandError::NoneUnderWay));
+    assert_eq!(fleet.command(CommandKind::Resume), Err(CommandError::NoRolloutInProgress));
     fleet.start(&[100], 3).expect("accepted");
     assert!(fleet.settle(200));
     assert_eq!(fleet.versions(), vec!["two"]);
@@ -161,14 +161,14 @@
     let mut fleet = Fleet::new(4, 2, real);
     let before = fleet.record.clone();
     let refused = [
-        (fleet.start(&[], 3), CommandError::Steps),
-        (fleet.start(&[50], 3), CommandError::Steps),
-        (fleet.start(&[0, 100], 3), CommandError::Steps),
-        (fleet.start(&[60, 50, 100], 3), CommandError::Steps),
-        (fleet.start(&[50, 100], 0), CommandError::Surge { least: 3, holds: 2 }),
-        (fleet.start(&[50, 100], 2), CommandError::Surge { least: 3, holds: 2 }),
-        (fleet.command(CommandKind::Pause), CommandError::NoneUnderWay),
-        (fleet.command(CommandKind::RollBack), CommandError::NoneUnderWay),
+        (fleet.start(&[], 3), CommandError::InvalidSteps),
+        (fleet.start(&[50], 3), CommandError::InvalidSteps),
+        (fleet.start(&[0, 100], 3), CommandError::InvalidSteps),
+        (fleet.start(&[60, 50, 100], 3), CommandError::InvalidSteps),
+        (fleet.start(&[50, 100], 0), CommandError::SurgeTooSmall { min: 3, per_machine: 2 }),
+        (fleet.start(&[50, 100], 2), CommandError::SurgeTooSmall { min: 3, per_machine: 2 }),
+        (fleet.command(CommandKind::Pause), CommandError::NoRolloutInProgress),
+        (fleet.command(CommandKind::RollBack), CommandError::NoRolloutInProgress),
         (
             fleet.command(CommandKind::Start { to: "one".into(), steps: vec![100], surge: 3 }),
             CommandError::SameVersion("one".into()),
@@ -180,10 +180,10 @@
     }
     assert_eq!(fleet.record, before);
     fleet.start(&[50, 100], 3).expect("accepted");
-    assert!(matches!(fleet.start(&[100], 3), Err(CommandError::UnderWay(_))));
+    assert!(matches!(fleet.start(&[100], 3), Err(CommandError::RolloutInProgress(_))));
     let mut silent = Fleet::new(4, 2, real);
     silent.broken = vec!["one".into()];
-    assert_eq!(silent.start(&[100], 3), Err(CommandError::NothingAnswers));
+    assert_eq!(silent.start(&[100], 3), Err(CommandError::NoReplicaAnswers));
 }
 
 #[test]
@@ -200,14 +200,14 @@
     assert_eq!(other, Err(CommandError::IdUsed("c".into())));
     for id in ["", &"x".repeat(65)] {
         let refused = apply(&started, &command(id, CommandKind::Pause), &observations);
-        assert_eq!(refused, Err(CommandError::Id));
+        assert_eq!(refused, Err(CommandError::InvalidId));
     }
     for number in 0..100 {
         let kind = if number % 2 == 0 { CommandKind::Pause } else { CommandKind::Resume };
         let next = apply(&started, &command(&format!("p-{number}"), kind), &observations);
         started = next.expect("accepted").expect("changed");
     }
-    assert_eq!(started.commands.len(), REMEMBERED_COMMANDS);
+    assert_eq!(started.commands.len(), MAX_REMEMBERED_COMMANDS);
 }
 
 #[derive(Clone, Debug)]
--- a/crates/stonewheel-rollout/tests/scenarios.rs
+++ b/crates/stonewheel-rollout/tests/scenarios.rs
@@ -207,7 +207,7 @@
         }
         // The command too: its repeat finds that it stands.
         let mut outcome = deployment.roll_out(1, 3).await;
-        while outcome == Err(CommandFailure::Unknown) {
+        while outcome == Err(CommandFailure::OutcomeUnknown) {
             outcome = deployment.roll_out(1, 3).await;
         }
         assert_eq!(outcome, Ok(()));
@@ -224,7 +224,7 @@
     let outcomes = [first, second];
     assert_eq!(outcomes.iter().filter(|outcome| outcome.is_ok()).count(), 1, "{outcomes:?}");
     let told = |outcome: &Result<(), CommandFailure>| {
-        matches!(outcome, Err(CommandFailure::Refused(CommandError::UnderWay(_))))
+        matches!(outcome, Err(CommandFailure::Refused(CommandError::RolloutInProgress(_))))
     };
     assert!(outcomes.iter().any(told), "{outcomes:?}");
     ends(&deployment, Phase::Done, "two").await;
