--- a/crates/stonewheel-rollout/src/command.rs
+++ b/crates/stonewheel-rollout/src/command.rs
@@ -1,5 +1,6 @@
-//! What operators may ask of a rollout. A command is a change of the record, so it
-//! stands whoever drives the rollout, and a repeat with its id changes nothing.
+//! Operators' commands on a rollout. A command is a change of the service's record, so it
+//! takes effect whichever controller owns the service. A repeat with the same id changes
+//! nothing.
 
 use thiserror::Error;
 
@@ -8,39 +9,41 @@
     record::{DoneCommand, MAX_REMEMBERED_COMMANDS, Phase, ReplicaStage, Rollout, ServiceRecord},
 };
 
-/// A command with the id that its caller chose.
+/// A command with the id that the caller chose.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Command {
-    /// A repeat with the same id is the same command.
+    /// The id; a command with the same id and kind is a repeat of this one.
     pub id: String,
-    /// What is asked.
+    /// The change that is requested.
     pub kind: CommandKind,
 }
 
-/// What is asked.
+/// The change that a command requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandKind {
-    /// Begin a rollout.
+    /// Begins a rollout.
     Start {
         /// The version to roll out.
         to: String,
-        /// Percentages, rising to 100.
+        /// Percentages of the replicas that run the new version after each step, rising to
+        /// 100.
         steps: Vec<u8>,
-        /// Replicas excess the level that may exist at once.
+        /// Replicas beyond the service's size that may exist at the same time.
         surge: u32,
     },
-    /// Begin no further step, start and drain nothing.
+    /// Begins no further step and no further replica or drain. Starts, drains and stops
+    /// that are recorded already are completed.
     Pause,
-    /// Go on.
+    /// Ends a pause.
     Resume,
-    /// Bring the old version back.
+    /// Returns all replicas to the old version.
     RollBack,
-    /// End where it is: what serves goes on.
+    /// Ends the rollout where it is: serving replicas of both versions stay.
     Abort,
 }
 
 impl CommandKind {
-    /// The command as it is remembered.
+    /// The command's text in [`DoneCommand::kind`], by which a repeat is recognized.
     fn stored_text(&self) -> String {
         match self {
             Self::Start { to, steps, surge } => format!("start {to} {steps:?} {surge}"),
@@ -52,7 +55,7 @@
     }
 }
 
-/// Why a command is refused: one plain sentence. Nothing was changed.
+/// Why a command is refused, as one sentence for the operator. Nothing was changed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
     /// An empty id, or one that is too long.
@@ -61,44 +64,45 @@
     /// The id was used for another command.
     #[error("id {0} was used for another command")]
     IdUsed(String),
-    /// The service runs it already.
+    /// All replicas run the requested version already.
     #[error("to must differ from the version that runs, {0}")]
     SameVersion(String),
-    /// Not rising to 100.
+    /// The percentages of the steps do not rise from above 0 to 100.
     #[error("steps must rise to 100")]
     InvalidSteps,
-    /// Nothing could ever be drained.
+    /// With this surge no old replica could ever be drained, because the planner keeps the
+    /// loss of one machine covered.
     #[error(
         "surge must be at least {min}: a machine holds {per_machine} replicas, and may be lost"
     )]
     SurgeTooSmall {
-        /// What would do.
+        /// The smallest surge that is accepted.
         min: u32,
-        /// Replicas on the fullest machine.
+        /// Answering replicas on the machine that has the most of them.
         per_machine: u32,
     },
-    /// Whether a replica answers isn't known.
+    /// No recent probe shows whether this replica answers.
     #[error("replica {0} could not be looked at")]
     Unobserved(u32),
-    /// No replica answers: there is nothing to keep up.
+    /// No replica answers, so there is no level that a rollout could keep.
     #[error("no replica of the service answers")]
     NoReplicaAnswers,
-    /// It can't be named so.
+    /// The version's name is empty, too long, or has other than visible ASCII characters.
     #[error("to must be a name of 1 to 100 visible characters")]
     InvalidVersion,
     /// The record would not fit a value of the state service.
     #[error("size and surge together must be at most {max} replicas")]
     TooLarge {
-        /// Replicas that would fit.
+        /// The most replicas whose record would fit.
         max: u32,
     },
-    /// It was deployed before.
+    /// The service has a record already.
     #[error("the service is deployed already")]
     AlreadyDeployed,
-    /// A rollout is under way.
+    /// Another rollout of the service is not over; its id.
     #[error("rollout {0} is under way")]
     RolloutInProgress(String),
-    /// There is none to command.
+    /// The command needs a rollout that is not over, and there is none.
     #[error("no rollout is under way")]
     NoRolloutInProgress,
 }
@@ -106,15 +110,15 @@
 const MAX_ID_BYTES: usize = 64;
 const MAX_VERSION_BYTES: usize = 100;
 
-/// Whether a version's name can be kept.
+/// Checks that the name of a version can be stored.
 pub fn check_version(version: &str) -> Result<(), CommandError> {
     let visible = version.bytes().all(|byte| byte.is_ascii_graphic());
     let fits = (1..=MAX_VERSION_BYTES).contains(&version.len());
     if visible && fits { Ok(()) } else { Err(CommandError::InvalidVersion) }
 }
 
-/// The record after a command. `sightings`: what was lately seen of the replicas.
-/// `None`: the command was carried out before.
+/// Returns the record after a command, or `None` if the command was carried out before.
+/// `observations` are the latest of the service's replicas.
 pub fn apply(
     record: &ServiceRecord,
     command: &Command,
@@ -171,7 +175,8 @@
     if record.version == to && record.replicas.iter().all(|replica| replica.version == to) {
         return Err(CommandError::SameVersion(to.into()));
     }
-    // A probe without an answer would lower the level for good.
+    // The level is fixed for the whole rollout: counted while a probe result is missing, it
+    // would stay too low.
     if let Some(number) = observations.first_unobserved(record) {
         return Err(CommandError::Unobserved(number));
     }
@@ -201,7 +206,8 @@
     Ok(rollout)
 }
 
-/// Turns back, which a rollout does once: from there it never goes forward again.
+/// Begins to roll back, unless the rollout does so already. A rollout that rolls back never
+/// goes forward again.
 pub(crate) fn roll_back(rollout: &mut Rollout, why: &str) {
     if rollout.phase != Phase::RollingBack {
         rollout.paused = false;
--- a/crates/stonewheel-rollout/src/condition.rs
+++ b/crates/stonewheel-rollout/src/condition.rs
@@ -1,8 +1,8 @@
-//! The operators' own condition for the next step of a rollout: a small script over
-//! what the health gate counted, asked once a step was watched for its time.
+//! The operators' promotion condition: a small script over the figures of the health gate,
+//! evaluated at the end of a step's soak time. The rollout goes on only if it holds.
 //!
 //! A script that fails, takes too many operations or too long, or whose value is not
-//! a boolean counts as not healthy: the rollout turns back.
+//! a boolean counts as unhealthy: the rollout is rolled back.
 
 use std::{
     fmt,
@@ -16,52 +16,52 @@
 };
 use thiserror::Error;
 
-/// The longest script, in bytes.
+/// Bytes of the longest script.
 const MAX_SCRIPT_BYTES: usize = 1024;
 /// Operations that one evaluation may take.
 const MAX_OPERATIONS: u64 = 10_000;
-/// How deeply expressions may be nested.
+/// How deeply expressions may be nested; deeper ones could overflow the stack.
 const MAX_EXPRESSION_DEPTH: usize = 32;
-/// Calls of functions within functions.
+/// How deeply function calls may be nested.
 const MAX_CALL_DEPTH: usize = 8;
-/// The longest string, array and map that a script may build.
+/// The length of the longest string, array and map that a script may build.
 const MAX_COLLECTION_LENGTH: usize = 256;
 
-/// What a script may ask of the step that was watched.
+/// The figures of a step that a script may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StepFigures {
-    /// Probes of new replicas within the soak.
+    /// Probes of new replicas within the soak time.
     pub probes: u32,
-    /// How many of them went unanswered.
+    /// How many of the probes went unanswered.
     pub failures: u32,
     /// Replicas that take requests and answer, of any version.
     pub answering: u32,
-    /// Replicas that answered when the rollout started_at.
+    /// Replicas that answered when the rollout began.
     pub level: u32,
-    /// The step, from 1.
+    /// The number of the step, from 1.
     pub step: u32,
-    /// How many steps there are.
+    /// How many steps the rollout has.
     pub steps: u32,
 }
 
-/// Why a script is refused, or does not say that the step is healthy.
+/// Why a script is refused, or why its evaluation has no result.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ConditionError {
-    /// It can't be read.
+    /// The script has a syntax error or uses an unknown name.
     #[error("{0}")]
     InvalidScript(String),
-    /// It is longer than it may be.
+    /// The script is longer than [`MAX_SCRIPT_BYTES`].
     #[error("must be at most {MAX_SCRIPT_BYTES} bytes")]
     TooLong,
-    /// It failed, or its value is not a boolean.
+    /// The evaluation failed, or its value is not a boolean.
     #[error("the promotion condition fails: {0}")]
     Failed(String),
-    /// It was given up.
+    /// The evaluation exceeded its operations or its time and was stopped.
     #[error("the promotion condition takes too long")]
     TooSlow,
 }
 
-/// A script that was read.
+/// A parsed script.
 #[derive(Clone)]
 pub struct PromotionCondition {
     text: String,
@@ -81,7 +81,7 @@
 }
 
 impl PromotionCondition {
-    /// Reads a script. Names that it can't know are refused here, not in a rollout.
+    /// Parses a script. Unknown names are refused here, not during a rollout.
     pub fn parse(text: &str) -> Result<Self, ConditionError> {
         if text.len() > MAX_SCRIPT_BYTES {
             return Err(ConditionError::TooLong);
@@ -92,8 +92,8 @@
         Ok(Self { text: text.to_owned(), script: Arc::new(script) })
     }
 
-    /// Whether the condition holds. An evaluation that takes longer than `timeout` is
-    /// given up.
+    /// Evaluates whether the condition holds. An evaluation that takes longer than
+    /// `timeout` is stopped.
     pub fn holds(&self, figures: &StepFigures, timeout: Duration) -> Result<bool, ConditionError> {
         let mut engine = limited_engine();
         let started_at = Instant::now();
@@ -104,14 +104,14 @@
     }
 }
 
-/// An engine that can compute and compare, and no more.
+/// Returns an engine with arithmetic and comparisons alone, and with all limits set.
 fn limited_engine() -> Engine {
     let mut engine = Engine::new_raw();
     engine.register_global_module(ArithmeticPackage::new().as_shared_module());
     engine.register_global_module(LogicPackage::new().as_shared_module());
     engine.set_strict_variables(true);
-    // The optimizer would put the figures that a script is read with, all zero, in
-    // place of those that it is asked with.
+    // The optimizer would replace the figures by the constants that the script is parsed
+    // with, which are all zero.
     engine.set_optimization_level(OptimizationLevel::None);
     engine.set_max_operations(MAX_OPERATIONS);
     engine.set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -1,5 +1,5 @@
-//! The executor of one controller: it takes commands for any service, and drives the
-//! rollouts that it owns.
+//! The executor of one controller: it takes commands for every service, and drives the
+//! services that the controller owns.
 
 use std::{
     collections::BTreeMap,
@@ -26,29 +26,30 @@
     settings::RolloutSettings,
 };
 
-/// How often a command is tried whose record changes meanwhile.
+/// Attempts to carry out a command while the service's record changes or can't be written, or
+/// the health of a replica is unknown.
 const MAX_COMMAND_ATTEMPTS: u32 = 8;
-/// Jobs are named from a number with so many digits on.
-const JOB_ID_DIGITS: u32 = 16;
+/// The random base of job ids lies between 10 to this power and nine times as much.
+const JOB_ID_BASE_EXPONENT: u32 = 16;
 
-/// Why a command has not done its work.
+/// Why a command was not carried out, or may not have been.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandFailure {
-    /// It was refused, and nothing was changed.
+    /// The command was refused, and nothing was changed.
     #[error(transparent)]
     Refused(#[from] CommandError),
-    /// No such service.
+    /// There is no service of this name, or the service was not deployed yet.
     #[error("service {0} is not known")]
     UnknownService(String),
-    /// The state service can't be reached: certainly not carried out.
+    /// The state service can't be reached. The command was certainly not carried out.
     #[error("the state service can't be reached")]
     Unavailable,
-    /// It may have been carried out: the same id tells.
+    /// The command may have been carried out. A repeat with the same id resolves it.
     #[error("the outcome is not known; ask again with the same id")]
     OutcomeUnknown,
 }
 
-/// What is kept of one service.
+/// The state of one service in this process.
 struct Service {
     name: String,
     promote_when: Option<PromotionCondition>,
@@ -63,15 +64,14 @@
     settings: RolloutSettings,
     host: Arc<dyn ReplicaHost>,
     services: BTreeMap<String, Arc<Service>>,
-    /// Bytes of the largest record.
+    /// Bytes of the largest value that the state service takes.
     max_value_bytes: usize,
     rng: Mutex<StdRng>,
 }
 
 impl Executor {
-    /// Over the coordination of this controller, for these services and what must
-    /// hold before their next steps. `max_value_bytes`: the largest value that the state
-    /// service takes.
+    /// Creates the executor of a controller for these services, each with its promotion
+    /// condition. `max_value_bytes` is the largest value that the state service takes.
     pub fn new(
         coordinator: Arc<Coordinator>,
         settings: RolloutSettings,
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Runs until told to stop.
+    /// Drives the services until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let tasks = TaskTracker::new();
         for service in self.services.values() {
@@ -117,14 +117,13 @@
         tasks.wait().await;
     }
 
-    /// A service's record, as last read.
+    /// Returns a service's record, as last read.
     pub fn record(&self, service: &str) -> Option<Versioned<ServiceRecord>> {
         self.coordinator.records().get(&service_key(service))
     }
 
-    // Commands.
-
-    /// Deploys a service for the first time: `replicas` of a version are to be started.
+    /// Deploys a service for the first time: records `replicas` replicas of a version that are
+    /// to be started.
     pub async fn create(
         &self,
         service: &str,
@@ -158,7 +157,8 @@
             Err(StateError::Refused(_)) => return Err(CommandFailure::Unavailable),
             Err(_) => self.coordinator.refresh().await,
         }
-        // It shows in the record whether it was carried out.
+        // The outcome of the write is unknown: the record has this call's random job ids if
+        // the write was carried out.
         let job = |record: &ServiceRecord| record.replicas.first().map(|r| r.job.clone());
         match self.record(service) {
             Some(found) if job(&found.value) == job(&record) => Ok(()),
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Whether a record of so many replicas fits.
+    /// Checks that a record with this many replicas fits a value of the state service.
     fn check_size(&self, replicas: u32, version: &str) -> Result<(), CommandError> {
         let fits = |replicas: u32| max_record_bytes(replicas, version) <= self.max_value_bytes;
         if replicas > 0 && fits(replicas) {
@@ -177,7 +177,7 @@
         Err(CommandError::TooLarge { max })
     }
 
-    /// Where the replicas that take requests answer, by a probe of each.
+    /// Probes the replicas, and returns the endpoints of those that take requests and answer.
     pub async fn endpoints(&self, service: &str) -> Option<Vec<String>> {
         let runtime = self.services.get(service)?;
         let record = self.record(service)?;
@@ -185,13 +185,14 @@
         Some(lock(&runtime.observer).endpoints(&record.value, Instant::now()))
     }
 
-    /// Carries out a command, once however often it is asked for. When this returns it
-    /// stands, whatever becomes of this controller.
+    /// Carries out a command, once per id. When this returns `Ok`, the change is stored and
+    /// doesn't depend on this controller.
     pub async fn command(&self, service: &str, command: &Command) -> Result<(), CommandFailure> {
         let runtime = self.services.get(service);
         let runtime = runtime.ok_or_else(|| CommandFailure::UnknownService(service.into()))?;
         for _ in 0..MAX_COMMAND_ATTEMPTS {
-            // Never decided on what this process alone may still believe.
+            // Without a valid session the cached record may be out of date, so no command is
+            // decided on it.
             if self.coordinator.session().is_none_or(|s| s.valid_until <= Instant::now()) {
                 return Err(CommandFailure::Unavailable);
             }
@@ -206,7 +207,7 @@
             let next = match apply(&record.value, command, &observations) {
                 Ok(Some(next)) => next,
                 Ok(None) => return Ok(()),
-                // A probe got no answer: the next one may.
+                // A probe without a result may succeed at the next attempt.
                 Err(CommandError::Unobserved(_)) => {
                     self.coordinator.refresh().await;
                     continue;
@@ -215,19 +216,23 @@
             };
             match self.commit(service, &record, &next).await {
                 Ok(()) => {
-                    info!(service, id = command.id, kind = ?command.kind, "command");
+                    info!(
+                        service,
+                        id = command.id,
+                        kind = ?command.kind,
+                        "rollout command carried out"
+                    );
                     return Ok(());
                 }
                 Err(StateError::Refused(_)) => return Err(CommandFailure::Unavailable),
-                // It shows in the record whether it was carried out.
+                // The next attempt sees in the record whether the command was carried out.
                 Err(_) => self.coordinator.refresh().await,
             }
         }
         Err(CommandFailure::OutcomeUnknown)
     }
 
-    // Driving.
-
+    /// Plans and carries out the steps of a service one after the other.
     async fn run_service(self: Arc<Self>, service: Arc<Service>) {
         let mut changes = self.coordinator.subscribe();
         loop {
@@ -249,7 +254,11 @@
                 }
                 Step::Write(next) => {
                     if let Err(error) = self.commit(&service.name, &record, &next).await {
-                        debug!(service = service.name, %error, "a record was not written");
+                        debug!(
+                            service = service.name,
+                            %error,
+                            "service record write failed or its outcome is unknown"
+                        );
                         self.coordinator.refresh().await;
                     }
                 }
@@ -264,7 +273,7 @@
     }
 
     fn job_id_base(&self) -> u64 {
-        let min = 10_u64.pow(JOB_ID_DIGITS);
+        let min = 10_u64.pow(JOB_ID_BASE_EXPONENT);
         lock(&self.rng).random_range(min..min * 9)
     }
 
@@ -288,7 +297,8 @@
         })
     }
 
-    /// What the health gate says, and where it is content the operators' condition.
+    /// Returns the health gate's verdict. A healthy one is subject to the service's promotion
+    /// condition.
     fn verdict(
         &self,
         service: &Service,
@@ -314,7 +324,8 @@
         let probe = (*lock(&service.next_probe_at)).max(now);
         let due = lock(&service.observer).next_deadline(now);
         match reason {
-            // A change of the records wakes the task by itself; this is for adoption.
+            // A change of the records wakes the task in any case. The timer is for adoption,
+            // which becomes possible by the passage of time alone.
             WaitReason::NotOwner | WaitReason::NoSession | WaitReason::NoWork => {
                 now + self.coordinator.timing().session / ADOPTION_PARTS
             }
@@ -379,7 +390,12 @@
                 lock(&service.observer).record_start(number, Some(reason));
             }
             Err(error) => {
-                debug!(service = service.name, number, %error, "start");
+                debug!(
+                    service = service.name,
+                    number,
+                    %error,
+                    "replica start failed or its outcome is unknown"
+                );
                 self.coordinator.refresh().await;
             }
         }
@@ -396,7 +412,12 @@
         match outcome {
             Ok(()) => lock(&service.observer).record_stop(number),
             Err(error) => {
-                debug!(service = service.name, number, %error, "stop");
+                debug!(
+                    service = service.name,
+                    number,
+                    %error,
+                    "replica stop failed or its outcome is unknown"
+                );
                 self.coordinator.refresh().await;
             }
         }
@@ -410,7 +431,7 @@
         *lock(&service.next_probe_at) = Instant::now() + self.settings.probe_interval();
     }
 
-    /// Probes all replicas, and tells what is runtime then.
+    /// Probes all replicas, and returns the observations with the results.
     async fn probe_replicas(
         &self,
         service: &Service,
@@ -429,17 +450,17 @@
             let new = to == Some(replica.version.as_str());
             match probe {
                 Ok(probe) => observer.record_probe(replica.number, probe, new, now),
-                Err(error) => debug!(service = service.name, %error, "look"),
+                Err(error) => debug!(service = service.name, %error, "replica probe failed"),
             }
         }
         observer.observations(now)
     }
 }
 
-/// Tells the operator what a committed record means.
+/// Logs a change of the owner or of the rollout's phase once the record is written.
 fn log_change(service: &str, from: &ServiceRecord, to: &ServiceRecord) {
     if from.owner != to.owner {
-        info!(service, epoch = to.epoch, "drives the service");
+        info!(service, epoch = to.epoch, "service adopted by this controller");
     }
     let Some(rollout) = &to.rollout else { return };
     let before = from.rollout.as_ref().map(|rollout| rollout.history.len());
@@ -451,8 +472,8 @@
     let why = rollout.history.last().map_or("", |entry| entry.why.as_str());
     let (phase, step) = (rollout.phase, rollout.step);
     if phase == crate::record::Phase::RollingBack {
-        warn!(service, id = rollout.id, ?phase, step, why, "rollout");
+        warn!(service, id = rollout.id, ?phase, step, why, "rollback started");
     } else {
-        info!(service, id = rollout.id, ?phase, step, why, "rollout");
+        info!(service, id = rollout.id, ?phase, step, why, "rollout phase changed");
     }
 }
--- a/crates/stonewheel-rollout/src/lib.rs
+++ b/crates/stonewheel-rollout/src/lib.rs
@@ -1,9 +1,11 @@
-//! Stepped rollout: a service's replicas move to a new version in steps, with a way back
-//! at any point, and never by our doing do fewer answer than when the change began.
+//! Stepped rollout: a service's replicas move to a new version in steps. The rollout can be
+//! rolled back at any point, and no step of it reduces the number of answering replicas
+//! below the number that answered when it began.
 //!
-//! [`record`] is the durable state of a service; [`command`] changes it for operators;
-//! [`planner`] is the pure state machine that says what its owner does next; an
-//! [`Executor`] at each controller takes commands and drives what it owns.
+//! [`record`] is the durable state of a service; [`command`] applies operators' commands to
+//! it; [`planner`] is the pure state machine that decides what the owner of a service does
+//! next; an [`Executor`] on each controller takes commands and drives the services that it
+//! owns.
 
 #![warn(missing_docs)]
 
--- a/crates/stonewheel-rollout/src/observer.rs
+++ b/crates/stonewheel-rollout/src/observer.rs
@@ -1,4 +1,5 @@
-//! What the owner of a rollout saw of the replicas, and since when.
+//! The probe results of a service's replicas at its owner, and the times and shares of
+//! failures that follow from them.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +13,12 @@
     settings::RolloutSettings,
 };
 
-/// A probe that is older than so many intervals says nothing any more.
+/// Probe intervals after which a probe result is stale: the replica's health is then unknown.
 const STALE_PROBE_INTERVALS: u32 = 3;
-/// Probes of a replica before its share of failures says anything.
+/// Probes of a replica before its share of unanswered probes can count as a failure.
 const MIN_PROBES_TO_JUDGE: u32 = 10;
 
-/// What was seen of one replica.
+/// The state of one replica, as observed by this controller.
 #[derive(Clone, Debug, Default)]
 struct ObservedReplica {
     health: ReplicaHealth,
@@ -29,24 +30,26 @@
     stopped: bool,
     unresponsive_since: Option<Instant>,
     draining_since: Option<Instant>,
-    /// Probes since it first answered, and how many went unanswered.
+    /// Probes since the replica first answered on its machine, and how many of them went
+    /// unanswered.
     probes: u32,
     failures: u32,
 }
 
-/// Which step of which owner the health gate watches.
+/// The step that soaks, and the epoch of the owner that observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SoakedStep {
     epoch: u64,
     step: u32,
 }
 
-/// What the owner saw.
+/// The observations of a service's replicas by its owner.
 #[derive(Debug)]
 pub(crate) struct Observer {
     settings: RolloutSettings,
     epoch: u64,
     replicas: BTreeMap<u32, ObservedReplica>,
+    /// The step that soaks at present, and when its soak began.
     current_soak: Option<(SoakedStep, Instant)>,
     /// Probes of new replicas within the present soak, and how many went unanswered.
     soak_probes: u32,
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Takes over what the record says. What a former owner saw is not known here.
+    /// Updates the tracked replicas and the present soak from the record. A change of the
+    /// owner discards all observations, since those of the former owner are not known here.
     pub fn update_from_record(&mut self, record: &ServiceRecord, now: Instant) {
         if record.epoch != self.epoch {
             self.epoch = record.epoch;
@@ -87,17 +91,20 @@
         }
     }
 
+    /// Records that the start of a replica was requested, and why it was rejected if so.
     pub fn record_start(&mut self, number: u32, rejected: Option<String>) {
         let observed = self.replicas.entry(number).or_default();
         observed.start_requested = true;
         observed.rejected = rejected;
     }
 
+    /// Records that a replica was stopped.
     pub fn record_stop(&mut self, number: u32) {
         self.replicas.entry(number).or_default().stopped = true;
     }
 
-    /// Notes a probe. `new`: the replica is of the version that is rolled out.
+    /// Records a probe result. `is_new_version` tells whether the replica has the version
+    /// that is rolled out.
     pub fn record_probe(
         &mut self,
         number: u32,
@@ -117,7 +124,8 @@
             ProbeResult::Gone => (ReplicaHealth::Gone, None),
         };
         if machine != observed.machine {
-            // Its machine was lost, and it loads anew: that says nothing of its version.
+            // The machine was lost, and the replica loads again on another one. The loss says
+            // nothing about the version.
             (observed.probes, observed.failures, observed.unresponsive_since) = (0, 0, None);
         }
         (observed.health, observed.machine) = (health, machine);
@@ -127,7 +135,8 @@
         );
         observed.unresponsive_since =
             if unresponsive { observed.unresponsive_since.or(Some(now)) } else { None };
-        // Before the first answer it loads; while it has no place its machine was lost.
+        // Unanswered probes count only after the first answer: until then the replica loads. A
+        // replica without a machine doesn't count, because its machine was lost.
         if answers || (unresponsive && observed.probes > 0) {
             observed.probes += 1;
             observed.failures += u32::from(unresponsive);
@@ -138,7 +147,7 @@
         }
     }
 
-    /// What is known now.
+    /// Returns what is known of the replicas at `now`.
     pub fn observations(&self, now: Instant) -> ReplicaObservations {
         let stale = self.settings.probe_interval() * STALE_PROBE_INTERVALS;
         let observation = |observed: &ObservedReplica| {
@@ -162,6 +171,7 @@
         )
     }
 
+    /// Returns why a replica has failed, or `None` if it has not.
     fn failure_reason(&self, observed: &ObservedReplica, now: Instant) -> Option<String> {
         if let Some(reason) = &observed.rejected {
             return Some(format!("a replica can't be started: {reason}"));
@@ -177,14 +187,14 @@
             .then(|| "a replica answers now and then".to_owned())
     }
 
-    /// Where the replicas that take requests answer.
+    /// Returns the endpoints of the replicas that take requests and answer.
     pub fn endpoints(&self, record: &ServiceRecord, now: Instant) -> Vec<String> {
         let observations = self.observations(now);
         let answering = observations.answering(record).into_iter();
         answering.filter_map(|number| self.replicas.get(&number)?.endpoint.clone()).collect()
     }
 
-    /// What the health gate says of the step that is watched.
+    /// Returns the health gate's verdict on the step that soaks.
     pub fn verdict(&self, now: Instant) -> Verdict {
         let Some((_, since)) = self.current_soak else { return Verdict::Undecided };
         let max_failures = f64::from(self.soak_probes) * self.settings.most_failures;
@@ -198,7 +208,7 @@
         }
     }
 
-    /// What was counted of the step that is watched.
+    /// Returns the figures of the present step for the promotion condition.
     pub fn step_figures(&self, record: &ServiceRecord, now: Instant) -> StepFigures {
         let Some(rollout) = record.active_rollout() else { return StepFigures::default() };
         StepFigures {
@@ -211,7 +221,7 @@
         }
     }
 
-    /// When something comes due that no look brings.
+    /// Returns the next instant after `now` at which a drain or the soak time ends.
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
         let drains = self.replicas.values().filter_map(|observed| observed.draining_since);
         let drains = drains.map(|since| since + self.settings.drain_time());
--- a/crates/stonewheel-rollout/src/planner.rs
+++ b/crates/stonewheel-rollout/src/planner.rs
@@ -1,11 +1,13 @@
-//! What the owner of a rollout does next: a pure function of the record and of what was
-//! lately seen of the replicas.
+//! Decides what the owner of a service does next: a pure function of the record and of the
+//! latest observations of the replicas.
 //!
-//! The rule: no step of ours lets fewer replicas answer than when the rollout began.
-//! Replicas count by what a probe saw, never by what was ordered. New ones answer before
-//! any old one is drained, and an answering replica is drained only while, without it,
-//! the level and a spare answer: as many as the fullest machine holds, so that one
-//! machine may be lost, but no more than the surge can bring.
+//! The invariant: no step of the planner reduces the number of answering replicas below the
+//! level, the number that answered when the rollout began. Replicas count by what a probe
+//! observed, never by what was ordered. New replicas answer before any old one is drained.
+//! Until a single version is left, an answering replica is drained only if the other
+//! answering ones make up the level and a spare. The spare is the number of replicas on the
+//! machine that has the most of them, so that one machine may be lost. The spare is at most
+//! one less than the surge: the surge can't provide more, and nothing would ever be drained.
 
 use std::collections::BTreeMap;
 
@@ -16,41 +18,41 @@
     record::{Phase, Replica, ReplicaStage, Rollout, ServiceRecord},
 };
 
-/// What a probe saw of a replica.
+/// The health of a replica according to its latest probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaHealth {
-    /// Nothing lately.
+    /// There is no recent probe result.
     #[default]
     Unknown,
-    /// It waits for room in the fleet.
+    /// The replica waits for free capacity in the fleet.
     NoCapacity,
-    /// It has a place, and doesn't answer.
+    /// The replica is placed on a machine, and doesn't answer.
     Unresponsive,
-    /// It answers.
+    /// The replica answers.
     Answering,
-    /// It is gone for good.
+    /// The replica's job has ended, and won't run again.
     Gone,
 }
 
 /// What is known of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaObservation {
-    /// What the last probe saw.
+    /// The health according to the latest probe.
     pub health: ReplicaHealth,
-    /// The machine that it is on.
+    /// The machine that the replica is on.
     pub machine: Option<String>,
-    /// Its start was asked for, by this owner.
+    /// Whether this owner has requested the start.
     pub start_requested: bool,
-    /// It has had a place and no answer for longer than a start may take, can never be
-    /// started, or answers now and then.
+    /// Why the replica has failed: it was unresponsive on its machine for longer than a start
+    /// may take, its start was rejected, or it answers too few of its probes.
     pub failure: Option<String>,
-    /// It has drained for long enough.
+    /// Whether the replica has drained for the whole drain time.
     pub drained: bool,
-    /// It was stopped, by this owner.
+    /// Whether this owner has stopped the replica.
     pub stopped: bool,
 }
 
-/// What is known of the replicas, by number.
+/// What is known of the replicas, by their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaObservations(pub BTreeMap<u32, ReplicaObservation>);
 
@@ -65,13 +67,13 @@
             .is_some_and(|observation| observation.health == ReplicaHealth::Answering)
     }
 
-    /// The replicas that take requests and answer.
+    /// Returns the numbers of the replicas that take requests and answer.
     pub fn answering(&self, record: &ServiceRecord) -> Vec<u32> {
         let serving = record.replicas.iter().filter(|r| r.stage == ReplicaStage::Serving);
         serving.filter(|replica| self.answers(replica)).map(|replica| replica.number).collect()
     }
 
-    /// A replica that takes requests and of which nothing is known.
+    /// Returns the number of the first replica that takes requests and whose health is unknown.
     pub fn first_unobserved(&self, record: &ServiceRecord) -> Option<u32> {
         let serving = record.replicas.iter().filter(|r| r.stage == ReplicaStage::Serving);
         let unobserved =
@@ -79,8 +81,8 @@
         serving.filter(unobserved).map(|replica| replica.number).next()
     }
 
-    /// How many of these are on the machine that holds most of them. Those whose machine
-    /// is unknown may all be on one.
+    /// Returns how many of these replicas are on the machine that has the most of them.
+    /// Replicas whose machine is unknown count as being on one machine, since they may be.
     pub fn max_replicas_per_machine(&self, replicas: &[u32]) -> u32 {
         let mut replicas_on: BTreeMap<Option<&str>, u32> = BTreeMap::new();
         for number in replicas {
@@ -91,73 +93,74 @@
     }
 }
 
-/// What the health gate says of the present step.
+/// The health gate's verdict on the step that soaks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The soak time isn't over.
+    /// The soak time isn't over, or no probe was counted yet.
     Undecided,
     /// The next step may begin.
     Healthy,
-    /// The rollout turns back.
+    /// The rollout is to be rolled back, for this reason.
     Unhealthy(String),
 }
 
-/// Why nothing is done.
+/// Why the executor waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// This process holds no session.
+    /// This process has no valid session.
     NoSession,
-    /// Another process drives the rollout.
+    /// Another process owns the service, or may adopt it first.
     NotOwner,
-    /// There is nothing to do.
+    /// The service has no rollout in progress, and all its replicas serve.
     NoWork,
-    /// An operator holds it.
+    /// An operator has paused the rollout.
     Paused,
     /// Replicas don't answer yet.
     NotAnswering,
-    /// Replicas wait for room in the fleet.
+    /// Replicas wait for free capacity in the fleet.
     NoCapacity,
-    /// Replicas finish the requests that they have.
+    /// Replicas finish their requests in progress.
     Draining,
-    /// The step is watched.
+    /// The soak time of the step isn't over.
     Soaking,
 }
 
-/// What a controller knows of a service.
+/// What a controller knows of a service: the input of [`decide`].
 #[derive(Clone, Copy, Debug)]
 pub struct Facts<'a> {
-    /// This process.
+    /// The identity of this process.
     pub me: &'a Owner,
-    /// The service, as last read.
+    /// The service's record, as last read.
     pub record: &'a ServiceRecord,
-    /// This process surely holds its session.
+    /// Whether this process certainly holds its session.
     pub session_valid: bool,
-    /// The session of the record's owner exists.
+    /// Whether the session of the record's owner exists.
     pub owner_alive: bool,
-    /// The time that this controller leaves to others before it adopts is over.
+    /// Whether this controller has waited long enough for the controllers that may adopt
+    /// the service before it.
     pub may_adopt: bool,
-    /// What was lately seen.
+    /// The latest observations of the replicas.
     pub observations: &'a ReplicaObservations,
-    /// What the health gate says.
+    /// The health gate's verdict, with the promotion condition applied.
     pub verdict: &'a Verdict,
-    /// New jobs are named from here on.
+    /// The number that a new replica's number is added to for the id of its job.
     pub job_id_base: u64,
 }
 
-/// What to do next.
+/// The next step of the executor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing, until something changes.
+    /// Wait until something changes.
     Wait(WaitReason),
     /// Replace the record.
     Write(Box<ServiceRecord>),
-    /// Ask for a replica.
+    /// Request the start of the replica with this number.
     Start(u32),
-    /// Stop a replica.
+    /// Stop the replica with this number.
     Stop(u32),
 }
 
-/// What to do next.
+/// Decides the next step for a service.
 pub fn decide(facts: &Facts<'_>) -> Step {
     let record = facts.record;
     if !facts.session_valid {
@@ -186,12 +189,14 @@
     }
 }
 
-/// Whether anything is left to do for a service.
+/// Whether a rollout is in progress or a replica is still to be started or stopped.
 pub fn has_work(record: &ServiceRecord) -> bool {
     let unsettled = |replica: &Replica| replica.stage != ReplicaStage::Serving;
     record.active_rollout().is_some() || record.replicas.iter().any(unsettled)
 }
 
+/// Takes the service over once its owner's session has ended and it is this controller's
+/// turn.
 fn adopt(facts: &Facts<'_>) -> Step {
     let vacant = facts.record.owner.is_none() || !facts.owner_alive;
     if !vacant || !facts.may_adopt {
@@ -203,13 +208,15 @@
     })
 }
 
+/// Returns the step that writes the record with this change.
 fn write_changed(record: &ServiceRecord, edit: impl FnOnce(&mut ServiceRecord)) -> Step {
     let mut next = record.clone();
     edit(&mut next);
     Step::Write(Box::new(next))
 }
 
-/// Sees through what was decided before, whatever the rollout does now.
+/// Completes starts, drains and stops that are recorded, whatever phase the rollout is in and
+/// also while it is paused. Returns `None` if nothing can be done for them now.
 fn advance_replicas(facts: &Facts<'_>) -> Option<Step> {
     let record = facts.record;
     let mut next = record.clone();
@@ -224,7 +231,7 @@
                 ReplicaStage::Serving
             }
             ReplicaStage::Draining if observation.drained => ReplicaStage::Stopping,
-            // A job that ended by itself is cleaned up like one that was stopped.
+            // A job that ended without an order is cleaned up like one that was stopped.
             ReplicaStage::Starting | ReplicaStage::Serving
                 if observation.health == ReplicaHealth::Gone =>
             {
@@ -244,7 +251,8 @@
     to_stop.map(|r| Step::Stop(r.number)).or(to_start.map(|r| Step::Start(r.number)))
 }
 
-/// Why the new version is no good, if so. Turning back is final, so it isn't asked again.
+/// Returns why the rollout must be rolled back, or `None` if it need not. A rollout that rolls
+/// back never goes forward again, so it has no further reason.
 fn rollback_reason(facts: &Facts<'_>, rollout: &Rollout) -> Option<String> {
     if rollout.phase == Phase::RollingBack {
         return None;
@@ -265,19 +273,21 @@
     }
 }
 
-/// Replicas of a version that are there to stay.
+/// Returns the replicas of a version that are neither draining nor stopping.
 fn kept_of_version<'a>(record: &'a ServiceRecord, version: &str) -> Vec<&'a Replica> {
     let kept = |r: &&Replica| matches!(r.stage, ReplicaStage::Starting | ReplicaStage::Serving);
     record.replicas.iter().filter(kept).filter(|replica| replica.version == version).collect()
 }
 
+/// Returns the replicas of all other versions that are neither draining nor stopping.
 fn kept_of_other_versions<'a>(record: &'a ServiceRecord, version: &str) -> Vec<&'a Replica> {
     let kept = |r: &&Replica| matches!(r.stage, ReplicaStage::Starting | ReplicaStage::Serving);
     record.replicas.iter().filter(kept).filter(|replica| replica.version != version).collect()
 }
 
-/// Whether the level and a spare answer without this replica. One that doesn't answer
-/// takes nothing away.
+/// Whether a replica may be drained: the other answering replicas must make up the level and,
+/// with `keep_spare`, the spare. Draining a replica that doesn't answer takes no capacity
+/// away.
 fn may_drain(facts: &Facts<'_>, rollout: &Rollout, replica: &Replica, keep_spare: bool) -> bool {
     let answering = facts.observations.answering(facts.record);
     if !answering.contains(&replica.number) {
@@ -293,7 +303,7 @@
     rest.len() as u32 >= rollout.level + spare
 }
 
-/// Drains one of these, one that doesn't answer first.
+/// Drains one of the candidates, if one may be drained; those that don't answer come first.
 fn drain_next(
     facts: &Facts<'_>,
     rollout: &Rollout,
@@ -313,7 +323,8 @@
     }))
 }
 
-/// Adds replicas of a version up to `wanted`, within the surge.
+/// Adds replicas of a version up to `wanted`, as far as the size and the surge allow. Returns
+/// `None` if there are none to add.
 fn add_replicas(facts: &Facts<'_>, rollout: &Rollout, version: &str, wanted: u32) -> Option<Step> {
     let have = kept_of_version(facts.record, version).len() as u32;
     let all = facts.record.replicas.len() as u32;
@@ -328,6 +339,8 @@
     })
 }
 
+/// Adds new replicas and drains old ones up to the step's percentage. The soak begins once the
+/// drained replicas are gone and enough new ones answer.
 fn step_forward(facts: &Facts<'_>, rollout: &Rollout) -> Step {
     let old = kept_of_other_versions(facts.record, &rollout.to);
     let new = rollout.new_replica_target();
@@ -356,6 +369,7 @@
     })
 }
 
+/// Waits for the health gate to find the step healthy, then begins the next step or finishes.
 fn continue_soak(facts: &Facts<'_>, rollout: &Rollout) -> Step {
     if *facts.verdict != Verdict::Healthy {
         return Step::Wait(WaitReason::Soaking);
@@ -372,7 +386,8 @@
     })
 }
 
-/// One version is left: those beyond the size go, and the rollout ends once all answer.
+/// Only one version is left: drains the replicas beyond the size, and ends the rollout once
+/// all others answer.
 fn finish(facts: &Facts<'_>, rollout: &Rollout, end: Phase) -> Step {
     let version = rollout.target_version().to_owned();
     let left = kept_of_version(facts.record, &version);
@@ -398,19 +413,21 @@
     })
 }
 
+/// Adds old replicas and drains new ones until none is left.
 fn restore_old_version(facts: &Facts<'_>, rollout: &Rollout) -> Step {
-    let unwanted = kept_of_other_versions(facts.record, &rollout.from);
-    let new_left = facts.record.replicas.iter().any(|replica| replica.version != rollout.from);
-    if !new_left {
+    let new = kept_of_other_versions(facts.record, &rollout.from);
+    let any_new_left = facts.record.replicas.iter().any(|replica| replica.version != rollout.from);
+    if !any_new_left {
         return finish(facts, rollout, Phase::RolledBack);
     }
     if let Some(step) = add_replicas(facts, rollout, &rollout.from, rollout.size + rollout.surge) {
         return step;
     }
-    let drained = drain_next(facts, rollout, &unwanted, true);
+    let drained = drain_next(facts, rollout, &new, true);
     drained.unwrap_or_else(|| Step::Wait(wait_reason(facts)))
 }
 
+/// Returns what a rollout that can't add or drain replicas waits for.
 fn wait_reason(facts: &Facts<'_>) -> WaitReason {
     let starting = |r: &&Replica| r.stage == ReplicaStage::Starting;
     let health = |r: &Replica| facts.observations.observation_of(r).health;
--- a/crates/stonewheel-rollout/src/record.rs
+++ b/crates/stonewheel-rollout/src/record.rs
@@ -1,165 +1,169 @@
-//! The durable state of a service: its replicas, and the rollout under way.
+//! The durable state of a service: its replicas, and its present or latest rollout.
 //!
-//! One record a service, `sp/r/s/{service}`, changed by compare-and-set alone. Every
-//! replica is a job of its own, named here before it is started.
+//! Each service has one record, `sp/r/s/{service}`, which is changed only by
+//! compare-and-set. Every replica runs as a separate job, whose id is recorded here before
+//! the job is submitted.
 
 use serde::{Deserialize, Serialize};
 use stonewheel_coordination::Owner;
 
-/// Entries of the history that are kept: the latest.
+/// How many entries of a rollout's history are kept; the oldest are dropped.
 pub const MAX_HISTORY_ENTRIES: usize = 8;
-/// Commands whose outcome is remembered for repeats: the latest.
+/// How many commands are remembered to recognize repeats; the oldest are dropped.
 pub const MAX_REMEMBERED_COMMANDS: usize = 8;
 
-/// What the longest history and the commands take, at the most.
+/// An upper bound on the bytes of a record without its replicas: mostly the longest history
+/// and the remembered commands.
 const FIXED_BYTES: usize = 2048;
-/// What a replica takes besides the name of its version.
+/// An upper bound on the bytes of a replica without the name of its version.
 const REPLICA_BYTES: usize = 80;
-/// The longest reason that is kept.
+/// Bytes of the longest reason in the history; longer ones are truncated.
 const MAX_REASON_BYTES: usize = 100;
 
-/// What a record with so many replicas may take.
+/// Returns an upper bound on the bytes of a record with this many replicas.
 pub fn max_record_bytes(replicas: u32, version: &str) -> usize {
     FIXED_BYTES + replicas as usize * (REPLICA_BYTES + version.len())
 }
 
-/// The key that marks a job as a replica of ours.
+/// Returns the key of the marker of a job that was submitted as a replica of a rollout.
 pub fn job_key(job: &str) -> String {
     format!("sp/r/j/{job}")
 }
 
-/// The key of a service's record.
+/// Returns the key of a service's record.
 pub fn service_key(service: &str) -> String {
     format!("sp/r/s/{service}")
 }
 
-/// A service.
+/// The record of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// Fencing token: it rises whenever the owner changes.
+    /// The fencing token, which rises whenever the owner changes.
     pub epoch: u64,
-    /// Who drives the rollout.
+    /// The controller process that drives the service.
     pub owner: Option<Owner>,
     /// The version that the service runs when no rollout is under way.
     pub version: String,
-    /// The number of the next replica; none is used twice.
+    /// The number of the next replica; numbers are not reused.
     pub next_replica: u32,
-    /// The replicas.
+    /// The replicas that exist, those that are still to be started or stopped included.
     pub replicas: Vec<Replica>,
-    /// The rollout under way, or the last one.
+    /// The present or the latest rollout.
     pub rollout: Option<Rollout>,
-    /// Commands that were carried out.
+    /// The latest commands that were carried out, oldest first.
     pub commands: Vec<DoneCommand>,
 }
 
 /// One replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Its number, unique within the service for ever.
+    /// The replica's number, never reused within the service.
     pub number: u32,
-    /// The job that it runs as.
+    /// The id of the job that the replica runs as.
     pub job: String,
-    /// The version that it runs.
+    /// The version that the replica runs.
     pub version: String,
-    /// How far it is.
+    /// The stage of the replica's life.
     pub stage: ReplicaStage,
 }
 
-/// How far a replica is.
+/// The stage of a replica's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaStage {
-    /// It is to be started, or has been, and has not answered yet.
+    /// The replica is to be started or was started, and has not answered yet.
     Starting,
-    /// It answered, and takes requests.
+    /// The replica has answered, and takes requests.
     Serving,
-    /// It takes no new requests, and finishes those that it has.
+    /// The replica takes no new requests, and finishes those in progress.
     Draining,
-    /// It is to be stopped.
+    /// The replica is to be stopped.
     Stopping,
 }
 
-/// A change from one version to another.
+/// A rollout: the change of a service from one version to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The id of the command that started it.
     pub id: String,
-    /// The version that stood before.
+    /// The version that the service ran before.
     pub from: String,
     /// The version that is rolled out.
     pub to: String,
-    /// Replicas that the service has, and has again in the end.
+    /// Serving replicas when the rollout began, and again when it ends.
     pub size: u32,
-    /// Replicas that answered when it began: never fewer answer by its doing.
+    /// Replicas that answered when the rollout began. No step of the rollout reduces the
+    /// number of answering replicas below this level.
     pub level: u32,
-    /// Replicas beyond the size that may exist at once.
+    /// Replicas beyond the size that may exist at the same time.
     pub surge: u32,
-    /// Percentages of the size, rising to 100.
+    /// Percentages of the size that run the new version after each step, rising to 100.
     pub steps: Vec<u8>,
-    /// The present step, from 0.
+    /// The index of the present step.
     pub step: u32,
-    /// What it is doing.
+    /// The phase that the rollout is in.
     pub phase: Phase,
-    /// An operator holds it.
+    /// Whether an operator has paused the rollout.
     pub paused: bool,
-    /// Why each phase began, the latest last.
+    /// Why each of the latest phases began, oldest first.
     pub history: Vec<HistoryEntry>,
 }
 
-/// What a rollout is doing.
+/// The phase of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// New replicas start, and old ones are drained as far as the step goes.
+    /// New replicas start, and old ones are drained, up to the step's percentage.
     Stepping,
-    /// The step is reached; its replicas are watched.
+    /// The step's percentage is reached; the new replicas are probed for the soak time.
     Soaking,
-    /// Only new replicas are left; those beyond the level go.
+    /// Only new replicas are left; those beyond the size are drained.
     Finishing,
-    /// The old version comes back.
+    /// Old replicas are started, and new ones are drained.
     RollingBack,
     /// All replicas run the new version.
     Done,
     /// All replicas run the old version.
     RolledBack,
-    /// An operator ended it where it was.
+    /// An operator ended the rollout; replicas of both versions may serve.
     Aborted,
 }
 
 impl Phase {
-    /// Whether the rollout is over.
+    /// Whether a rollout in this phase is over.
     pub fn is_over(self) -> bool {
         matches!(self, Self::Done | Self::RolledBack | Self::Aborted)
     }
 }
 
-/// Why a phase began.
+/// The begin of a phase of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The phase.
+    /// The phase that began.
     pub phase: Phase,
-    /// The step at that time.
+    /// The index of the step at that time.
     pub step: u32,
-    /// Why.
+    /// Why the phase began.
     pub why: String,
 }
 
-/// A command that was carried out, for whoever repeats it.
+/// A command that was carried out, remembered to recognize repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DoneCommand {
-    /// Its id, chosen by the caller.
+    /// The command's id, chosen by the caller.
     pub id: String,
-    /// What it was: another command with its id is refused.
+    /// The text of the command: a command with the same id and another text is refused.
     pub kind: String,
 }
 
 impl Rollout {
-    /// The version that replicas are to have in the end, as things stand.
+    /// Returns the version that all replicas have at the end of the rollout: the old one
+    /// while it rolls back, otherwise the new one.
     pub fn target_version(&self) -> &str {
         if self.phase == Phase::RollingBack { &self.from } else { &self.to }
     }
 
-    /// New replicas that the present step asks for.
+    /// Returns how many replicas run the new version at the end of the present step.
     pub fn new_replica_target(&self) -> u32 {
         let percent = self.steps.get(self.step as usize).copied().unwrap_or(100);
         (self.size * u32::from(percent)).div_ceil(100)
@@ -170,7 +174,7 @@
         self.step as usize + 1 >= self.steps.len()
     }
 
-    /// Begins a phase.
+    /// Begins a phase and records it in the history.
     pub fn enter_phase(&mut self, phase: Phase, why: impl Into<String>) {
         self.phase = phase;
         let mut why: String = why.into();
@@ -184,17 +188,18 @@
 }
 
 impl ServiceRecord {
-    /// The rollout, unless it is over.
+    /// Returns the rollout, unless it is over.
     pub fn active_rollout(&self) -> Option<&Rollout> {
         self.rollout.as_ref().filter(|rollout| !rollout.phase.is_over())
     }
 
-    /// A replica by its number.
+    /// Returns a replica by its number.
     pub fn replica_mut(&mut self, number: u32) -> Option<&mut Replica> {
         self.replicas.iter_mut().find(|replica| replica.number == number)
     }
 
-    /// Names another replica, and its job from `job_id_base` on.
+    /// Adds a replica that is to be started, and returns its number. The id of its job is
+    /// the sum of `job_id_base` and the number.
     pub fn add_replica(&mut self, version: &str, job_id_base: u64) -> u32 {
         let number = self.next_replica;
         self.next_replica += 1;
--- a/crates/stonewheel-rollout/src/routes.rs
+++ b/crates/stonewheel-rollout/src/routes.rs
@@ -1,7 +1,8 @@
-//! The way in for operators' commands, over HTTP:
+//! The HTTP interface for operators:
 //!
-//! - `GET /rollouts/{service}`: the record, and where its replicas take requests;
-//! - `POST /rollouts/{service}`: a command, with an id that its caller chose.
+//! - `GET /rollouts/{service}` returns the service's record and the endpoints of the
+//!   replicas that take requests;
+//! - `POST /rollouts/{service}` takes a command, with an id that the caller chose.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -25,18 +26,18 @@
     record::ServiceRecord,
 };
 
-/// Operators' connections at once.
+/// Open connections of operators at the same time.
 const MAX_CONNECTIONS: usize = 32;
-/// The longest body of a command.
+/// Bytes of the longest body of a command.
 const MAX_BODY_BYTES: u64 = 4096;
-/// A connection reads so much ahead.
+/// Bytes that a connection reads ahead.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// How long a connection may idle.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// When to come back after a refusal that time heals, in seconds.
+/// How long a request's header may take to arrive, idle time before it included.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(60);
+/// The `Retry-After` header of an answer 503, in seconds.
 const RETRY_AFTER_S: &str = "1";
 
-/// A command as it comes in.
+/// The body of a command.
 #[derive(Debug, Deserialize)]
 struct CommandBody {
     id: String,
@@ -165,10 +166,10 @@
     }
 }
 
-/// Takes commands until told to stop.
+/// Serves operators' requests until `stop` is cancelled.
 pub async fn serve(executor: Arc<Executor>, listener: TcpListener, stop: CancellationToken) {
     let service = warp::service(routes(executor));
-    let limits = ConnectionLimits { header_time: IDLE_TIMEOUT, buffer: READ_BUFFER_BYTES };
+    let limits = ConnectionLimits { header_time: HEADER_TIMEOUT, buffer: READ_BUFFER_BYTES };
     let connection = move |stream: TcpStream, stop: CancellationToken| {
         let service = TowerToHyperService::new(service.clone());
         serve_connection(stream, service, limits, stop)
--- a/crates/stonewheel-rollout/src/settings.rs
+++ b/crates/stonewheel-rollout/src/settings.rs
@@ -1,5 +1,5 @@
-//! The operators' settings of this part: a section `rollout`, and one `service NAME` for
-//! each service.
+//! The operators' settings of rollouts: a section `rollout`, and a section `service NAME`
+//! for each service.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,37 +9,39 @@
     FieldError, MAX_TIME_S, MIN_TIME_S, PartSections, Section, known_priority, path, whole,
 };
 
-/// How the sections of this part are called.
+/// The names of the sections of rollouts.
 const SECTIONS: PartSections =
     PartSections { general: "rollout", prefix: "service ", table: "services" };
 
-/// Of the time between two probes, a promotion condition may take one in so many parts.
-/// Its operations are limited too, and mostly end it far earlier; a process that
-/// stands still for a moment must not turn a rollout back.
+/// The evaluation of a promotion condition may take the probe interval divided by this. The
+/// limit on a script's operations mostly stops it far earlier. The time limit is generous
+/// because a short stall of the process must not roll a rollout back.
 const CONDITION_TIMEOUT_DIVISOR: u32 = 4;
 
-/// The times of a rollout, and what its health gate allows.
+/// The times of rollouts, and the failures that the health gate tolerates.
 #[derive(Clone, Copy, Debug, PartialEq, Validate)]
 pub struct RolloutSettings {
-    /// How often replicas are probed.
+    /// The interval between two probes of a replica.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub look_s: f64,
-    /// A replica that has a place and doesn't answer for so long has failed.
+    /// A replica that is placed on a machine and doesn't answer for this long has failed.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(spans_several_probes(self.look_s)))]
     pub start_s: f64,
-    /// How long a step is watched before the next one.
+    /// The soak time: how long the replicas are probed at the end of a step before the next
+    /// one begins.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(spans_several_probes(self.look_s)))]
     pub soak_s: f64,
-    /// How long a replica drains: longer than balancers and clients may lag, and than
+    /// How long a replica drains: longer than load balancers and clients take to notice, plus
     /// the longest request.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub drain_s: f64,
-    /// Probes of new replicas that may go unanswered, as a share of all within a step.
+    /// The share of probes that may go unanswered: of all new replicas within a soak time,
+    /// and of each replica since it first answered.
     #[garde(range(min = 0.0, max = 1.0))]
     pub most_failures: f64,
 }
 
-/// A wait that is shorter than a few probes says nothing.
+/// Checks that a time spans several probes: fewer would be too few to decide on.
 fn spans_several_probes(look_s: f64) -> impl FnOnce(&f64, &()) -> garde::Result {
     const MIN_PROBES: f64 = 3.0;
     move |value, &()| {
@@ -50,49 +52,49 @@
     }
 }
 
-/// One service: its replicas as the scheduler is to place them.
+/// One service, and what the scheduler needs to know to place its replicas.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct ServiceSettings {
-    /// The team that pays for it.
+    /// The team that the replicas are accounted to.
     #[garde(length(bytes, min = 1, max = 200))]
     pub team: String,
-    /// Its class of jobs.
+    /// The class of the replicas' jobs.
     #[garde(length(bytes, min = 1, max = 200))]
     pub class: String,
-    /// How urgent its replicas are, in the submission's terms.
+    /// The priority of the replicas' jobs, by the name that job submissions use.
     #[garde(custom(known_priority))]
     pub priority: String,
-    /// The size of an image of any version.
+    /// The size of the image of each version, in GB.
     #[garde(range(min = 0.0, max = 1e6))]
     pub image_gb: f64,
-    /// What each replica takes.
+    /// CPU cores of each replica.
     #[garde(range(min = 0.0, max = 1e6))]
     pub cpus: f64,
-    /// What each replica takes.
+    /// GPUs of each replica.
     #[garde(range(min = 0.0, max = 1e6))]
     pub gpus: f64,
-    /// What each replica takes.
+    /// Memory of each replica, in GB.
     #[garde(range(min = 0.0, max = 1e9))]
     pub memory_gb: f64,
     /// The port at which a replica answers on its machine.
     #[garde(range(min = 1.0, max = 65535.0), custom(whole))]
     pub port: f64,
-    /// The path that a replica answers with 200 once it can take requests.
+    /// The path of the health check: a replica answers it with 200 once it can take requests.
     #[garde(custom(path))]
     pub health: String,
-    /// What must hold of a step that the health gate takes for healthy, before the
-    /// next one.
+    /// The condition that must also hold, once the health gate finds a step healthy, before
+    /// the next step begins.
     #[garde(skip)]
     pub promote_when: Option<PromotionCondition>,
 }
 
-/// All settings of this part.
+/// All settings of rollouts.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct Rollouts {
-    /// Where commands are taken.
+    /// The address at which operators' commands are taken over HTTP.
     #[garde(skip)]
     pub listen: SocketAddr,
-    /// The times of rollouts.
+    /// The times and tolerances of all rollouts.
     #[garde(dive)]
     pub times: RolloutSettings,
     /// The services, by name.
@@ -100,13 +102,13 @@
     pub services: BTreeMap<String, ServiceSettings>,
 }
 
-/// Whether a section belongs to this part.
+/// Whether a section belongs to the settings of rollouts.
 pub fn is_section(name: &str) -> bool {
     SECTIONS.contain(name)
 }
 
-/// Reads the sections of this part out of an INI file's. None if there is no section
-/// `rollout`. Sections of other parts are passed over.
+/// Reads the sections of rollouts among those of an INI file. Returns `None` if there are
+/// none. Other sections are ignored.
 pub fn parse_sections<'a>(
     sections: impl Iterator<Item = (&'a str, Vec<(&'a str, &'a str)>)>,
 ) -> Result<Option<Rollouts>, FieldError> {
@@ -160,27 +162,28 @@
 }
 
 impl RolloutSettings {
-    /// How long an evaluation of a promotion condition may take.
+    /// Returns how long the evaluation of a promotion condition may take.
     pub fn condition_timeout(&self) -> Duration {
         self.probe_interval() / CONDITION_TIMEOUT_DIVISOR
     }
 
-    /// How often replicas are probed.
+    /// Returns the interval between two probes of a replica.
     pub fn probe_interval(&self) -> Duration {
         Duration::from_secs_f64(self.look_s)
     }
 
-    /// How long a start may take from a place to an answer.
+    /// Returns how long a replica may take from its placement on a machine to its first
+    /// answer.
     pub fn start_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.start_s)
     }
 
-    /// How long a step is watched.
+    /// Returns how long the replicas are probed at the end of a step.
     pub fn soak_time(&self) -> Duration {
         Duration::from_secs_f64(self.soak_s)
     }
 
-    /// How long a replica drains.
+    /// Returns how long a replica drains.
     pub fn drain_time(&self) -> Duration {
         Duration::from_secs_f64(self.drain_s)
     }
