--- a/crates/stonewheel-rollout/src/settings/tests.rs
+++ b/crates/stonewheel-rollout/src/settings/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_mistake_is_named_and_without_a_section_the_part_is_off() {
+fn invalid_settings_name_their_field_and_without_a_section_rollouts_are_off() {
     let parse = |general: Pairs, service: Pairs| {
         parse_sections([("rollout", general), ("service matcher", service)].into_iter())
     };
--- a/crates/stonewheel-rollout/tests/common/mod.rs
+++ b/crates/stonewheel-rollout/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet played in steps of time: machines that may be lost, replicas that load, answer,
-//! fail and move, and an owner that may be replaced.
+//! A fleet simulated in ticks: machines that may be lost, replicas that load, answer, fail
+//! and move to other machines, and an owner that may be replaced.
 
 pub mod deployment;
 pub mod servers;
@@ -15,50 +15,52 @@
     record::{Phase, Replica, ReplicaStage, ServiceRecord},
 };
 
-/// Ticks from a place to the first answer.
-const LOAD: u32 = 3;
+/// Ticks from a replica's placement on a machine to its first answer.
+const LOAD_TICKS: u32 = 3;
 /// Ticks without an answer after which a start counts as failed.
-const OVERDUE: u32 = 8;
-/// Ticks for which a step is watched.
-const SOAK: u32 = 4;
+const START_TIMEOUT_TICKS: u32 = 8;
+/// Ticks of the soak time of a step.
+const SOAK_TICKS: u32 = 4;
 /// Ticks for which a replica drains.
-const DRAIN: u32 = 2;
+const DRAIN_TICKS: u32 = 2;
 
 pub type Planner = fn(&Facts<'_>) -> Step;
 
 #[derive(Clone, Debug, Default)]
-struct Running {
+struct SimulatedReplica {
     machine: Option<usize>,
-    placed: u32,
-    draining: u32,
+    ticks_placed: u32,
+    ticks_draining: u32,
     stopped: bool,
 }
 
-/// The fleet, and the record that its owner keeps.
+/// The fleet, and the record of its service.
 pub struct Fleet {
     pub record: ServiceRecord,
-    replicas: BTreeMap<u32, Running>,
-    /// Machines that are up.
+    replicas: BTreeMap<u32, SimulatedReplica>,
+    /// Whether each machine is up.
     machines: Vec<bool>,
-    pub room: bool,
+    /// Whether machines take further replicas.
+    pub has_free_capacity: bool,
     /// Versions whose replicas never answer.
-    pub broken: Vec<String>,
-    /// Replicas that don't answer at odd ticks.
-    pub flapping: Vec<u32>,
-    owner: u64,
-    requested: Vec<u32>,
-    silent: BTreeMap<u32, u32>,
-    missed: BTreeMap<u32, u32>,
-    soaked: u32,
+    pub broken_versions: Vec<String>,
+    /// Replicas that don't answer in odd ticks.
+    pub flapping_replicas: Vec<u32>,
+    owner_number: u64,
+    start_requested: Vec<u32>,
+    unresponsive_ticks: BTreeMap<u32, u32>,
+    missed_probes: BTreeMap<u32, u32>,
+    soaked_ticks: u32,
     ticks: u32,
     commands: u32,
     planner: Planner,
-    /// Steps that let fewer replicas answer than the level.
-    pub undercut: Vec<String>,
+    /// Writes of the planner that reduced the capacity to less than the level.
+    pub level_violations: Vec<String>,
 }
 
 impl Fleet {
-    /// `level` replicas of version `one` that answer, over these machines.
+    /// Creates a fleet with `level` answering replicas of version `one`, spread over the
+    /// machines.
     pub fn new(level: u32, machines: usize, planner: Planner) -> Self {
         let mut record = ServiceRecord {
             epoch: 0,
@@ -73,8 +75,12 @@
         for _ in 0..level {
             let number = record.add_replica("one", 1000);
             let machine = Some(number as usize % machines);
-            let running = Running { machine, placed: LOAD, ..Running::default() };
-            replicas.insert(number, running);
+            let simulated = SimulatedReplica {
+                machine,
+                ticks_placed: LOAD_TICKS,
+                ..SimulatedReplica::default()
+            };
+            replicas.insert(number, simulated);
         }
         for replica in &mut record.replicas {
             replica.stage = ReplicaStage::Serving;
@@ -83,29 +89,31 @@
             record,
             replicas,
             machines: vec![true; machines],
-            room: true,
-            broken: Vec::new(),
-            flapping: Vec::new(),
-            owner: 1,
-            requested: Vec::new(),
-            silent: BTreeMap::new(),
-            missed: BTreeMap::new(),
-            soaked: 0,
+            has_free_capacity: true,
+            broken_versions: Vec::new(),
+            flapping_replicas: Vec::new(),
+            owner_number: 1,
+            start_requested: Vec::new(),
+            unresponsive_ticks: BTreeMap::new(),
+            missed_probes: BTreeMap::new(),
+            soaked_ticks: 0,
             ticks: 0,
             commands: 0,
             planner,
-            undercut: Vec::new(),
+            level_violations: Vec::new(),
         }
     }
 
     fn answers(&self, replica: &Replica) -> bool {
-        let Some(running) = self.replicas.get(&replica.number) else { return false };
-        let up = running.machine.is_some_and(|machine| self.machines[machine]);
-        let flaps = self.flapping.contains(&replica.number) && self.ticks % 2 == 1;
-        up && !flaps && running.placed >= LOAD && !self.broken.contains(&replica.version)
+        let Some(simulated) = self.replicas.get(&replica.number) else { return false };
+        let up = simulated.machine.is_some_and(|machine| self.machines[machine]);
+        let flaps = self.flapping_replicas.contains(&replica.number) && self.ticks % 2 == 1;
+        up && !flaps
+            && simulated.ticks_placed >= LOAD_TICKS
+            && !self.broken_versions.contains(&replica.version)
     }
 
-    /// Replicas that take requests and answer.
+    /// Returns how many replicas take requests and answer.
     pub fn capacity(&self) -> u32 {
         let serving = self.record.replicas.iter().filter(|r| r.stage == ReplicaStage::Serving);
         serving.filter(|replica| self.answers(replica)).count() as u32
@@ -113,23 +121,26 @@
 
     pub fn observations(&self) -> ReplicaObservations {
         let observation = |replica: &Replica| {
-            let running = self.replicas.get(&replica.number);
-            let machine = running.and_then(|running| running.machine);
-            let health = match (running, machine) {
+            let simulated = self.replicas.get(&replica.number);
+            let machine = simulated.and_then(|simulated| simulated.machine);
+            let health = match (simulated, machine) {
                 (None, _) => ReplicaHealth::Unknown,
                 _ if self.answers(replica) => ReplicaHealth::Answering,
                 (_, Some(_)) => ReplicaHealth::Unresponsive,
                 (_, None) => ReplicaHealth::NoCapacity,
             };
-            let overdue = self.silent.get(&replica.number).is_some_and(|n| *n > OVERDUE);
-            let flaps = self.missed.get(&replica.number).is_some_and(|n| *n > 3);
+            let overdue = self
+                .unresponsive_ticks
+                .get(&replica.number)
+                .is_some_and(|n| *n > START_TIMEOUT_TICKS);
+            let flaps = self.missed_probes.get(&replica.number).is_some_and(|n| *n > 3);
             ReplicaObservation {
                 health,
                 machine: machine.map(|machine| format!("n-{machine}")),
-                start_requested: self.requested.contains(&replica.number),
+                start_requested: self.start_requested.contains(&replica.number),
                 failure: (overdue || flaps).then(|| "it does not answer".into()),
-                drained: running.is_some_and(|running| running.draining >= DRAIN),
-                stopped: running.is_some_and(|running| running.stopped),
+                drained: simulated.is_some_and(|simulated| simulated.ticks_draining >= DRAIN_TICKS),
+                stopped: simulated.is_some_and(|simulated| simulated.stopped),
             }
         };
         ReplicaObservations(
@@ -137,7 +148,7 @@
         )
     }
 
-    /// A command, as any controller may take it.
+    /// Applies a command, as any controller may.
     pub fn command(&mut self, kind: CommandKind) -> Result<(), CommandError> {
         self.commands += 1;
         let command = Command { id: format!("c-{}", self.commands), kind };
@@ -155,26 +166,26 @@
         let machine = machine % self.machines.len();
         if self.machines.iter().filter(|up| **up).count() > 1 {
             self.machines[machine] = false;
-            for running in self.replicas.values_mut().filter(|r| r.machine == Some(machine)) {
-                (running.machine, running.placed) = (None, 0);
+            for simulated in self.replicas.values_mut().filter(|r| r.machine == Some(machine)) {
+                (simulated.machine, simulated.ticks_placed) = (None, 0);
             }
         }
     }
 
-    pub fn bring_machine(&mut self, machine: usize) {
+    pub fn restore_machine(&mut self, machine: usize) {
         let machine = machine % self.machines.len();
         self.machines[machine] = true;
     }
 
-    /// The owner ends; another one takes over, and knows nothing but the record.
+    /// Replaces the owner by one that knows nothing but the record.
     pub fn replace_owner(&mut self) {
-        self.owner += 1;
-        self.requested.clear();
-        self.silent.clear();
-        self.missed.clear();
-        self.soaked = 0;
-        for running in self.replicas.values_mut() {
-            running.draining = 0;
+        self.owner_number += 1;
+        self.start_requested.clear();
+        self.unresponsive_ticks.clear();
+        self.missed_probes.clear();
+        self.soaked_ticks = 0;
+        for simulated in self.replicas.values_mut() {
+            simulated.ticks_draining = 0;
         }
     }
 
@@ -182,26 +193,26 @@
         self.record.rollout.as_ref().map(|rollout| rollout.phase)
     }
 
-    /// One tick of time, in which the owner does all that it can.
+    /// Advances the fleet by one tick, in which the owner takes steps until it waits.
     pub fn tick(&mut self) {
         self.ticks += 1;
         self.place();
         self.probe();
         for _ in 0..50 {
-            if !self.act() {
+            if !self.take_step() {
                 return;
             }
         }
-        panic!("the planner does not come to rest: {:?}", self.record);
+        panic!("the planner still takes steps after 50 in one tick: {:?}", self.record);
     }
 
     fn place(&mut self) {
         let up: Vec<usize> = (0..self.machines.len()).filter(|m| self.machines[*m]).collect();
-        for (number, running) in &mut self.replicas {
-            if running.machine.is_none() && self.room && !running.stopped {
-                running.machine = up.get(*number as usize % up.len()).copied();
-            } else if running.machine.is_some() {
-                running.placed += 1;
+        for (number, simulated) in &mut self.replicas {
+            if simulated.machine.is_none() && self.has_free_capacity && !simulated.stopped {
+                simulated.machine = up.get(*number as usize % up.len()).copied();
+            } else if simulated.machine.is_some() {
+                simulated.ticks_placed += 1;
             }
         }
     }
@@ -210,28 +221,32 @@
         let replicas = self.record.replicas.clone();
         for replica in &replicas {
             let answers = self.answers(replica);
-            let placed =
-                self.replicas.get(&replica.number).is_some_and(|running| running.machine.is_some());
-            let silent = self.silent.entry(replica.number).or_default();
-            *silent = if placed && !answers { *silent + 1 } else { 0 };
+            let placed = self
+                .replicas
+                .get(&replica.number)
+                .is_some_and(|simulated| simulated.machine.is_some());
+            let unresponsive = self.unresponsive_ticks.entry(replica.number).or_default();
+            *unresponsive = if placed && !answers { *unresponsive + 1 } else { 0 };
             if replica.stage == ReplicaStage::Serving && placed && !answers {
-                *self.missed.entry(replica.number).or_default() += 1;
+                *self.missed_probes.entry(replica.number).or_default() += 1;
             }
-            if let Some(running) = self.replicas.get_mut(&replica.number)
+            if let Some(simulated) = self.replicas.get_mut(&replica.number)
                 && replica.stage == ReplicaStage::Draining
             {
-                running.draining += 1;
+                simulated.ticks_draining += 1;
             }
         }
         let soaking = self.phase() == Some(Phase::Soaking);
-        self.soaked = if soaking { self.soaked + 1 } else { 0 };
+        self.soaked_ticks = if soaking { self.soaked_ticks + 1 } else { 0 };
     }
 
-    /// One step of the owner; false if it waits.
-    fn act(&mut self) -> bool {
-        let me = Owner { member: format!("m-{}", self.owner), incarnation: self.owner };
+    /// Takes one step of the owner. Returns false if the owner waits.
+    fn take_step(&mut self) -> bool {
+        let me =
+            Owner { member: format!("m-{}", self.owner_number), incarnation: self.owner_number };
         let observations = self.observations();
-        let verdict = if self.soaked >= SOAK { Verdict::Healthy } else { Verdict::Undecided };
+        let verdict =
+            if self.soaked_ticks >= SOAK_TICKS { Verdict::Healthy } else { Verdict::Undecided };
         let step = (self.planner)(&Facts {
             me: &me,
             record: &self.record,
@@ -246,12 +261,12 @@
             Step::Wait(_) => return false,
             Step::Write(next) => self.write(*next),
             Step::Start(number) => {
-                self.requested.push(number);
+                self.start_requested.push(number);
                 self.replicas.entry(number).or_default();
             }
             Step::Stop(number) => {
-                let running = self.replicas.entry(number).or_default();
-                (running.stopped, running.machine) = (true, None);
+                let simulated = self.replicas.entry(number).or_default();
+                (simulated.stopped, simulated.machine) = (true, None);
             }
         }
         true
@@ -264,15 +279,16 @@
         let rollout = self.record.rollout.as_ref();
         let level = rollout.map_or(0, |rollout| rollout.level);
         if after < before && after < level {
-            self.undercut.push(format!("{before} to {after} of {level}: {old:?}"));
+            self.level_violations.push(format!("{before} to {after} of {level}: {old:?}"));
         }
         if self.phase() != Some(Phase::Soaking) {
-            self.soaked = 0;
+            self.soaked_ticks = 0;
         }
     }
 
-    /// Plays until the rollout is over and all is settled.
-    pub fn settle(&mut self, ticks: u32) -> bool {
+    /// Advances the fleet until the rollout is over and all replicas serve. Returns false if
+    /// that takes more than this many ticks.
+    pub fn run_until_settled(&mut self, ticks: u32) -> bool {
         for _ in 0..ticks {
             self.tick();
             let over = self.phase().is_none_or(Phase::is_over);
@@ -284,7 +300,7 @@
         false
     }
 
-    pub fn versions(&self) -> Vec<&str> {
+    pub fn distinct_versions(&self) -> Vec<&str> {
         let mut versions: Vec<&str> =
             self.record.replicas.iter().map(|replica| replica.version.as_str()).collect();
         versions.dedup();
@@ -292,14 +308,14 @@
     }
 }
 
-/// The planner of the package.
-pub fn real(facts: &Facts<'_>) -> Step {
+/// The planner of the crate.
+pub fn planner_under_test(facts: &Facts<'_>) -> Step {
     decide(facts)
 }
 
-/// A planner that makes room by draining: the same, but it drains an old replica for
-/// each new one as soon as that is named.
-pub fn drains_first(facts: &Facts<'_>) -> Step {
+/// A faulty planner that frees capacity by draining: like the crate's planner, but it drains
+/// an old replica for each new one as soon as the new one is recorded.
+pub fn planner_draining_first(facts: &Facts<'_>) -> Step {
     let step = decide(facts);
     let Step::Write(mut next) = step else { return step };
     let starting = next.replicas.iter().filter(|r| r.stage == ReplicaStage::Starting).count();
--- a/crates/stonewheel-rollout/tests/common/servers.rs
+++ b/crates/stonewheel-rollout/tests/common/servers.rs
@@ -1,5 +1,5 @@
-//! Stand-in servers: replicas on machines, that load, answer, fail and are stopped. They
-//! refuse orders of whoever was replaced, and keep their own log.
+//! Simulated servers: replicas on machines that load, answer, fail and are stopped. They
+//! refuse orders of former owners, and count starts, stops and refused orders.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -13,47 +13,50 @@
 use tokio::time::{Instant, sleep};
 
 const LATENCY: Duration = Duration::from_millis(10);
-const PATIENCE: Duration = Duration::from_secs(1);
-/// How long a server loads until it answers.
-pub const LOAD: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a server loads on its machine until it answers.
+pub const LOAD_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 struct Server {
     version: String,
     machine: Option<usize>,
-    /// Since when it has its place.
-    placed: Instant,
-    /// It never answers.
-    dud: bool,
+    /// When the server was placed on its machine.
+    placed_at: Instant,
+    /// Whether the server was started while its version was broken.
+    never_answers: bool,
     stopped: bool,
 }
 
 #[derive(Default)]
 struct State {
     machines: Vec<bool>,
-    /// Servers that one machine holds.
-    capacity: usize,
+    /// The most servers on one machine.
+    servers_per_machine: usize,
     servers: BTreeMap<String, Server>,
     epoch: u64,
-    /// Servers of these versions that start from now on never answer.
-    duds: BTreeSet<String>,
-    /// Servers of these versions answer in even seconds only.
-    flapping: BTreeSet<String>,
+    /// Versions whose servers never answer if they start from now on.
+    broken_versions: BTreeSet<String>,
+    /// Versions whose servers answer in even seconds only.
+    flapping_versions: BTreeSet<String>,
     starts: u32,
     stops: HashMap<String, u32>,
-    refused: u32,
-    began: Option<Instant>,
+    refused_orders: u32,
+    started_at: Option<Instant>,
 }
 
 impl State {
     fn answers(&self, server: &Server) -> bool {
         let up = server.machine.is_some_and(|machine| self.machines[machine]);
-        let second = self.began.map_or(0, |began| began.elapsed().as_secs());
-        let flaps = self.flapping.contains(&server.version) && second % 2 == 1;
-        up && !server.stopped && !server.dud && !flaps && server.placed.elapsed() >= LOAD
+        let second = self.started_at.map_or(0, |started_at| started_at.elapsed().as_secs());
+        let flaps = self.flapping_versions.contains(&server.version) && second % 2 == 1;
+        up && !server.stopped
+            && !server.never_answers
+            && !flaps
+            && server.placed_at.elapsed() >= LOAD_TIME
     }
 
-    /// Gives places to servers that have none.
+    /// Places servers that have no machine, each on the machine with the fewest servers.
     fn place(&mut self) {
         let waiting: Vec<String> = self
             .servers
@@ -62,22 +65,23 @@
             .map(|(job, _)| job.clone())
             .collect();
         for job in waiting {
-            let held = |machine: usize| {
-                let on = |s: &&Server| s.machine == Some(machine) && !s.stopped;
-                self.servers.values().filter(on).count()
+            let servers_on = |machine: usize| {
+                let is_on = |s: &&Server| s.machine == Some(machine) && !s.stopped;
+                self.servers.values().filter(is_on).count()
             };
             let up = (0..self.machines.len()).filter(|machine| self.machines[*machine]);
-            let emptiest = up.min_by_key(|machine| held(*machine));
-            if let Some(machine) = emptiest.filter(|machine| held(*machine) < self.capacity)
+            let least_loaded = up.min_by_key(|machine| servers_on(*machine));
+            if let Some(machine) =
+                least_loaded.filter(|machine| servers_on(*machine) < self.servers_per_machine)
                 && let Some(server) = self.servers.get_mut(&job)
             {
-                (server.machine, server.placed) = (Some(machine), Instant::now());
+                (server.machine, server.placed_at) = (Some(machine), Instant::now());
             }
         }
     }
 }
 
-/// The stand-in.
+/// A shared handle to the simulated servers.
 #[derive(Clone)]
 pub struct Servers {
     state: Arc<Mutex<State>>,
@@ -85,11 +89,11 @@
 }
 
 impl Servers {
-    pub fn new(machines: usize, capacity: usize) -> Self {
+    pub fn new(machines: usize, servers_per_machine: usize) -> Self {
         let state = Arc::new(Mutex::new(State {
             machines: vec![true; machines],
-            capacity,
-            began: Some(Instant::now()),
+            servers_per_machine,
+            started_at: Some(Instant::now()),
             ..State::default()
         }));
         Self { state, callers: Callers::default() }
@@ -117,26 +121,26 @@
         self.lock().starts
     }
 
-    /// How often the most often stopped server was stopped.
-    pub fn most_stops_of_one(&self) -> u32 {
+    /// Returns the largest number of stops of a single server.
+    pub fn max_stops_per_server(&self) -> u32 {
         self.lock().stops.values().copied().max().unwrap_or(0)
     }
 
-    pub fn refused(&self) -> u32 {
-        self.lock().refused
+    pub fn refused_orders(&self) -> u32 {
+        self.lock().refused_orders
     }
 
-    /// The machine that holds most servers of a version.
-    pub fn fullest(&self, version: &str) -> usize {
+    /// Returns the machine with the most servers of a version.
+    pub fn machine_with_most_servers(&self, version: &str) -> usize {
         let state = self.lock();
-        let held = |machine: &usize| {
-            let on = |s: &&Server| s.machine == Some(*machine) && s.version == version;
-            state.servers.values().filter(on).count()
+        let servers_on = |machine: &usize| {
+            let is_on = |s: &&Server| s.machine == Some(*machine) && s.version == version;
+            state.servers.values().filter(is_on).count()
         };
-        (0..state.machines.len()).max_by_key(held).expect("there are machines")
+        (0..state.machines.len()).max_by_key(servers_on).expect("there are machines")
     }
 
-    /// A machine is gone; its servers load again elsewhere.
+    /// Removes a machine. Its servers load again on other machines.
     pub fn lose_machine(&self, machine: usize) {
         let mut state = self.lock();
         state.machines[machine] = false;
@@ -146,25 +150,25 @@
         state.place();
     }
 
-    pub fn set_capacity(&self, capacity: usize) {
+    pub fn set_servers_per_machine(&self, servers_per_machine: usize) {
         let mut state = self.lock();
-        state.capacity = capacity;
+        state.servers_per_machine = servers_per_machine;
         state.place();
     }
 
-    pub fn let_starts_fail(&self, version: &str) {
-        self.lock().duds.insert(version.into());
+    pub fn break_new_servers(&self, version: &str) {
+        self.lock().broken_versions.insert(version.into());
     }
 
-    pub fn let_flap(&self, version: &str) {
-        self.lock().flapping.insert(version.into());
+    pub fn make_flapping(&self, version: &str) {
+        self.lock().flapping_versions.insert(version.into());
     }
 }
 
 impl State {
-    fn accept(&mut self, order: &ReplicaOrder) -> Result<(), HostError> {
+    fn check_epoch(&mut self, order: &ReplicaOrder) -> Result<(), HostError> {
         if order.epoch < self.epoch {
-            self.refused += 1;
+            self.refused_orders += 1;
             return Err(HostError::Stale);
         }
         self.epoch = order.epoch;
@@ -172,14 +176,14 @@
     }
 
     fn start(&mut self, order: &ReplicaOrder) -> Result<(), HostError> {
-        self.accept(order)?;
+        self.check_epoch(order)?;
         if !self.servers.contains_key(&order.job) {
             self.starts += 1;
             let server = Server {
                 version: order.version.clone(),
                 machine: None,
-                placed: Instant::now(),
-                dud: self.duds.contains(&order.version),
+                placed_at: Instant::now(),
+                never_answers: self.broken_versions.contains(&order.version),
                 stopped: false,
             };
             self.servers.insert(order.job.clone(), server);
@@ -202,7 +206,7 @@
     }
 
     fn stop(&mut self, order: &ReplicaOrder) -> Result<(), HostError> {
-        self.accept(order)?;
+        self.check_epoch(order)?;
         if let Some(server) = self.servers.get_mut(&order.job)
             && !server.stopped
         {
@@ -228,7 +232,7 @@
         self.servers.callers.arrive(&self.name, LATENCY).await;
         let answer = work(&mut self.servers.lock());
         if self.servers.callers.loses_answer(&self.name) {
-            sleep(PATIENCE).await;
+            sleep(CALL_TIMEOUT).await;
             return Err(HostError::Unavailable("no answer".into()));
         }
         answer
--- a/crates/stonewheel-rollout/tests/http.rs
+++ b/crates/stonewheel-rollout/tests/http.rs
@@ -1,4 +1,4 @@
-//! Commands over HTTP on loopback.
+//! Operators' commands over HTTP on the loopback interface.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
@@ -25,7 +25,7 @@
 }
 
 impl Operator {
-    async fn ask(&self, path: &str, body: Option<&str>) -> (StatusCode, Value) {
+    async fn send(&self, path: &str, body: Option<&str>) -> (StatusCode, Value) {
         let uri = format!("{}{path}", self.url);
         let request = match body {
             Some(body) => Request::post(uri).body(Full::from(body.to_owned())),
@@ -38,13 +38,13 @@
     }
 
     async fn command(&self, body: &Value) -> (StatusCode, Value) {
-        self.ask("/rollouts/assistant", Some(&body.to_string())).await
+        self.send("/rollouts/assistant", Some(&body.to_string())).await
     }
 }
 
 #[tokio::test]
-async fn commands_are_carried_out_once_and_bad_ones_named() {
-    // In real time, so the servers of the service answer by the time of the test.
+async fn commands_are_carried_out_once_and_invalid_ones_refused_with_a_reason() {
+    // This test runs in real time: the servers have loaded once the deployment is created.
     let deployment = Deployment::new(4, 4, 4).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -52,7 +52,7 @@
     let serving = tokio::spawn(serve(deployment.executor(1), listener, stop.clone()));
     let client = Client::builder(TokioExecutor::new()).build_http();
     let operator = Operator { client, url: format!("http://{address}") };
-    let (status, shown) = operator.ask("/rollouts/assistant", None).await;
+    let (status, shown) = operator.send("/rollouts/assistant", None).await;
     assert_eq!((status, shown["record"]["version"].as_str()), (StatusCode::OK, Some("one")));
     assert_eq!(shown["endpoints"].as_array().map(Vec::len), Some(4));
     let start = json!({"id": "c", "command": "start", "to": "two", "steps": [50, 100], "surge": 3});
@@ -82,23 +82,25 @@
         let text = answer["error"].as_str().expect("a sentence");
         assert!(text.contains(reason) && text.lines().count() == 1, "{text}");
     }
-    assert_eq!(operator.ask("/rollouts/nobody", None).await.0, StatusCode::NOT_FOUND);
+    assert_eq!(operator.send("/rollouts/nobody", None).await.0, StatusCode::NOT_FOUND);
     let pause = r#"{"id": "p", "command": "pause"}"#;
-    assert_eq!(operator.ask("/rollouts/nobody", Some(pause)).await.0, StatusCode::NOT_FOUND);
+    assert_eq!(operator.send("/rollouts/nobody", Some(pause)).await.0, StatusCode::NOT_FOUND);
     let long = format!("{{\"id\": \"{}\", \"command\": \"pause\"}}", "x".repeat(5000));
-    let too_long = operator.ask("/rollouts/assistant", Some(&long)).await.0;
+    let too_long = operator.send("/rollouts/assistant", Some(&long)).await.0;
     assert_eq!(too_long, StatusCode::PAYLOAD_TOO_LARGE);
     assert_eq!(deployment.record().rollout, None, "nothing was changed");
-    // The command, and its repeat.
+    // The second request repeats the first one's command.
     for _ in 0..2 {
         assert_eq!(operator.command(&start).await, (StatusCode::OK, json!({"done": true})));
     }
     let other = with("id", json!("e"));
     assert_eq!(operator.command(&other).await.0, StatusCode::CONFLICT);
-    let back = json!({"id": "b", "command": "roll_back"});
-    assert_eq!(operator.command(&back).await.0, StatusCode::OK);
-    deployment.until("it is back", |d| d.phase() == Some(Phase::RolledBack)).await;
-    deployment.assert_kept(4);
+    let roll_back = json!({"id": "b", "command": "roll_back"});
+    assert_eq!(operator.command(&roll_back).await.0, StatusCode::OK);
+    deployment
+        .wait_until("the rollout is rolled back", |d| d.phase() == Some(Phase::RolledBack))
+        .await;
+    deployment.assert_nothing_lost(4);
     stop.cancel();
     sleep(Duration::from_millis(10)).await;
     drop(operator);
--- a/crates/stonewheel-rollout/tests/planner.rs
+++ b/crates/stonewheel-rollout/tests/planner.rs
@@ -1,9 +1,10 @@
-//! Rollouts played in steps of time, with random histories of faults and commands.
+//! Rollouts by the planner over a simulated fleet, with chosen and with random sequences of
+//! faults and commands.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
 
-use common::{Fleet, drains_first, real};
+use common::{Fleet, planner_draining_first, planner_under_test};
 use proptest::prelude::*;
 use stonewheel_rollout::{
     command::{CommandError, CommandKind},
@@ -13,17 +14,17 @@
 const STEPS: [u8; 3] = [20, 50, 100];
 
 #[test]
-fn a_healthy_version_comes_in_steps_and_the_level_stands() {
-    let mut fleet = Fleet::new(10, 10, real);
+fn healthy_version_rolls_out_in_steps_at_full_capacity() {
+    let mut fleet = Fleet::new(10, 10, planner_under_test);
     fleet.start(&STEPS, 2).expect("accepted");
-    let mut least = u32::MAX;
-    while !fleet.settle(1) {
-        least = least.min(fleet.capacity());
-        // Two at the most beyond the level, draining ones included.
+    let mut min_capacity = u32::MAX;
+    while !fleet.run_until_settled(1) {
+        min_capacity = min_capacity.min(fleet.capacity());
+        // The surge allows two replicas beyond the level, draining ones included.
         assert!(fleet.record.replicas.len() <= 12);
     }
-    assert_eq!(least, 10);
-    assert_eq!((fleet.versions(), fleet.record.version.as_str()), (vec!["two"], "two"));
+    assert_eq!(min_capacity, 10);
+    assert_eq!((fleet.distinct_versions(), fleet.record.version.as_str()), (vec!["two"], "two"));
     assert_eq!((fleet.phase(), fleet.capacity()), (Some(Phase::Done), 10));
     let phases: Vec<Phase> = fleet
         .record
@@ -36,78 +37,78 @@
 }
 
 #[test]
-fn a_version_that_fails_halfway_is_taken_back_and_the_level_stands() {
-    let mut fleet = Fleet::new(10, 10, real);
+fn version_failing_midway_is_rolled_back_without_draining_below_the_level() {
+    let mut fleet = Fleet::new(10, 10, planner_under_test);
     fleet.start(&STEPS, 2).expect("accepted");
     while fleet.record.rollout.as_ref().is_some_and(|rollout| rollout.step < 1) {
         fleet.tick();
     }
-    // New ones don't come up any more; those that answer go on.
-    fleet.flapping =
+    // From now on the new replicas answer intermittently.
+    fleet.flapping_replicas =
         fleet.record.replicas.iter().filter(|r| r.version == "two").map(|r| r.number).collect();
-    assert!(fleet.settle(200));
-    assert_eq!((fleet.phase(), fleet.versions()), (Some(Phase::RolledBack), vec!["one"]));
-    assert_eq!(fleet.undercut, Vec::<String>::new());
+    assert!(fleet.run_until_settled(200));
+    assert_eq!((fleet.phase(), fleet.distinct_versions()), (Some(Phase::RolledBack), vec!["one"]));
+    assert_eq!(fleet.level_violations, Vec::<String>::new());
     assert_eq!(fleet.capacity(), 10);
 }
 
 #[test]
-fn a_version_that_never_answers_costs_no_old_replica() {
-    let mut fleet = Fleet::new(6, 3, real);
-    fleet.broken = vec!["two".into()];
+fn version_that_never_answers_is_rolled_back_at_full_capacity() {
+    let mut fleet = Fleet::new(6, 3, planner_under_test);
+    fleet.broken_versions = vec!["two".into()];
     fleet.start(&[50, 100], 3).expect("accepted");
-    while !fleet.settle(1) {
+    while !fleet.run_until_settled(1) {
         assert_eq!(fleet.capacity(), 6);
     }
-    assert_eq!((fleet.phase(), fleet.versions()), (Some(Phase::RolledBack), vec!["one"]));
+    assert_eq!((fleet.phase(), fleet.distinct_versions()), (Some(Phase::RolledBack), vec!["one"]));
 }
 
 #[test]
-fn one_machine_lost_at_any_tick_leaves_the_level() {
+fn loss_of_one_machine_at_any_tick_keeps_the_level() {
     const LEVEL: u32 = 10;
     let mut protected = 0;
     for machine in 0..5 {
-        for at in 0..60 {
-            let mut fleet = Fleet::new(LEVEL, 5, real);
+        for ticks in 0..60 {
+            let mut fleet = Fleet::new(LEVEL, 5, planner_under_test);
             fleet.start(&STEPS, 4).expect("accepted");
-            for _ in 0..at {
+            for _ in 0..ticks {
                 fleet.tick();
             }
-            // The spare stands from the first drain to the last step's end.
+            // The spare is kept until only new replicas are left.
             let drained = fleet.record.replicas.iter().filter(|r| r.number < LEVEL).count();
             let within = matches!(fleet.phase(), Some(Phase::Stepping | Phase::Soaking));
-            let promised = within && drained < LEVEL as usize;
+            let is_protected = within && drained < LEVEL as usize;
             fleet.lose_machine(machine);
-            if promised {
+            if is_protected {
                 protected += 1;
-                assert!(fleet.capacity() >= LEVEL, "{machine} at {at}: {}", fleet.capacity());
+                assert!(fleet.capacity() >= LEVEL, "{machine} at {ticks}: {}", fleet.capacity());
             }
-            assert!(fleet.settle(300), "{machine} at {at}: {:?}", fleet.record);
-            assert_eq!(fleet.undercut, Vec::<String>::new(), "{machine} at {at}");
+            assert!(fleet.run_until_settled(300), "{machine} at {ticks}: {:?}", fleet.record);
+            assert_eq!(fleet.level_violations, Vec::<String>::new(), "{machine} at {ticks}");
             assert_eq!(fleet.capacity(), LEVEL);
         }
     }
-    assert!(protected > 50, "{protected} losses met the spare");
+    assert!(protected > 50, "{protected} losses were covered by the spare");
 }
 
 #[test]
-fn no_room_for_the_surge_waits_and_drains_nothing() {
-    let mut fleet = Fleet::new(4, 4, real);
-    fleet.room = false;
+fn rollout_without_capacity_for_the_surge_waits_and_drains_nothing() {
+    let mut fleet = Fleet::new(4, 4, planner_under_test);
+    fleet.has_free_capacity = false;
     fleet.start(&[50, 100], 2).expect("accepted");
     for _ in 0..100 {
         fleet.tick();
         assert_eq!(fleet.capacity(), 4);
     }
     assert_eq!(fleet.phase(), Some(Phase::Stepping));
-    fleet.room = true;
-    assert!(fleet.settle(200));
+    fleet.has_free_capacity = true;
+    assert!(fleet.run_until_settled(200));
     assert_eq!(fleet.phase(), Some(Phase::Done));
 }
 
 #[test]
-fn pause_holds_any_step_and_rolling_back_goes_on() {
-    let mut fleet = Fleet::new(8, 8, real);
+fn paused_rollout_changes_nothing_and_can_be_rolled_back() {
+    let mut fleet = Fleet::new(8, 8, planner_under_test);
     fleet.start(&STEPS, 2).expect("accepted");
     for _ in 0..6 {
         fleet.tick();
@@ -116,49 +117,49 @@
     for _ in 0..20 {
         fleet.tick();
     }
-    let held = fleet.record.clone();
+    let paused_record = fleet.record.clone();
     for _ in 0..50 {
         fleet.tick();
     }
-    assert_eq!(fleet.record, held, "nothing moves");
+    assert_eq!(fleet.record, paused_record, "the pause keeps the record");
     fleet.command(CommandKind::RollBack).expect("accepted");
-    fleet.command(CommandKind::RollBack).expect("turning back twice is turning back");
-    assert!(fleet.settle(200));
-    assert_eq!((fleet.phase(), fleet.versions()), (Some(Phase::RolledBack), vec!["one"]));
+    fleet.command(CommandKind::RollBack).expect("a second rollback is accepted");
+    assert!(fleet.run_until_settled(200));
+    assert_eq!((fleet.phase(), fleet.distinct_versions()), (Some(Phase::RolledBack), vec!["one"]));
 }
 
 #[test]
-fn a_way_back_stands_open_until_the_last_moment() {
-    let mut fleet = Fleet::new(5, 5, real);
+fn rollout_can_be_rolled_back_while_finishing() {
+    let mut fleet = Fleet::new(5, 5, planner_under_test);
     fleet.start(&[100], 2).expect("accepted");
     while fleet.phase() != Some(Phase::Finishing) {
         fleet.tick();
     }
     fleet.command(CommandKind::RollBack).expect("accepted");
-    assert!(fleet.settle(200));
-    assert_eq!((fleet.versions(), fleet.capacity()), (vec!["one"], 5));
-    assert_eq!(fleet.undercut, Vec::<String>::new());
+    assert!(fleet.run_until_settled(200));
+    assert_eq!((fleet.distinct_versions(), fleet.capacity()), (vec!["one"], 5));
+    assert_eq!(fleet.level_violations, Vec::<String>::new());
 }
 
 #[test]
-fn an_abort_leaves_what_serves_and_another_rollout_may_follow() {
-    let mut fleet = Fleet::new(8, 8, real);
+fn abort_keeps_serving_replicas_and_allows_another_rollout() {
+    let mut fleet = Fleet::new(8, 8, planner_under_test);
     fleet.start(&STEPS, 2).expect("accepted");
     while fleet.record.rollout.as_ref().is_some_and(|rollout| rollout.step < 1) {
         fleet.tick();
     }
     fleet.command(CommandKind::Abort).expect("accepted");
-    assert!(fleet.settle(20));
+    assert!(fleet.run_until_settled(20));
     assert!(fleet.capacity() >= 8);
     assert_eq!(fleet.command(CommandKind::Resume), Err(CommandError::NoRolloutInProgress));
     fleet.start(&[100], 3).expect("accepted");
-    assert!(fleet.settle(200));
-    assert_eq!(fleet.versions(), vec!["two"]);
+    assert!(fleet.run_until_settled(200));
+    assert_eq!(fleet.distinct_versions(), vec!["two"]);
 }
 
 #[test]
-fn bad_commands_are_refused_in_one_sentence_and_change_nothing() {
-    let mut fleet = Fleet::new(4, 2, real);
+fn invalid_commands_are_refused_in_one_line_and_change_nothing() {
+    let mut fleet = Fleet::new(4, 2, planner_under_test);
     let before = fleet.record.clone();
     let refused = [
         (fleet.start(&[], 3), CommandError::InvalidSteps),
@@ -181,15 +182,15 @@
     assert_eq!(fleet.record, before);
     fleet.start(&[50, 100], 3).expect("accepted");
     assert!(matches!(fleet.start(&[100], 3), Err(CommandError::RolloutInProgress(_))));
-    let mut silent = Fleet::new(4, 2, real);
-    silent.broken = vec!["one".into()];
-    assert_eq!(silent.start(&[100], 3), Err(CommandError::NoReplicaAnswers));
+    let mut unresponsive = Fleet::new(4, 2, planner_under_test);
+    unresponsive.broken_versions = vec!["one".into()];
+    assert_eq!(unresponsive.start(&[100], 3), Err(CommandError::NoReplicaAnswers));
 }
 
 #[test]
-fn a_repeated_command_is_one_command() {
+fn repeated_command_id_is_carried_out_once() {
     use stonewheel_rollout::command::{Command, apply};
-    let fleet = Fleet::new(4, 4, real);
+    let fleet = Fleet::new(4, 4, planner_under_test);
     let command = |id: &str, kind| Command { id: id.into(), kind };
     let start = CommandKind::Start { to: "two".into(), steps: vec![100], surge: 2 };
     let observations = fleet.observations();
@@ -214,39 +215,41 @@
 enum Event {
     Ticks(u32),
     LoseMachine(usize),
-    BringMachine(usize),
-    Room(bool),
+    RestoreMachine(usize),
+    SetFreeCapacity(bool),
     Flap(u32),
-    Calm,
-    Break(bool),
+    StopFlapping,
+    SetBroken(bool),
     ReplaceOwner,
     Command(u8),
 }
 
-fn events() -> impl Strategy<Value = Event> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         4 => (1..12_u32).prop_map(Event::Ticks),
         2 => (0..6_usize).prop_map(Event::LoseMachine),
-        1 => (0..6_usize).prop_map(Event::BringMachine),
-        1 => any::<bool>().prop_map(Event::Room),
+        1 => (0..6_usize).prop_map(Event::RestoreMachine),
+        1 => any::<bool>().prop_map(Event::SetFreeCapacity),
         1 => (0..30_u32).prop_map(Event::Flap),
-        1 => Just(Event::Calm),
-        1 => any::<bool>().prop_map(Event::Break),
+        1 => Just(Event::StopFlapping),
+        1 => any::<bool>().prop_map(Event::SetBroken),
         2 => Just(Event::ReplaceOwner),
         2 => (0..4_u8).prop_map(Event::Command),
     ]
 }
 
-fn play(fleet: &mut Fleet, events: &[Event]) {
+fn apply_events(fleet: &mut Fleet, events: &[Event]) {
     for event in events {
         match event {
             Event::Ticks(ticks) => (0..*ticks).for_each(|_| fleet.tick()),
             Event::LoseMachine(machine) => fleet.lose_machine(*machine),
-            Event::BringMachine(machine) => fleet.bring_machine(*machine),
-            Event::Room(room) => fleet.room = *room,
-            Event::Flap(number) => fleet.flapping.push(*number),
-            Event::Calm => fleet.flapping.clear(),
-            Event::Break(on) => fleet.broken = if *on { vec!["two".into()] } else { Vec::new() },
+            Event::RestoreMachine(machine) => fleet.restore_machine(*machine),
+            Event::SetFreeCapacity(is_free) => fleet.has_free_capacity = *is_free,
+            Event::Flap(number) => fleet.flapping_replicas.push(*number),
+            Event::StopFlapping => fleet.flapping_replicas.clear(),
+            Event::SetBroken(on) => {
+                fleet.broken_versions = if *on { vec!["two".into()] } else { Vec::new() }
+            }
             Event::ReplaceOwner => fleet.replace_owner(),
             Event::Command(number) => {
                 let kinds = [
@@ -255,14 +258,14 @@
                     CommandKind::RollBack,
                     CommandKind::Resume,
                 ];
-                // Refused once the rollout is over.
+                // The command is refused once the rollout is over.
                 let _ = fleet.command(kinds[usize::from(*number)].clone());
             }
         }
     }
 }
 
-/// The same cases on every run.
+/// Returns a configuration with a fixed seed: every run has the same cases.
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 1500,
@@ -272,15 +275,21 @@
     }
 }
 
-/// A rollout with faults and commands, that then has time in peace.
-fn history() -> impl Strategy<Value = (u32, usize, u32, Vec<Event>)> {
-    (2..12_u32, 2..6_usize, 0..3_u32, prop::collection::vec(events(), 1..25))
+/// Generates a level, a number of machines, a surge beyond the smallest that is accepted, and
+/// the events during the rollout.
+fn scenario() -> impl Strategy<Value = (u32, usize, u32, Vec<Event>)> {
+    (2..12_u32, 2..6_usize, 0..3_u32, prop::collection::vec(event(), 1..25))
 }
 
-fn fleet_of(level: u32, machines: usize, beyond: u32, planner: common::Planner) -> Fleet {
+fn fleet_with_rollout(
+    level: u32,
+    machines: usize,
+    extra_surge: u32,
+    planner: common::Planner,
+) -> Fleet {
     let mut fleet = Fleet::new(level, machines, planner);
-    let holds = level.div_ceil(machines as u32);
-    fleet.start(&STEPS, holds + 1 + beyond).expect("accepted");
+    let per_machine = level.div_ceil(machines as u32);
+    fleet.start(&STEPS, per_machine + 1 + extra_surge).expect("accepted");
     fleet
 }
 
@@ -288,36 +297,40 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_step_of_ours_undercuts_the_level((level, machines, beyond, events) in history()) {
-        let mut fleet = fleet_of(level, machines, beyond, real);
-        play(&mut fleet, &events);
-        prop_assert_eq!(&fleet.undercut, &Vec::<String>::new());
+    fn no_planner_step_reduces_capacity_below_the_level(
+        (level, machines, extra_surge, events) in scenario()
+    ) {
+        let mut fleet = fleet_with_rollout(level, machines, extra_surge, planner_under_test);
+        apply_events(&mut fleet, &events);
+        prop_assert_eq!(&fleet.level_violations, &Vec::<String>::new());
     }
 
     #[test]
-    fn in_peace_every_rollout_ends_in_one_version((level, machines, beyond, events) in history()) {
-        let mut fleet = fleet_of(level, machines, beyond, real);
-        play(&mut fleet, &events);
-        fleet.room = true;
-        fleet.flapping.clear();
-        fleet.broken.clear();
-        (0..machines).for_each(|machine| fleet.bring_machine(machine));
+    fn every_rollout_ends_in_one_version_once_faults_end(
+        (level, machines, extra_surge, events) in scenario()
+    ) {
+        let mut fleet = fleet_with_rollout(level, machines, extra_surge, planner_under_test);
+        apply_events(&mut fleet, &events);
+        fleet.has_free_capacity = true;
+        fleet.flapping_replicas.clear();
+        fleet.broken_versions.clear();
+        (0..machines).for_each(|machine| fleet.restore_machine(machine));
         let _ = fleet.command(CommandKind::Resume);
-        prop_assert!(fleet.settle(600), "{:?}", fleet.record);
-        // A machine may have been lost after the end: its replicas load elsewhere.
+        prop_assert!(fleet.run_until_settled(600), "{:?}", fleet.record);
+        // A machine may have been lost after the rollout ended: its replicas load on others.
         (0..10).for_each(|_| fleet.tick());
-        prop_assert_eq!(fleet.versions().len(), 1, "{:?}", fleet.record);
+        prop_assert_eq!(fleet.distinct_versions().len(), 1, "{:?}", fleet.record);
         prop_assert_eq!(fleet.capacity(), level);
-        prop_assert_eq!(&fleet.undercut, &Vec::<String>::new());
+        prop_assert_eq!(&fleet.level_violations, &Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_planner_that_drains_first_is_caught() {
-    let mut fleet = Fleet::new(6, 6, drains_first);
+fn planner_that_drains_first_violates_the_level() {
+    let mut fleet = Fleet::new(6, 6, planner_draining_first);
     fleet.start(&STEPS, 2).expect("accepted");
     for _ in 0..40 {
         fleet.tick();
     }
-    assert!(!fleet.undercut.is_empty());
+    assert!(!fleet.level_violations.is_empty());
 }
--- a/crates/stonewheel-rollout/tests/scenarios.rs
+++ b/crates/stonewheel-rollout/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Rollouts over three controllers under steady load, with faults: in memory, under
-//! paused time. Capacity and requests are judged apart from the rollout's own code.
+//! Rollouts over three controllers under steady load, with faults, in memory and in
+//! simulated time. Capacity and requests are checked independently of the rollout's code.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
@@ -16,82 +16,85 @@
 
 const LEVEL: u32 = 10;
 
-fn draining(deployment: &Deployment) -> bool {
+fn is_draining(deployment: &Deployment) -> bool {
     deployment.record().replicas.iter().any(|r| r.stage == ReplicaStage::Draining)
 }
 
-async fn ends(deployment: &Deployment, phase: Phase, version: &str) {
-    deployment.until("it is over", |d| d.phase().is_some_and(Phase::is_over)).await;
-    deployment.until("all rests", Deployment::settled).await;
+async fn assert_ends(deployment: &Deployment, phase: Phase, version: &str) {
+    deployment.wait_until("the rollout is over", |d| d.phase().is_some_and(Phase::is_over)).await;
+    deployment.wait_until("all replicas serve", Deployment::is_settled).await;
     assert_eq!(deployment.phase(), Some(phase), "{:#?}", deployment.record().rollout);
-    assert_eq!(deployment.versions(), [version]);
+    assert_eq!(deployment.distinct_versions(), [version]);
     sleep(Duration::from_secs(5)).await;
     assert_eq!(deployment.capacity(), LEVEL);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_rollout_under_load_keeps_every_replica_and_every_request() {
+async fn rollout_under_load_loses_no_capacity_and_no_request() {
     let deployment = Deployment::new(LEVEL, 10, 4).await;
     deployment.roll_out(1, 3).await.expect("accepted");
-    ends(&deployment, Phase::Done, "two").await;
-    deployment.assert_kept(LEVEL);
+    assert_ends(&deployment, Phase::Done, "two").await;
+    deployment.assert_nothing_lost(LEVEL);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_roll_back_at_any_time_keeps_every_replica_and_every_request() {
+async fn rollback_at_any_time_loses_no_capacity_and_no_request() {
     for after_s in (1..60).step_by(6) {
         let deployment = Deployment::new(LEVEL, 10, 4).await;
         deployment.roll_out(0, 3).await.expect("accepted");
         sleep(Duration::from_secs(after_s)).await;
         if deployment.command(2, "back", CommandKind::RollBack).await.is_err() {
-            // It was over by then.
+            // The rollout was over before the command.
             assert_eq!(deployment.phase(), Some(Phase::Done));
             continue;
         }
-        ends(&deployment, Phase::RolledBack, "one").await;
-        deployment.assert_kept(LEVEL);
+        assert_ends(&deployment, Phase::RolledBack, "one").await;
+        deployment.assert_nothing_lost(LEVEL);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_version_whose_later_replicas_never_answer_is_taken_back() {
+async fn version_whose_later_replicas_never_answer_is_rolled_back() {
     let deployment = Deployment::new(LEVEL, 10, 4).await;
     deployment.roll_out(0, 3).await.expect("accepted");
     deployment
-        .until("halfway", |d| d.record().rollout.is_some_and(|rollout| rollout.step == 1))
+        .wait_until("the second step begins", |d| {
+            d.record().rollout.is_some_and(|rollout| rollout.step == 1)
+        })
         .await;
-    deployment.servers.let_starts_fail("two");
-    ends(&deployment, Phase::RolledBack, "one").await;
-    deployment.assert_kept(LEVEL);
-    let rollout = deployment.record().rollout.expect("it was one");
-    let why = rollout.history.iter().find(|entry| entry.phase == Phase::RollingBack);
-    assert!(why.is_some_and(|entry| entry.why.contains("did not answer")), "{rollout:?}");
+    deployment.servers.break_new_servers("two");
+    assert_ends(&deployment, Phase::RolledBack, "one").await;
+    deployment.assert_nothing_lost(LEVEL);
+    let rollout = deployment.record().rollout.expect("a rollout");
+    let rollback = rollout.history.iter().find(|entry| entry.phase == Phase::RollingBack);
+    assert!(rollback.is_some_and(|entry| entry.why.contains("did not answer")), "{rollout:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_version_that_answers_now_and_then_is_taken_back_once() {
+async fn version_that_answers_intermittently_is_rolled_back_once() {
     let deployment = Deployment::new(LEVEL, 10, 4).await;
-    deployment.servers.let_flap("two");
+    deployment.servers.make_flapping("two");
     deployment.roll_out(0, 3).await.expect("accepted");
-    ends(&deployment, Phase::RolledBack, "one").await;
-    let rollout = deployment.record().rollout.expect("it was one");
-    let turns = rollout.history.iter().filter(|entry| entry.phase == Phase::RollingBack).count();
-    assert_eq!(turns, 1, "{rollout:?}");
-    assert_eq!(deployment.servers.most_stops_of_one(), 1);
+    assert_ends(&deployment, Phase::RolledBack, "one").await;
+    let rollout = deployment.record().rollout.expect("a rollout");
+    let rollbacks =
+        rollout.history.iter().filter(|entry| entry.phase == Phase::RollingBack).count();
+    assert_eq!(rollbacks, 1, "{rollout:?}");
+    assert_eq!(deployment.servers.max_stops_per_server(), 1);
 }
 
-fn why_back(deployment: &Deployment) -> String {
-    let rollout = deployment.record().rollout.expect("it was one");
+fn rollback_reason(deployment: &Deployment) -> String {
+    let rollout = deployment.record().rollout.expect("a rollout");
     let back = rollout.history.into_iter().find(|entry| entry.phase == Phase::RollingBack);
-    back.expect("it turned back").why
+    back.expect("a rollback").why
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_step_goes_on_only_while_the_operators_condition_holds() {
-    let kept = Deployment::with_condition(LEVEL, 10, 4, Some("failures == 0")).await;
-    kept.roll_out(0, 3).await.expect("accepted");
-    ends(&kept, Phase::Done, "two").await;
-    kept.assert_kept(LEVEL);
+async fn next_step_begins_only_if_the_promotion_condition_holds() {
+    let passing = Deployment::with_condition(LEVEL, 10, 4, Some("failures == 0")).await;
+    passing.roll_out(0, 3).await.expect("accepted");
+    assert_ends(&passing, Phase::Done, "two").await;
+    passing.assert_nothing_lost(LEVEL);
     for (condition, why) in [
         ("step < 2", "does not hold"),
         ("looks / (step - 2) < 0 && true", "fails"),
@@ -99,51 +102,51 @@
     ] {
         let deployment = Deployment::with_condition(LEVEL, 10, 4, Some(condition)).await;
         deployment.roll_out(0, 3).await.expect("accepted");
-        ends(&deployment, Phase::RolledBack, "one").await;
-        deployment.assert_kept(LEVEL);
-        assert!(why_back(&deployment).contains(why), "{}", why_back(&deployment));
+        assert_ends(&deployment, Phase::RolledBack, "one").await;
+        deployment.assert_nothing_lost(LEVEL);
+        assert!(rollback_reason(&deployment).contains(why), "{}", rollback_reason(&deployment));
     }
 }
 
-/// An upgrade replaces the controllers one after the other, whichever owns the rollout
-/// then, and the last of them at every point of it.
+/// An upgrade replaces the controllers one after the other, the present owner included. It
+/// begins at different times of the rollout.
 #[tokio::test(start_paused = true)]
-async fn controllers_that_are_replaced_one_by_one_see_the_rollout_through() {
+async fn rollout_completes_while_all_controllers_are_replaced() {
     for after_s in (0..40).step_by(5) {
         let deployment = Deployment::new(LEVEL, 10, 4).await;
         deployment.roll_out(0, 3).await.expect("accepted");
         sleep(Duration::from_secs(after_s)).await;
-        for at in 0..3 {
-            deployment.kill(at);
+        for controller_index in 0..3 {
+            deployment.kill(controller_index);
             sleep(Duration::from_secs(5)).await;
-            deployment.start(at);
+            deployment.start(controller_index);
             sleep(Duration::from_secs(5)).await;
         }
-        ends(&deployment, Phase::Done, "two").await;
-        deployment.assert_kept(LEVEL);
+        assert_ends(&deployment, Phase::Done, "two").await;
+        deployment.assert_nothing_lost(LEVEL);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_machine_with_most_of_either_version_is_lost_within_a_step() {
+async fn rollout_survives_loss_of_the_machine_with_most_replicas_of_a_version() {
     for version in ["one", "two"] {
         for after_s in (10..50).step_by(8) {
             let deployment = Deployment::new(LEVEL, 6, 6).await;
             deployment.roll_out(0, 5).await.expect("accepted");
-            deployment.until("old ones drain", draining).await;
+            deployment.wait_until("an old replica drains", is_draining).await;
             sleep(Duration::from_secs(after_s - 10)).await;
-            if deployment.phase() == Some(Phase::Finishing) || deployment.settled() {
+            if deployment.phase() == Some(Phase::Finishing) || deployment.is_settled() {
                 continue;
             }
-            deployment.servers.lose_machine(deployment.servers.fullest(version));
-            ends(&deployment, Phase::Done, "two").await;
-            deployment.assert_kept(LEVEL);
+            deployment.servers.lose_machine(deployment.servers.machine_with_most_servers(version));
+            assert_ends(&deployment, Phase::Done, "two").await;
+            deployment.assert_nothing_lost(LEVEL);
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_executor_that_dies_at_any_time_is_succeeded() {
+async fn rollout_completes_after_its_owner_ends_at_any_time() {
     for after_s in (0..45).step_by(3) {
         let deployment = Deployment::new(LEVEL, 10, 4).await;
         deployment.roll_out(0, 3).await.expect("accepted");
@@ -151,128 +154,130 @@
         if let Some(owner) = deployment.owner() {
             deployment.kill(owner);
         }
-        ends(&deployment, Phase::Done, "two").await;
-        deployment.assert_kept(LEVEL);
+        assert_ends(&deployment, Phase::Done, "two").await;
+        deployment.assert_nothing_lost(LEVEL);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_executor_paused_in_mid_drain_is_refused_when_it_goes_on() {
+async fn owner_paused_during_a_drain_is_fenced_off_when_it_resumes() {
     let deployment = Deployment::new(LEVEL, 10, 4).await;
     deployment.roll_out(0, 3).await.expect("accepted");
-    deployment.until("old ones drain", draining).await;
+    deployment.wait_until("an old replica drains", is_draining).await;
     let owner = deployment.owner().expect("an owner");
     deployment.pause(owner, 30);
     let epoch = deployment.record().epoch;
-    deployment.until("another one drives", |d| d.owner() != Some(owner)).await;
+    deployment
+        .wait_until("another controller owns the service", |d| d.owner() != Some(owner))
+        .await;
     assert!(deployment.record().epoch > epoch);
-    ends(&deployment, Phase::Done, "two").await;
+    assert_ends(&deployment, Phase::Done, "two").await;
     sleep(SESSION * 4).await;
-    deployment.assert_kept(LEVEL);
+    deployment.assert_nothing_lost(LEVEL);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_or_a_refusal_in_mid_step_drains_nothing() {
-    for alone in [true, false] {
+async fn outage_or_refusal_within_a_step_loses_no_capacity() {
+    for one_controller in [true, false] {
         let deployment = Deployment::new(LEVEL, 10, 4).await;
         deployment.roll_out(0, 3).await.expect("accepted");
-        deployment.until("old ones drain", draining).await;
+        deployment.wait_until("an old replica drains", is_draining).await;
         let owner = deployment.owner().expect("an owner");
-        if alone {
-            deployment.refuse(owner, true);
+        if one_controller {
+            deployment.set_refused(owner, true);
         } else {
             deployment.state.set_outage(true);
         }
         sleep(Duration::from_secs(2)).await;
-        let held = deployment.record();
+        let record_before = deployment.record();
         sleep(Duration::from_secs(40)).await;
-        if alone {
-            deployment.refuse(owner, false);
+        if one_controller {
+            deployment.set_refused(owner, false);
         } else {
-            assert_eq!(deployment.record(), held, "nothing is decided that can't be written");
+            assert_eq!(deployment.record(), record_before, "nothing is recorded during an outage");
             deployment.state.set_outage(false);
         }
-        ends(&deployment, Phase::Done, "two").await;
-        deployment.assert_kept(LEVEL);
+        assert_ends(&deployment, Phase::Done, "two").await;
+        deployment.assert_nothing_lost(LEVEL);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_answers_of_any_kind_change_nothing() {
-    for lost in [1, 3, 6] {
+async fn lost_answers_do_not_change_the_outcome() {
+    for lost_answers in [1, 3, 6] {
         let deployment = Deployment::new(LEVEL, 10, 4).await;
-        for at in 0..3 {
-            deployment.mute_state(at, lost);
-            deployment.mute_host(at, lost);
+        for controller_index in 0..3 {
+            deployment.lose_state_answers(controller_index, lost_answers);
+            deployment.lose_host_answers(controller_index, lost_answers);
         }
-        // The command too: its repeat finds that it stands.
+        // The answer to the command is lost, too: its repeat finds the command carried out.
         let mut outcome = deployment.roll_out(1, 3).await;
         while outcome == Err(CommandFailure::OutcomeUnknown) {
             outcome = deployment.roll_out(1, 3).await;
         }
         assert_eq!(outcome, Ok(()));
-        ends(&deployment, Phase::Done, "two").await;
-        deployment.assert_kept(LEVEL);
+        assert_ends(&deployment, Phase::Done, "two").await;
+        deployment.assert_nothing_lost(LEVEL);
         assert_eq!(deployment.record().commands.len(), 1);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_rollouts_at_once_one_wins_and_the_other_is_told() {
+async fn of_two_concurrent_starts_one_is_refused() {
     let deployment = Deployment::new(LEVEL, 10, 4).await;
     let (first, second) = tokio::join!(deployment.roll_out(0, 3), deployment.roll_out(1, 3));
     let outcomes = [first, second];
     assert_eq!(outcomes.iter().filter(|outcome| outcome.is_ok()).count(), 1, "{outcomes:?}");
-    let told = |outcome: &Result<(), CommandFailure>| {
+    let is_refused = |outcome: &Result<(), CommandFailure>| {
         matches!(outcome, Err(CommandFailure::Refused(CommandError::RolloutInProgress(_))))
     };
-    assert!(outcomes.iter().any(told), "{outcomes:?}");
-    ends(&deployment, Phase::Done, "two").await;
-    deployment.assert_kept(LEVEL);
+    assert!(outcomes.iter().any(is_refused), "{outcomes:?}");
+    assert_ends(&deployment, Phase::Done, "two").await;
+    deployment.assert_nothing_lost(LEVEL);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_pause_outlives_the_executor_and_holds_the_next_step() {
+async fn pause_persists_after_its_owner_ends() {
     let deployment = Deployment::new(LEVEL, 10, 4).await;
     deployment.roll_out(0, 3).await.expect("accepted");
-    deployment.until("a step is watched", |d| d.phase() == Some(Phase::Soaking)).await;
-    // At the very end of the soak time.
+    deployment.wait_until("a step soaks", |d| d.phase() == Some(Phase::Soaking)).await;
+    // The pause comes just before the end of the soak time of 6 s.
     sleep(Duration::from_millis(5900)).await;
-    deployment.command(2, "hold", CommandKind::Pause).await.expect("accepted");
+    deployment.command(2, "pause", CommandKind::Pause).await.expect("accepted");
     let step = deployment.record().rollout.expect("under way").step;
     deployment.kill(deployment.owner().expect("an owner"));
     sleep(Duration::from_secs(60)).await;
     let rollout = deployment.record().rollout.expect("under way");
     assert!(rollout.paused && rollout.step == step);
-    let alive = deployment.owner().expect("adopted");
-    deployment.command(alive, "go on", CommandKind::Resume).await.expect("accepted");
-    ends(&deployment, Phase::Done, "two").await;
-    deployment.assert_kept(LEVEL);
+    let new_owner = deployment.owner().expect("adopted");
+    deployment.command(new_owner, "go on", CommandKind::Resume).await.expect("accepted");
+    assert_ends(&deployment, Phase::Done, "two").await;
+    deployment.assert_nothing_lost(LEVEL);
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_room_for_the_surge_waits_and_never_makes_room_by_draining() {
+async fn rollout_without_capacity_for_the_surge_waits_at_full_capacity() {
     let deployment = Deployment::new(LEVEL, 5, 2).await;
     deployment.roll_out(0, 3).await.expect("accepted");
     sleep(Duration::from_secs(300)).await;
     assert_eq!(deployment.phase(), Some(Phase::Stepping));
-    deployment.assert_kept(LEVEL);
-    deployment.servers.set_capacity(4);
-    ends(&deployment, Phase::Done, "two").await;
-    deployment.assert_kept(LEVEL);
+    deployment.assert_nothing_lost(LEVEL);
+    deployment.servers.set_servers_per_machine(4);
+    assert_ends(&deployment, Phase::Done, "two").await;
+    deployment.assert_nothing_lost(LEVEL);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_controller_that_can_not_write_takes_no_command() {
+async fn controller_without_a_session_refuses_commands() {
     let deployment = Deployment::new(LEVEL, 10, 4).await;
-    deployment.refuse(1, true);
+    deployment.set_refused(1, true);
     sleep(SESSION * 2).await;
     let began = Instant::now();
     assert_eq!(deployment.roll_out(1, 3).await, Err(CommandFailure::Unavailable));
-    assert!(began.elapsed() < Duration::from_secs(1), "at once");
-    let unknown = deployment.executor(0);
+    assert!(began.elapsed() < Duration::from_secs(1), "refused immediately");
+    let executor = deployment.executor(0);
     let command = stonewheel_rollout::command::Command { id: "x".into(), kind: CommandKind::Pause };
-    let refused = unknown.command("nobody", &command).await;
+    let refused = executor.command("nobody", &command).await;
     assert_eq!(refused, Err(CommandFailure::UnknownService("nobody".into())));
     assert_eq!(deployment.record().rollout, None, "nothing was changed");
 }
