--- a/crates/stonewheel-rollout/src/command.rs
+++ b/crates/stonewheel-rollout/src/command.rs
@@ -38,7 +38,8 @@
     Resume,
     /// Returns all replicas to the old version.
     RollBack,
-    /// Ends the rollout where it is: serving replicas of both versions stay.
+    /// Ends the rollout where it is: serving replicas of both versions stay, and replicas that
+    /// have not answered yet are stopped.
     Abort,
 }
 
@@ -206,7 +207,7 @@
     Ok(rollout)
 }
 
-/// Begins to roll back, unless the rollout does so already. A rollout that rolls back never
+/// Begins to roll a rollout back, unless the rollout does so already. A rollout that rolls back never
 /// goes forward again.
 pub(crate) fn roll_back(rollout: &mut Rollout, why: &str) {
     if rollout.phase != Phase::RollingBack {
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -157,8 +157,8 @@
             Err(StateError::Refused(_)) => return Err(CommandFailure::Unavailable),
             Err(_) => self.coordinator.refresh().await,
         }
-        // The outcome of the write is unknown: the record has this call's random job ids if
-        // the write was carried out.
+        // The write failed or its outcome is unknown. If it was carried out, the record has this
+        // call's random job ids.
         let job = |record: &ServiceRecord| record.replicas.first().map(|r| r.job.clone());
         match self.record(service) {
             Some(found) if job(&found.value) == job(&record) => Ok(()),
@@ -179,17 +179,18 @@
 
     /// Probes the replicas, and returns the endpoints of those that take requests and answer.
     pub async fn endpoints(&self, service: &str) -> Option<Vec<String>> {
-        let runtime = self.services.get(service)?;
+        let service_state = self.services.get(service)?;
         let record = self.record(service)?;
-        self.probe_replicas(runtime, &record).await;
-        Some(lock(&runtime.observer).endpoints(&record.value, Instant::now()))
+        self.probe_replicas(service_state, &record).await;
+        Some(lock(&service_state.observer).endpoints(&record.value, Instant::now()))
     }
 
     /// Carries out a command, once per id. When this returns `Ok`, the change is stored and
     /// doesn't depend on this controller.
     pub async fn command(&self, service: &str, command: &Command) -> Result<(), CommandFailure> {
-        let runtime = self.services.get(service);
-        let runtime = runtime.ok_or_else(|| CommandFailure::UnknownService(service.into()))?;
+        let service_state = self.services.get(service);
+        let service_state =
+            service_state.ok_or_else(|| CommandFailure::UnknownService(service.into()))?;
         for _ in 0..MAX_COMMAND_ATTEMPTS {
             // Without a valid session the cached record may be out of date, so no command is
             // decided on it.
@@ -203,7 +204,7 @@
                 let replicas = record.value.replicas.len() as u32;
                 self.check_size(replicas.saturating_add(*surge), to)?;
             }
-            let observations = self.probe_replicas(runtime, &record).await;
+            let observations = self.probe_replicas(service_state, &record).await;
             let next = match apply(&record.value, command, &observations) {
                 Ok(Some(next)) => next,
                 Ok(None) => return Ok(()),
@@ -272,11 +273,13 @@
         record.value.owner.as_ref() == Some(self.coordinator.me())
     }
 
+    /// Draws the base of the job ids of new replicas.
     fn job_id_base(&self) -> u64 {
         let min = 10_u64.pow(JOB_ID_BASE_EXPONENT);
         lock(&self.rng).random_range(min..min * 9)
     }
 
+    /// Gathers what this controller knows of a service, and decides the next step.
     fn plan(&self, service: &Service, record: &Versioned<ServiceRecord>) -> Step {
         let now = Instant::now();
         let session = self.coordinator.session();
@@ -319,6 +322,7 @@
         }
     }
 
+    /// Returns when a waiting service is planned again if its record doesn't change before.
     fn next_wake_at(&self, service: &Service, reason: WaitReason) -> Instant {
         let now = Instant::now();
         let probe = (*lock(&service.next_probe_at)).max(now);
@@ -333,6 +337,8 @@
         }
     }
 
+    /// Writes a service's record if it has not changed since it was read and this controller's
+    /// session is valid.
     async fn commit(
         &self,
         service: &str,
@@ -423,6 +429,7 @@
         }
     }
 
+    /// Probes all replicas if the probe interval has passed.
     async fn probe_if_due(&self, service: &Service, record: &Versioned<ServiceRecord>) {
         if *lock(&service.next_probe_at) > Instant::now() {
             return;
@@ -447,9 +454,9 @@
         let to = record.value.active_rollout().map(|rollout| rollout.to.as_str());
         let mut observer = lock(&service.observer);
         for (replica, probe) in probes {
-            let new = to == Some(replica.version.as_str());
+            let is_new_version = to == Some(replica.version.as_str());
             match probe {
-                Ok(probe) => observer.record_probe(replica.number, probe, new, now),
+                Ok(probe) => observer.record_probe(replica.number, probe, is_new_version, now),
                 Err(error) => debug!(service = service.name, %error, "replica probe failed"),
             }
         }
--- a/crates/stonewheel-rollout/src/observer.rs
+++ b/crates/stonewheel-rollout/src/observer.rs
@@ -85,7 +85,7 @@
         }
         let rollout = record.active_rollout().filter(|rollout| rollout.phase == Phase::Soaking);
         let soaked_step = rollout.map(|r| SoakedStep { epoch: record.epoch, step: r.step });
-        if self.current_soak.map(|(soaked_step, _)| soaked_step) != soaked_step {
+        if self.current_soak.map(|(current, _)| current) != soaked_step {
             self.current_soak = soaked_step.map(|step| (step, now));
             (self.soak_probes, self.soak_failures) = (0, 0);
         }
--- a/crates/stonewheel-rollout/src/planner.rs
+++ b/crates/stonewheel-rollout/src/planner.rs
@@ -258,9 +258,9 @@
         return None;
     }
     let new = kept_of_version(facts.record, &rollout.to);
-    let failed =
+    let failure =
         new.into_iter().find_map(|replica| facts.observations.observation_of(replica).failure);
-    match (failed, facts.verdict) {
+    match (failure, facts.verdict) {
         (Some(why), _) => Some(why),
         (None, Verdict::Unhealthy(why)) if rollout.phase == Phase::Soaking => Some(why.clone()),
         _ => None,
--- a/crates/stonewheel-rollout/src/routes.rs
+++ b/crates/stonewheel-rollout/src/routes.rs
@@ -57,7 +57,7 @@
 }
 
 #[derive(Serialize)]
-struct Status {
+struct ServiceStatus {
     record: ServiceRecord,
     endpoints: Vec<String>,
 }
@@ -100,7 +100,7 @@
     let endpoints = executor.endpoints(&service).await;
     match (executor.record(&service), endpoints) {
         (Some(record), Some(endpoints)) => {
-            warp::reply::json(&Status { record: record.value, endpoints }).into_response()
+            warp::reply::json(&ServiceStatus { record: record.value, endpoints }).into_response()
         }
         _ => error_response(StatusCode::NOT_FOUND, format!("service {service} is not known")),
     }
--- a/crates/stonewheel-rollout/src/settings.rs
+++ b/crates/stonewheel-rollout/src/settings.rs
@@ -31,8 +31,8 @@
     /// one begins.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S), custom(spans_several_probes(self.look_s)))]
     pub soak_s: f64,
-    /// How long a replica drains: longer than load balancers and clients take to notice, plus
-    /// the longest request.
+    /// How long a replica drains: longer than load balancers and clients take to notice that it
+    /// drains, and longer than the longest request.
     #[garde(range(min = MIN_TIME_S, max = MAX_TIME_S))]
     pub drain_s: f64,
     /// The share of probes that may go unanswered: of all new replicas within a soak time,
--- a/crates/stonewheel-rollout/tests/common/deployment.rs
+++ b/crates/stonewheel-rollout/tests/common/deployment.rs
@@ -34,7 +34,8 @@
 #[derive(Default)]
 pub struct LoadResults {
     pub requests: AtomicU32,
-    /// Requests to a server that was stopped by an order before the request was done.
+    /// Requests to a server that had been stopped by an order, or was stopped by one before
+    /// the request was done.
     pub cut_off_requests: AtomicU32,
     pub min_capacity: AtomicU32,
 }
