--- a/crates/stonewheel-rollout/src/condition.rs
+++ b/crates/stonewheel-rollout/src/condition.rs
@@ -16,7 +16,7 @@
 };
 use thiserror::Error;
 
-/// Bytes of the longest script.
+/// Bytes of the longest script that is accepted.
 const MAX_SCRIPT_BYTES: usize = 1024;
 /// Operations that one evaluation may take.
 const MAX_OPERATIONS: u64 = 10_000;
@@ -50,7 +50,7 @@
     /// The script has a syntax error or uses an unknown name.
     #[error("{0}")]
     InvalidScript(String),
-    /// The script is longer than [`MAX_SCRIPT_BYTES`].
+    /// The script is too long.
     #[error("must be at most {MAX_SCRIPT_BYTES} bytes")]
     TooLong,
     /// The evaluation failed, or its value is not a boolean.
--- a/crates/stonewheel-rollout/src/record.rs
+++ b/crates/stonewheel-rollout/src/record.rs
@@ -84,7 +84,7 @@
 /// A rollout: the change of a service from one version to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The id of the command that started it.
+    /// The id of the command that started the rollout.
     pub id: String,
     /// The version that the service ran before.
     pub from: String,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The begin of a phase of a rollout.
+/// An entry of the history of a rollout: the beginning of a phase.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
     /// The phase that began.
