--- a/crates/stonewheel-rollout/tests/scenarios.rs
+++ b/crates/stonewheel-rollout/tests/scenarios.rs
@@ -243,7 +243,7 @@
     deployment.wait_until("a step soaks", |d| d.phase() == Some(Phase::Soaking)).await;
     // The pause comes just before the end of the soak time of 6 s.
     sleep(Duration::from_millis(5900)).await;
-    deployment.command(2, "pause", CommandKind::Pause).await.expect("accepted");
+    deployment.command(2, "hold", CommandKind::Pause).await.expect("accepted");
     let step = deployment.record().rollout.expect("under way").step;
     deployment.kill(deployment.owner().expect("an owner"));
     sleep(Duration::from_secs(60)).await;
