--- a/crates/stonewheel-rollout/src/routes.rs
+++ b/crates/stonewheel-rollout/src/routes.rs
@@ -37,7 +37,8 @@
 /// The `Retry-After` header of an answer 503, in seconds.
 const RETRY_AFTER_S: &str = "1";
 
-/// The body of a command.
+/// The body of a command. The name of the type is part of the answer to a body that is not a
+/// JSON object.
 #[derive(Debug, Deserialize)]
 struct CommandBody {
     id: String,
