--- a/crates/stonewheel-rollout/src/command.rs
+++ b/crates/stonewheel-rollout/src/command.rs
@@ -1,47 +1,51 @@
-//! What operators may ask of a rollout. A command is a change of the record, so it
-//! stands whoever drives the rollout, and a repeat with its id changes nothing.
+//! Operators' commands on a rollout. A command is a change of the service's record, so it
+//! takes effect whichever controller owns the service. A repeat with the same id changes
+//! nothing.
 
 use thiserror::Error;
 
 use crate::{
     planner::ReplicaObservations,
-    record::{DoneCommand, Phase, REMEMBERED_COMMANDS, ReplicaStage, Rollout, ServiceRecord},
+    record::{DoneCommand, MAX_REMEMBERED_COMMANDS, Phase, ReplicaStage, Rollout, ServiceRecord},
 };
 
-/// A command with the id that its caller chose.
+/// A command with the id that the caller chose.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Command {
-    /// A repeat with the same id is the same command.
+    /// The id; a command with the same id and kind is a repeat of this one.
     pub id: String,
-    /// What is asked.
+    /// The change that is requested.
     pub kind: CommandKind,
 }
 
-/// What is asked.
+/// The change that a command requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandKind {
-    /// Begin a rollout.
+    /// Begins a rollout.
     Start {
         /// The version to roll out.
         to: String,
-        /// Percentages, rising to 100.
+        /// Percentages of the replicas that run the new version after each step, rising to
+        /// 100.
         steps: Vec<u8>,
-        /// Replicas beyond the level that may exist at once.
+        /// Replicas beyond the service's size that may exist at the same time.
         surge: u32,
     },
-    /// Begin no further step, start and drain nothing.
+    /// Begins no further step and no further replica or drain. Starts, drains and stops
+    /// that are recorded already are completed.
     Pause,
-    /// Go on.
+    /// Ends a pause.
     Resume,
-    /// Bring the old version back.
+    /// Returns all replicas to the old version.
     RollBack,
-    /// End where it is: what serves goes on.
+    /// Ends the rollout where it is: serving replicas of both versions stay, and replicas that
+    /// have not answered yet are stopped.
     Abort,
 }
 
 impl CommandKind {
-    /// The command as it is remembered.
-    fn text(&self) -> String {
+    /// The command's text in [`DoneCommand::kind`], by which a repeat is recognized.
+    fn stored_text(&self) -> String {
         match self {
             Self::Start { to, steps, surge } => format!("start {to} {steps:?} {surge}"),
             Self::Pause => "pause".into(),
@@ -52,76 +56,79 @@
     }
 }
 
-/// Why a command is refused: one plain sentence. Nothing was changed.
+/// Why a command is refused, as one sentence for the operator. Nothing was changed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
     /// An empty id, or one that is too long.
     #[error("id must have 1 to 64 characters")]
-    Id,
+    InvalidId,
     /// The id was used for another command.
     #[error("id {0} was used for another command")]
     IdUsed(String),
-    /// The service runs it already.
+    /// All replicas run the requested version already.
     #[error("to must differ from the version that runs, {0}")]
     SameVersion(String),
-    /// Not rising to 100.
+    /// The percentages of the steps do not rise from above 0 to 100.
     #[error("steps must rise to 100")]
-    Steps,
-    /// Nothing could ever be drained.
-    #[error("surge must be at least {least}: a machine holds {holds} replicas, and may be lost")]
-    Surge {
-        /// What would do.
-        least: u32,
-        /// Replicas on the fullest machine.
-        holds: u32,
+    InvalidSteps,
+    /// With this surge no old replica could ever be drained, because the planner keeps the
+    /// loss of one machine covered.
+    #[error(
+        "surge must be at least {min}: a machine holds {per_machine} replicas, and may be lost"
+    )]
+    SurgeTooSmall {
+        /// The smallest surge that is accepted.
+        min: u32,
+        /// Answering replicas on the machine that has the most of them.
+        per_machine: u32,
     },
-    /// Whether a replica answers isn't known.
+    /// No recent probe shows whether this replica answers.
     #[error("replica {0} could not be looked at")]
     Unobserved(u32),
-    /// No replica answers: there is nothing to keep up.
+    /// No replica answers, so there is no level that a rollout could keep.
     #[error("no replica of the service answers")]
-    NothingAnswers,
-    /// It can't be named so.
+    NoReplicaAnswers,
+    /// The version's name is empty, too long, or has other than visible ASCII characters.
     #[error("to must be a name of 1 to 100 visible characters")]
-    Version,
+    InvalidVersion,
     /// The record would not fit a value of the state service.
-    #[error("size and surge together must be at most {most} replicas")]
+    #[error("size and surge together must be at most {max} replicas")]
     TooLarge {
-        /// Replicas that would fit.
-        most: u32,
+        /// The most replicas whose record would fit.
+        max: u32,
     },
-    /// It was deployed before.
+    /// The service has a record already.
     #[error("the service is deployed already")]
-    Deployed,
-    /// A rollout is under way.
+    AlreadyDeployed,
+    /// Another rollout of the service is not over; its id.
     #[error("rollout {0} is under way")]
-    UnderWay(String),
-    /// There is none to command.
+    RolloutInProgress(String),
+    /// The command needs a rollout that is not over, and there is none.
     #[error("no rollout is under way")]
-    NoneUnderWay,
+    NoRolloutInProgress,
 }
 
-const LONGEST_ID: usize = 64;
-const LONGEST_VERSION: usize = 100;
+const MAX_ID_BYTES: usize = 64;
+const MAX_VERSION_BYTES: usize = 100;
 
-/// Whether a version's name can be kept.
+/// Checks that the name of a version can be stored.
 pub fn check_version(version: &str) -> Result<(), CommandError> {
     let visible = version.bytes().all(|byte| byte.is_ascii_graphic());
-    let fits = (1..=LONGEST_VERSION).contains(&version.len());
-    if visible && fits { Ok(()) } else { Err(CommandError::Version) }
+    let fits = (1..=MAX_VERSION_BYTES).contains(&version.len());
+    if visible && fits { Ok(()) } else { Err(CommandError::InvalidVersion) }
 }
 
-/// The record after a command. `sightings`: what was lately seen of the replicas.
-/// `None`: the command was carried out before.
+/// Returns the record after a command, or `None` if the command was carried out before.
+/// `observations` are the latest of the service's replicas.
 pub fn apply(
     record: &ServiceRecord,
     command: &Command,
     observations: &ReplicaObservations,
 ) -> Result<Option<ServiceRecord>, CommandError> {
-    if command.id.is_empty() || command.id.len() > LONGEST_ID {
-        return Err(CommandError::Id);
+    if command.id.is_empty() || command.id.len() > MAX_ID_BYTES {
+        return Err(CommandError::InvalidId);
     }
-    let kind = command.kind.text();
+    let kind = command.kind.stored_text();
     if let Some(done) = record.commands.iter().find(|done| done.id == command.id) {
         let same = done.kind == kind;
         return if same { Ok(None) } else { Err(CommandError::IdUsed(command.id.clone())) };
@@ -129,25 +136,28 @@
     let mut next = record.clone();
     match &command.kind {
         CommandKind::Start { to, steps, surge } => {
-            next.rollout = Some(start(record, &command.id, to, steps, *surge, observations)?);
+            next.rollout =
+                Some(start_rollout(record, &command.id, to, steps, *surge, observations)?);
+        }
+        CommandKind::Pause => active_rollout_mut(&mut next)?.paused = true,
+        CommandKind::Resume => active_rollout_mut(&mut next)?.paused = false,
+        CommandKind::RollBack => {
+            roll_back(active_rollout_mut(&mut next)?, "an operator asked for it")
         }
-        CommandKind::Pause => under_way(&mut next)?.paused = true,
-        CommandKind::Resume => under_way(&mut next)?.paused = false,
-        CommandKind::RollBack => roll_back(under_way(&mut next)?, "an operator asked for it"),
         CommandKind::Abort => abort(&mut next)?,
     }
     next.commands.push(DoneCommand { id: command.id.clone(), kind });
-    let beyond = next.commands.len().saturating_sub(REMEMBERED_COMMANDS);
-    next.commands.drain(..beyond);
+    let excess = next.commands.len().saturating_sub(MAX_REMEMBERED_COMMANDS);
+    next.commands.drain(..excess);
     Ok(Some(next))
 }
 
-fn under_way(record: &mut ServiceRecord) -> Result<&mut Rollout, CommandError> {
+fn active_rollout_mut(record: &mut ServiceRecord) -> Result<&mut Rollout, CommandError> {
     let rollout = record.rollout.as_mut().filter(|rollout| !rollout.phase.is_over());
-    rollout.ok_or(CommandError::NoneUnderWay)
+    rollout.ok_or(CommandError::NoRolloutInProgress)
 }
 
-fn start(
+fn start_rollout(
     record: &ServiceRecord,
     id: &str,
     to: &str,
@@ -155,29 +165,30 @@
     surge: u32,
     observations: &ReplicaObservations,
 ) -> Result<Rollout, CommandError> {
-    if let Some(rollout) = record.under_way() {
-        return Err(CommandError::UnderWay(rollout.id.clone()));
+    if let Some(rollout) = record.active_rollout() {
+        return Err(CommandError::RolloutInProgress(rollout.id.clone()));
     }
     check_version(to)?;
     let rising = steps.windows(2).all(|pair| pair[0] < pair[1]);
     if !rising || steps.first().is_none_or(|first| *first == 0) || steps.last() != Some(&100) {
-        return Err(CommandError::Steps);
+        return Err(CommandError::InvalidSteps);
     }
     if record.version == to && record.replicas.iter().all(|replica| replica.version == to) {
         return Err(CommandError::SameVersion(to.into()));
     }
-    // A probe without an answer would lower the level for good.
-    if let Some(number) = observations.unobserved(record) {
+    // The level is fixed for the whole rollout: counted while a probe result is missing, it
+    // would stay too low.
+    if let Some(number) = observations.first_unobserved(record) {
         return Err(CommandError::Unobserved(number));
     }
     let answering = observations.answering(record);
     let level = answering.len() as u32;
     if level == 0 {
-        return Err(CommandError::NothingAnswers);
+        return Err(CommandError::NoReplicaAnswers);
     }
-    let holds = observations.fullest_machine(&answering);
-    if surge <= holds {
-        return Err(CommandError::Surge { least: holds + 1, holds });
+    let per_machine = observations.max_replicas_per_machine(&answering);
+    if surge <= per_machine {
+        return Err(CommandError::SurgeTooSmall { min: per_machine + 1, per_machine });
     }
     let mut rollout = Rollout {
         id: id.into(),
@@ -192,20 +203,21 @@
         paused: false,
         history: Vec::new(),
     };
-    rollout.enter(Phase::Stepping, "an operator started it");
+    rollout.enter_phase(Phase::Stepping, "an operator started it");
     Ok(rollout)
 }
 
-/// Turns back, which a rollout does once: from there it never goes forward again.
+/// Begins to roll a rollout back, unless the rollout does so already. A rollout that rolls back never
+/// goes forward again.
 pub(crate) fn roll_back(rollout: &mut Rollout, why: &str) {
     if rollout.phase != Phase::RollingBack {
         rollout.paused = false;
-        rollout.enter(Phase::RollingBack, why);
+        rollout.enter_phase(Phase::RollingBack, why);
     }
 }
 
 fn abort(record: &mut ServiceRecord) -> Result<(), CommandError> {
-    under_way(record)?.enter(Phase::Aborted, "an operator ended it");
+    active_rollout_mut(record)?.enter_phase(Phase::Aborted, "an operator ended it");
     for replica in &mut record.replicas {
         if replica.stage == ReplicaStage::Starting {
             replica.stage = ReplicaStage::Stopping;
--- a/crates/stonewheel-rollout/src/executor.rs
+++ b/crates/stonewheel-rollout/src/executor.rs
@@ -1,5 +1,5 @@
-//! The executor of one controller: it takes commands for any service, and drives the
-//! rollouts that it owns.
+//! The executor of one controller: it takes commands for every service, and drives the
+//! services that the controller owns.
 
 use std::{
     collections::BTreeMap,
@@ -21,40 +21,41 @@
     condition::PromotionCondition,
     host::{HostError, ReplicaHost, ReplicaOrder},
     observer::Observer,
-    planner::{Facts, Reason, ReplicaObservations, Step, Verdict, decide, has_work},
-    record::{Replica, ServiceRecord, record_bytes, service_key},
+    planner::{Facts, ReplicaObservations, Step, Verdict, WaitReason, decide, has_work},
+    record::{Replica, ServiceRecord, max_record_bytes, service_key},
     settings::RolloutSettings,
 };
 
-/// How often a command is tried whose record changes meanwhile.
-const COMMAND_TRIES: u32 = 8;
-/// Jobs are named from a number with so many digits on.
-const JOB_DIGITS: u32 = 16;
+/// Attempts to carry out a command while the service's record changes or can't be written, or
+/// the health of a replica is unknown.
+const MAX_COMMAND_ATTEMPTS: u32 = 8;
+/// The random base of job ids lies between 10 to this power and nine times as much.
+const JOB_ID_BASE_EXPONENT: u32 = 16;
 
-/// Why a command has not done its work.
+/// Why a command was not carried out, or may not have been.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandFailure {
-    /// It was refused, and nothing was changed.
+    /// The command was refused, and nothing was changed.
     #[error(transparent)]
     Refused(#[from] CommandError),
-    /// No such service.
+    /// There is no service of this name, or the service was not deployed yet.
     #[error("service {0} is not known")]
     UnknownService(String),
-    /// The state service can't be reached: certainly not carried out.
+    /// The state service can't be reached. The command was certainly not carried out.
     #[error("the state service can't be reached")]
     Unavailable,
-    /// It may have been carried out: the same id tells.
+    /// The command may have been carried out. A repeat with the same id resolves it.
     #[error("the outcome is not known; ask again with the same id")]
-    Unknown,
+    OutcomeUnknown,
 }
 
-/// What is kept of one service.
+/// The state of one service in this process.
 struct Service {
     name: String,
     promote_when: Option<PromotionCondition>,
     observer: Mutex<Observer>,
     succession: Mutex<Succession>,
-    next_probe: Mutex<Instant>,
+    next_probe_at: Mutex<Instant>,
 }
 
 /// The executor of one controller.
@@ -63,21 +64,20 @@
     settings: RolloutSettings,
     host: Arc<dyn ReplicaHost>,
     services: BTreeMap<String, Arc<Service>>,
-    /// Bytes of the largest record.
-    most_bytes: usize,
+    /// Bytes of the largest value that the state service takes.
+    max_value_bytes: usize,
     rng: Mutex<StdRng>,
 }
 
 impl Executor {
-    /// Over the coordination of this controller, for these services and what must
-    /// hold before their next steps. `most_bytes`: the largest value that the state
-    /// service takes.
+    /// Creates the executor of a controller for these services, each with its promotion
+    /// condition. `max_value_bytes` is the largest value that the state service takes.
     pub fn new(
         coordinator: Arc<Coordinator>,
         settings: RolloutSettings,
         services: BTreeMap<String, Option<PromotionCondition>>,
         host: Arc<dyn ReplicaHost>,
-        most_bytes: usize,
+        max_value_bytes: usize,
         seed: u64,
     ) -> Arc<Self> {
         let service = |(name, promote_when): (String, Option<PromotionCondition>)| {
@@ -86,7 +86,7 @@
                 promote_when,
                 observer: Mutex::new(Observer::new(settings)),
                 succession: Mutex::default(),
-                next_probe: Mutex::new(Instant::now()),
+                next_probe_at: Mutex::new(Instant::now()),
             };
             (name, Arc::new(service))
         };
@@ -95,16 +95,16 @@
             settings,
             host,
             services: services.into_iter().map(service).collect(),
-            most_bytes,
+            max_value_bytes,
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
         })
     }
 
-    /// Runs until told to stop.
+    /// Drives the services until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, stop: CancellationToken) {
         let tasks = TaskTracker::new();
         for service in self.services.values() {
-            let task = self.clone().drive(service.clone());
+            let task = self.clone().run_service(service.clone());
             let stop = stop.clone();
             tasks.spawn(async move {
                 tokio::select! {
@@ -117,14 +117,13 @@
         tasks.wait().await;
     }
 
-    /// A service's record, as last read.
+    /// Returns a service's record, as last read.
     pub fn record(&self, service: &str) -> Option<Versioned<ServiceRecord>> {
         self.coordinator.records().get(&service_key(service))
     }
 
-    // Commands.
-
-    /// Deploys a service for the first time: `replicas` of a version are to be started.
+    /// Deploys a service for the first time: records `replicas` replicas of a version that are
+    /// to be started.
     pub async fn create(
         &self,
         service: &str,
@@ -137,7 +136,7 @@
         check_version(version)?;
         self.check_size(replicas, version)?;
         if self.record(service).is_some() {
-            return Err(CommandError::Deployed.into());
+            return Err(CommandError::AlreadyDeployed.into());
         }
         let mut record = ServiceRecord {
             epoch: 0,
@@ -148,9 +147,9 @@
             rollout: None,
             commands: Vec::new(),
         };
-        let job_base = self.job_base();
+        let job_id_base = self.job_id_base();
         for _ in 0..replicas {
-            record.add_replica(version, job_base);
+            record.add_replica(version, job_id_base);
         }
         let before = Versioned { version: 0, value: record.clone() };
         match self.commit(service, &before, &record).await {
@@ -158,40 +157,43 @@
             Err(StateError::Refused(_)) => return Err(CommandFailure::Unavailable),
             Err(_) => self.coordinator.refresh().await,
         }
-        // It shows in the record whether it was carried out.
+        // The write failed or its outcome is unknown. If it was carried out, the record has this
+        // call's random job ids.
         let job = |record: &ServiceRecord| record.replicas.first().map(|r| r.job.clone());
         match self.record(service) {
             Some(found) if job(&found.value) == job(&record) => Ok(()),
-            Some(_) => Err(CommandError::Deployed.into()),
-            None => Err(CommandFailure::Unknown),
+            Some(_) => Err(CommandError::AlreadyDeployed.into()),
+            None => Err(CommandFailure::OutcomeUnknown),
         }
     }
 
-    /// Whether a record of so many replicas fits.
+    /// Checks that a record with this many replicas fits a value of the state service.
     fn check_size(&self, replicas: u32, version: &str) -> Result<(), CommandError> {
-        let fits = |replicas: u32| record_bytes(replicas, version) <= self.most_bytes;
+        let fits = |replicas: u32| max_record_bytes(replicas, version) <= self.max_value_bytes;
         if replicas > 0 && fits(replicas) {
             return Ok(());
         }
-        let most = (1..replicas).rev().find(|fewer| fits(*fewer)).unwrap_or(0);
-        Err(CommandError::TooLarge { most })
+        let max = (1..replicas).rev().find(|fewer| fits(*fewer)).unwrap_or(0);
+        Err(CommandError::TooLarge { max })
     }
 
-    /// Where the replicas that take requests answer, by a probe of each.
+    /// Probes the replicas, and returns the endpoints of those that take requests and answer.
     pub async fn endpoints(&self, service: &str) -> Option<Vec<String>> {
-        let known = self.services.get(service)?;
+        let service_state = self.services.get(service)?;
         let record = self.record(service)?;
-        self.probe_now(known, &record).await;
-        Some(lock(&known.observer).endpoints(&record.value, Instant::now()))
+        self.probe_replicas(service_state, &record).await;
+        Some(lock(&service_state.observer).endpoints(&record.value, Instant::now()))
     }
 
-    /// Carries out a command, once however often it is asked for. When this returns it
-    /// stands, whatever becomes of this controller.
+    /// Carries out a command, once per id. When this returns `Ok`, the change is stored and
+    /// doesn't depend on this controller.
     pub async fn command(&self, service: &str, command: &Command) -> Result<(), CommandFailure> {
-        let known = self.services.get(service);
-        let known = known.ok_or_else(|| CommandFailure::UnknownService(service.into()))?;
-        for _ in 0..COMMAND_TRIES {
-            // Never decided on what this process alone may still believe.
+        let service_state = self.services.get(service);
+        let service_state =
+            service_state.ok_or_else(|| CommandFailure::UnknownService(service.into()))?;
+        for _ in 0..MAX_COMMAND_ATTEMPTS {
+            // Without a valid session the cached record may be out of date, so no command is
+            // decided on it.
             if self.coordinator.session().is_none_or(|s| s.valid_until <= Instant::now()) {
                 return Err(CommandFailure::Unavailable);
             }
@@ -202,11 +204,11 @@
                 let replicas = record.value.replicas.len() as u32;
                 self.check_size(replicas.saturating_add(*surge), to)?;
             }
-            let observations = self.probe_now(known, &record).await;
+            let observations = self.probe_replicas(service_state, &record).await;
             let next = match apply(&record.value, command, &observations) {
                 Ok(Some(next)) => next,
                 Ok(None) => return Ok(()),
-                // A probe got no answer: the next one may.
+                // A probe without a result may succeed at the next attempt.
                 Err(CommandError::Unobserved(_)) => {
                     self.coordinator.refresh().await;
                     continue;
@@ -215,20 +217,24 @@
             };
             match self.commit(service, &record, &next).await {
                 Ok(()) => {
-                    info!(service, id = command.id, kind = ?command.kind, "command");
+                    info!(
+                        service,
+                        id = command.id,
+                        kind = ?command.kind,
+                        "rollout command carried out"
+                    );
                     return Ok(());
                 }
                 Err(StateError::Refused(_)) => return Err(CommandFailure::Unavailable),
-                // It shows in the record whether it was carried out.
+                // The next attempt sees in the record whether the command was carried out.
                 Err(_) => self.coordinator.refresh().await,
             }
         }
-        Err(CommandFailure::Unknown)
+        Err(CommandFailure::OutcomeUnknown)
     }
 
-    // Driving.
-
-    async fn drive(self: Arc<Self>, service: Arc<Service>) {
+    /// Plans and carries out the steps of a service one after the other.
+    async fn run_service(self: Arc<Self>, service: Arc<Service>) {
         let mut changes = self.coordinator.subscribe();
         loop {
             changes.mark_unchanged();
@@ -241,7 +247,7 @@
             }
             match self.plan(&service, &record) {
                 Step::Wait(reason) => {
-                    let until = self.wake_at(&service, reason);
+                    let until = self.next_wake_at(&service, reason);
                     tokio::select! {
                         _ = changes.changed() => {}
                         () = sleep_until(until) => {}
@@ -249,12 +255,16 @@
                 }
                 Step::Write(next) => {
                     if let Err(error) = self.commit(&service.name, &record, &next).await {
-                        debug!(service = service.name, %error, "a record was not written");
+                        debug!(
+                            service = service.name,
+                            %error,
+                            "service record write failed or its outcome is unknown"
+                        );
                         self.coordinator.refresh().await;
                     }
                 }
-                Step::Start(number) => self.start(&service, &record, number).await,
-                Step::Stop(number) => self.stop(&service, &record, number).await,
+                Step::Start(number) => self.start_replica(&service, &record, number).await,
+                Step::Stop(number) => self.stop_replica(&service, &record, number).await,
             }
         }
     }
@@ -263,11 +273,13 @@
         record.value.owner.as_ref() == Some(self.coordinator.identity())
     }
 
-    fn job_base(&self) -> u64 {
-        let least = 10_u64.pow(JOB_DIGITS);
-        lock(&self.rng).random_range(least..least * 9)
+    /// Draws the base of the job ids of new replicas.
+    fn job_id_base(&self) -> u64 {
+        let min = 10_u64.pow(JOB_ID_BASE_EXPONENT);
+        lock(&self.rng).random_range(min..min * 9)
     }
 
+    /// Gathers what this controller knows of a service, and decides the next step.
     fn plan(&self, service: &Service, record: &Versioned<ServiceRecord>) -> Step {
         let now = Instant::now();
         let session = self.coordinator.session();
@@ -275,7 +287,7 @@
         let owner_alive = owner.is_some_and(|owner| self.coordinator.records().is_alive(owner));
         let may_adopt = lock(&service.succession).may_adopt(&self.coordinator, owner);
         let mut observer = lock(&service.observer);
-        observer.follow(&record.value, now);
+        observer.update_from_record(&record.value, now);
         decide(&Facts {
             me: self.coordinator.identity(),
             record: &record.value,
@@ -284,11 +296,12 @@
             may_adopt,
             observations: &observer.observations(now),
             verdict: &self.verdict(service, &observer, &record.value, now),
-            job_base: self.job_base(),
+            job_id_base: self.job_id_base(),
         })
     }
 
-    /// What the health gate says, and where it is content the operators' condition.
+    /// Returns the health gate's verdict. A healthy one is subject to the service's promotion
+    /// condition.
     fn verdict(
         &self,
         service: &Service,
@@ -302,26 +315,30 @@
             return verdict;
         };
         let figures = observer.step_figures(record, now);
-        match condition.holds(&figures, self.settings.condition_limit()) {
+        match condition.holds(&figures, self.settings.condition_timeout()) {
             Ok(true) => Verdict::Healthy,
             Ok(false) => Verdict::Unhealthy("the promotion condition does not hold".into()),
             Err(error) => Verdict::Unhealthy(error.to_string()),
         }
     }
 
-    fn wake_at(&self, service: &Service, reason: Reason) -> Instant {
+    /// Returns when a waiting service is planned again if its record doesn't change before.
+    fn next_wake_at(&self, service: &Service, reason: WaitReason) -> Instant {
         let now = Instant::now();
-        let probe = (*lock(&service.next_probe)).max(now);
-        let due = lock(&service.observer).next_due(now);
+        let probe = (*lock(&service.next_probe_at)).max(now);
+        let due = lock(&service.observer).next_deadline(now);
         match reason {
-            // A change of the records wakes the task by itself; this is for adoption.
-            Reason::NotOwner | Reason::NoSession | Reason::Nothing => {
+            // A change of the records wakes the task in any case. The timer is for adoption,
+            // which becomes possible by the passage of time alone.
+            WaitReason::NotOwner | WaitReason::NoSession | WaitReason::NoWork => {
                 now + self.coordinator.timing().session_ttl / ADOPTION_DELAY_DIVISOR
             }
             _ => due.map_or(probe, |due| due.min(probe)),
         }
     }
 
+    /// Writes a service's record if it has not changed since it was read and this controller's
+    /// session is valid.
     async fn commit(
         &self,
         service: &str,
@@ -335,11 +352,11 @@
         let condition = Condition { key: key.clone(), version: from.version };
         let write = put(key, to, None)?;
         self.coordinator.commit_under(session, vec![condition], vec![write]).await?;
-        tell(service, &from.value, to);
+        log_change(service, &from.value, to);
         Ok(())
     }
 
-    fn order(
+    fn replica_order(
         &self,
         service: &Service,
         record: &Versioned<ServiceRecord>,
@@ -355,81 +372,102 @@
         }
     }
 
-    fn order_for(
+    fn replica_order_by_number(
         &self,
         service: &Service,
         record: &Versioned<ServiceRecord>,
         number: u32,
     ) -> Option<ReplicaOrder> {
         let replica = record.value.replicas.iter().find(|replica| replica.number == number)?;
-        Some(self.order(service, record, replica))
+        Some(self.replica_order(service, record, replica))
     }
 
-    async fn start(&self, service: &Service, record: &Versioned<ServiceRecord>, number: u32) {
-        let Some(order) = self.order_for(service, record, number) else { return };
+    async fn start_replica(
+        &self,
+        service: &Service,
+        record: &Versioned<ServiceRecord>,
+        number: u32,
+    ) {
+        let Some(order) = self.replica_order_by_number(service, record, number) else { return };
         let outcome = self.host.start(&order).await;
         match outcome {
-            Ok(()) => lock(&service.observer).requested(number, None),
+            Ok(()) => lock(&service.observer).record_start(number, None),
             Err(HostError::Rejected(reason)) => {
-                lock(&service.observer).requested(number, Some(reason));
+                lock(&service.observer).record_start(number, Some(reason));
             }
             Err(error) => {
-                debug!(service = service.name, number, %error, "start");
+                debug!(
+                    service = service.name,
+                    number,
+                    %error,
+                    "replica start failed or its outcome is unknown"
+                );
                 self.coordinator.refresh().await;
             }
         }
     }
 
-    async fn stop(&self, service: &Service, record: &Versioned<ServiceRecord>, number: u32) {
-        let Some(order) = self.order_for(service, record, number) else { return };
+    async fn stop_replica(
+        &self,
+        service: &Service,
+        record: &Versioned<ServiceRecord>,
+        number: u32,
+    ) {
+        let Some(order) = self.replica_order_by_number(service, record, number) else { return };
         let outcome = self.host.stop(&order).await;
         match outcome {
-            Ok(()) => lock(&service.observer).stopped(number),
+            Ok(()) => lock(&service.observer).record_stop(number),
             Err(error) => {
-                debug!(service = service.name, number, %error, "stop");
+                debug!(
+                    service = service.name,
+                    number,
+                    %error,
+                    "replica stop failed or its outcome is unknown"
+                );
                 self.coordinator.refresh().await;
             }
         }
     }
 
+    /// Probes all replicas if the probe interval has passed.
     async fn probe_if_due(&self, service: &Service, record: &Versioned<ServiceRecord>) {
-        if *lock(&service.next_probe) > Instant::now() {
+        if *lock(&service.next_probe_at) > Instant::now() {
             return;
         }
-        self.probe_now(service, record).await;
-        *lock(&service.next_probe) = Instant::now() + self.settings.probe();
+        self.probe_replicas(service, record).await;
+        *lock(&service.next_probe_at) = Instant::now() + self.settings.probe_interval();
     }
 
-    /// Probes all replicas, and tells what is known then.
-    async fn probe_now(
+    /// Probes all replicas, and returns the observations with the results.
+    async fn probe_replicas(
         &self,
         service: &Service,
         record: &Versioned<ServiceRecord>,
     ) -> ReplicaObservations {
-        lock(&service.observer).follow(&record.value, Instant::now());
+        lock(&service.observer).update_from_record(&record.value, Instant::now());
         let probes = record.value.replicas.iter().map(|replica| {
-            let order = self.order(service, record, replica);
+            let order = self.replica_order(service, record, replica);
             async move { (replica, self.host.probe(&order).await) }
         });
         let probes = join_all(probes).await;
         let now = Instant::now();
-        let to = record.value.under_way().map(|rollout| rollout.to.as_str());
+        let to = record.value.active_rollout().map(|rollout| rollout.to.as_str());
         let mut observer = lock(&service.observer);
         for (replica, probe) in probes {
-            let new = to == Some(replica.version.as_str());
+            let is_new_version = to == Some(replica.version.as_str());
             match probe {
-                Ok(probe) => observer.record_probe(replica.number, probe, new, now),
-                Err(error) => debug!(service = service.name, %error, "look"),
+                Ok(probe) => observer.record_probe(replica.number, probe, is_new_version, now),
+                Err(error) => debug!(service = service.name, %error, "replica probe failed"),
             }
         }
         observer.observations(now)
     }
 }
 
-/// Tells the operator what a committed record means.
-fn tell(service: &str, from: &ServiceRecord, to: &ServiceRecord) {
+/// Logs a change of the owner or of the rollout's phase once the record is written.
+fn log_change(service: &str, from: &ServiceRecord, to: &ServiceRecord) {
     if from.owner != to.owner {
-        info!(service, epoch = to.epoch, "drives the service");
+        info!(service, epoch = to.epoch, "service adopted by this controller");
     }
     let Some(rollout) = &to.rollout else { return };
     let before = from.rollout.as_ref().map(|rollout| rollout.history.len());
@@ -441,8 +479,8 @@
     let why = rollout.history.last().map_or("", |entry| entry.why.as_str());
     let (phase, step) = (rollout.phase, rollout.step);
     if phase == crate::record::Phase::RollingBack {
-        warn!(service, id = rollout.id, ?phase, step, why, "rollout");
+        warn!(service, id = rollout.id, ?phase, step, why, "rollback started");
     } else {
-        info!(service, id = rollout.id, ?phase, step, why, "rollout");
+        info!(service, id = rollout.id, ?phase, step, why, "rollout phase changed");
     }
 }
--- a/crates/stonewheel-rollout/src/observer.rs
+++ b/crates/stonewheel-rollout/src/observer.rs
@@ -1,4 +1,5 @@
-//! What the owner of a rollout saw of the replicas, and since when.
+//! The probe results of a service's replicas at its owner, and the times and shares of
+//! failures that follow from them.
 
 use std::collections::BTreeMap;
 
@@ -12,42 +13,44 @@
     settings::RolloutSettings,
 };
 
-/// A probe that is older than so many intervals says nothing any more.
-const STALE_PROBES: u32 = 3;
-/// Probes of a replica before its share of failures says anything.
-const MIN_PROBES: u32 = 10;
+/// Probe intervals after which a probe result is stale: the replica's health is then unknown.
+const STALE_PROBE_INTERVALS: u32 = 3;
+/// Probes of a replica before its share of unanswered probes can count as a failure.
+const MIN_PROBES_TO_JUDGE: u32 = 10;
 
-/// What was seen of one replica.
+/// The state of one replica, as observed by this controller.
 #[derive(Clone, Debug, Default)]
 struct ObservedReplica {
     health: ReplicaHealth,
     machine: Option<String>,
     endpoint: Option<String>,
-    at: Option<Instant>,
-    requested: bool,
+    probed_at: Option<Instant>,
+    start_requested: bool,
     rejected: Option<String>,
     stopped: bool,
-    silent_since: Option<Instant>,
+    unresponsive_since: Option<Instant>,
     draining_since: Option<Instant>,
-    /// Probes since it first answered, and how many went unanswered.
+    /// Probes since the replica first answered on its machine, and how many of them went
+    /// unanswered.
     probes: u32,
     failures: u32,
 }
 
-/// Which step of which owner the health gate watches.
+/// The step that soaks, and the epoch of the owner that observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Watched {
+struct SoakedStep {
     epoch: u64,
     step: u32,
 }
 
-/// What the owner saw.
+/// The observations of a service's replicas by its owner.
 #[derive(Debug)]
 pub(crate) struct Observer {
     settings: RolloutSettings,
     epoch: u64,
     replicas: BTreeMap<u32, ObservedReplica>,
-    soaking: Option<(Watched, Instant)>,
+    /// The step that soaks at present, and when its soak began.
+    current_soak: Option<(SoakedStep, Instant)>,
     /// Probes of new replicas within the present soak, and how many went unanswered.
     soak_probes: u32,
     soak_failures: u32,
@@ -59,18 +62,19 @@
             settings,
             epoch: 0,
             replicas: BTreeMap::new(),
-            soaking: None,
+            current_soak: None,
             soak_probes: 0,
             soak_failures: 0,
         }
     }
 
-    /// Takes over what the record says. What a former owner saw is not known here.
-    pub fn follow(&mut self, record: &ServiceRecord, now: Instant) {
+    /// Updates the tracked replicas and the present soak from the record. A change of the
+    /// owner discards all observations, since those of the former owner are not known here.
+    pub fn update_from_record(&mut self, record: &ServiceRecord, now: Instant) {
         if record.epoch != self.epoch {
             self.epoch = record.epoch;
             self.replicas.clear();
-            self.soaking = None;
+            self.current_soak = None;
         }
         self.replicas.retain(|number, _| record.replicas.iter().any(|r| r.number == *number));
         for replica in &record.replicas {
@@ -79,31 +83,40 @@
                 observed.draining_since.get_or_insert(now);
             }
         }
-        let rollout = record.under_way().filter(|rollout| rollout.phase == Phase::Soaking);
-        let watched = rollout.map(|r| Watched { epoch: record.epoch, step: r.step });
-        if self.soaking.map(|(held, _)| held) != watched {
-            self.soaking = watched.map(|watched| (watched, now));
+        let rollout = record.active_rollout().filter(|rollout| rollout.phase == Phase::Soaking);
+        let soaked_step = rollout.map(|r| SoakedStep { epoch: record.epoch, step: r.step });
+        if self.current_soak.map(|(current, _)| current) != soaked_step {
+            self.current_soak = soaked_step.map(|step| (step, now));
             (self.soak_probes, self.soak_failures) = (0, 0);
         }
     }
 
-    pub fn requested(&mut self, number: u32, rejected: Option<String>) {
+    /// Records that the start of a replica was requested, and why it was rejected if so.
+    pub fn record_start(&mut self, number: u32, rejected: Option<String>) {
         let observed = self.replicas.entry(number).or_default();
-        observed.requested = true;
+        observed.start_requested = true;
         observed.rejected = rejected;
     }
 
-    pub fn stopped(&mut self, number: u32) {
+    /// Records that a replica was stopped.
+    pub fn record_stop(&mut self, number: u32) {
         self.replicas.entry(number).or_default().stopped = true;
     }
 
-    /// Notes a probe. `new`: the replica is of the version that is rolled out.
-    pub fn record_probe(&mut self, number: u32, probe: ProbeResult, new: bool, now: Instant) {
+    /// Records a probe result. `is_new_version` tells whether the replica has the version
+    /// that is rolled out.
+    pub fn record_probe(
+        &mut self,
+        number: u32,
+        probe: ProbeResult,
+        is_new_version: bool,
+        now: Instant,
+    ) {
         let observed = self.replicas.entry(number).or_default();
-        observed.at = Some(now);
+        observed.probed_at = Some(now);
         let (health, machine) = match probe {
-            ProbeResult::NoRoom => (ReplicaHealth::NoRoom, None),
-            ProbeResult::Silent { machine } => (ReplicaHealth::Silent, Some(machine)),
+            ProbeResult::NoCapacity => (ReplicaHealth::NoCapacity, None),
+            ProbeResult::Unresponsive { machine } => (ReplicaHealth::Unresponsive, Some(machine)),
             ProbeResult::Answering { machine, endpoint } => {
                 observed.endpoint = Some(endpoint);
                 (ReplicaHealth::Answering, Some(machine))
@@ -111,71 +124,83 @@
             ProbeResult::Gone => (ReplicaHealth::Gone, None),
         };
         if machine != observed.machine {
-            // Its machine was lost, and it loads anew: that says nothing of its version.
-            (observed.probes, observed.failures, observed.silent_since) = (0, 0, None);
+            // The machine was lost, and the replica loads again on another one. The loss says
+            // nothing about the version.
+            (observed.probes, observed.failures, observed.unresponsive_since) = (0, 0, None);
         }
         (observed.health, observed.machine) = (health, machine);
-        let (answers, silent) =
-            (observed.health == ReplicaHealth::Answering, observed.health == ReplicaHealth::Silent);
-        observed.silent_since = if silent { observed.silent_since.or(Some(now)) } else { None };
-        // Before the first answer it loads; while it has no place its machine was lost.
-        if answers || (silent && observed.probes > 0) {
+        let (answers, unresponsive) = (
+            observed.health == ReplicaHealth::Answering,
+            observed.health == ReplicaHealth::Unresponsive,
+        );
+        observed.unresponsive_since =
+            if unresponsive { observed.unresponsive_since.or(Some(now)) } else { None };
+        // Unanswered probes count only after the first answer: until then the replica loads. A
+        // replica without a machine doesn't count, because its machine was lost.
+        if answers || (unresponsive && observed.probes > 0) {
             observed.probes += 1;
-            observed.failures += u32::from(silent);
-            if new && self.soaking.is_some() {
+            observed.failures += u32::from(unresponsive);
+            if is_new_version && self.current_soak.is_some() {
                 self.soak_probes += 1;
-                self.soak_failures += u32::from(silent);
+                self.soak_failures += u32::from(unresponsive);
             }
         }
     }
 
-    /// What is known now.
+    /// Returns what is known of the replicas at `now`.
     pub fn observations(&self, now: Instant) -> ReplicaObservations {
-        let stale = self.settings.probe() * STALE_PROBES;
+        let stale = self.settings.probe_interval() * STALE_PROBE_INTERVALS;
         let observation = |observed: &ObservedReplica| {
-            let fresh = observed.at.is_some_and(|at| now < at + stale);
+            let fresh = observed.probed_at.is_some_and(|probed_at| now < probed_at + stale);
             ReplicaObservation {
                 health: if fresh { observed.health } else { ReplicaHealth::Unknown },
                 machine: observed.machine.clone(),
-                requested: observed.requested,
-                failed: self.failure(observed, now),
+                start_requested: observed.start_requested,
+                failure: self.failure_reason(observed, now),
                 drained: observed
                     .draining_since
-                    .is_some_and(|since| now >= since + self.settings.drain()),
+                    .is_some_and(|since| now >= since + self.settings.drain_time()),
                 stopped: observed.stopped,
             }
         };
         ReplicaObservations(
-            self.replicas.iter().map(|(number, s)| (*number, observation(s))).collect(),
+            self.replicas
+                .iter()
+                .map(|(number, observed)| (*number, observation(observed)))
+                .collect(),
         )
     }
 
-    fn failure(&self, observed: &ObservedReplica, now: Instant) -> Option<String> {
+    /// Returns why a replica has failed, or `None` if it has not.
+    fn failure_reason(&self, observed: &ObservedReplica, now: Instant) -> Option<String> {
         if let Some(reason) = &observed.rejected {
             return Some(format!("a replica can't be started: {reason}"));
         }
-        if observed.silent_since.is_some_and(|since| now >= since + self.settings.start()) {
+        if observed
+            .unresponsive_since
+            .is_some_and(|since| now >= since + self.settings.start_timeout())
+        {
             return Some(format!("a replica did not answer for {} s", self.settings.start_s));
         }
-        let most = f64::from(observed.probes) * self.settings.most_failures;
-        (observed.probes >= MIN_PROBES && f64::from(observed.failures) > most)
+        let max_failures = f64::from(observed.probes) * self.settings.most_failures;
+        (observed.probes >= MIN_PROBES_TO_JUDGE && f64::from(observed.failures) > max_failures)
             .then(|| "a replica answers now and then".to_owned())
     }
 
-    /// Where the replicas that take requests answer.
+    /// Returns the endpoints of the replicas that take requests and answer.
     pub fn endpoints(&self, record: &ServiceRecord, now: Instant) -> Vec<String> {
         let observations = self.observations(now);
         let answering = observations.answering(record).into_iter();
         answering.filter_map(|number| self.replicas.get(&number)?.endpoint.clone()).collect()
     }
 
-    /// What the health gate says of the step that is watched.
+    /// Returns the health gate's verdict on the step that soaks.
     pub fn verdict(&self, now: Instant) -> Verdict {
-        let Some((_, since)) = self.soaking else { return Verdict::Undecided };
-        let most = f64::from(self.soak_probes) * self.settings.most_failures;
-        if now < since + self.settings.soak() || self.soak_probes == 0 {
+        let Some((_, since)) = self.current_soak else { return Verdict::Undecided };
+        let max_failures = f64::from(self.soak_probes) * self.settings.most_failures;
+        if now < since + self.settings.soak_time() || self.soak_probes == 0 {
             Verdict::Undecided
-        } else if f64::from(self.soak_failures) > most {
+        } else if f64::from(self.soak_failures) > max_failures {
             let (failures, probes) = (self.soak_failures, self.soak_probes);
             Verdict::Unhealthy(format!("{failures} of {probes} looks went unanswered"))
         } else {
@@ -183,9 +208,9 @@
         }
     }
 
-    /// What was counted of the step that is watched.
+    /// Returns the figures of the present step for the promotion condition.
     pub fn step_figures(&self, record: &ServiceRecord, now: Instant) -> StepFigures {
-        let Some(rollout) = record.under_way() else { return StepFigures::default() };
+        let Some(rollout) = record.active_rollout() else { return StepFigures::default() };
         StepFigures {
             probes: self.soak_probes,
             failures: self.soak_failures,
@@ -196,11 +221,11 @@
         }
     }
 
-    /// When something comes due that no look brings.
-    pub fn next_due(&self, now: Instant) -> Option<Instant> {
-        let drains = self.replicas.values().filter_map(|s| s.draining_since);
-        let drains = drains.map(|since| since + self.settings.drain());
-        let soaks = self.soaking.map(|(_, since)| since + self.settings.soak());
-        drains.chain(soaks).filter(|at| *at > now).min()
+    /// Returns the next instant after `now` at which a drain or the soak time ends.
+    pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
+        let drains = self.replicas.values().filter_map(|observed| observed.draining_since);
+        let drains = drains.map(|since| since + self.settings.drain_time());
+        let soaks = self.current_soak.map(|(_, since)| since + self.settings.soak_time());
+        drains.chain(soaks).filter(|deadline| *deadline > now).min()
     }
 }
