--- a/crates/stonewheel-activation/tests/common/controllers.rs
+++ b/crates/stonewheel-activation/tests/common/controllers.rs
@@ -10,7 +10,7 @@
 
 use stonewheel_activation::{ActivationSettings, Activator, ReplicaStarter, serve};
 use stonewheel_coordination::Timing;
-use stonewheel_testing::{MemState, coordinated};
+use stonewheel_testing::{MemState, spawn_coordinator};
 use tokio::{net::TcpListener, sync::mpsc as commands};
 use tokio_util::sync::CancellationToken;
 
@@ -54,7 +54,7 @@
                 let timing = Timing { session_ttl: session, state_timeout: session / 4 };
                 let incarnation = at as u64;
                 let coordinator =
-                    coordinated(&state, &client, (at, size), incarnation, timing, &stop);
+                    spawn_coordinator(&state, &client, (at, size), incarnation, timing, &stop);
                 let activator = Activator::new(coordinator, settings, starter, at as u64);
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
                 tell.send(listener.local_addr().expect("an address")).expect("somebody waits");
--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -17,7 +17,7 @@
     ActivationSettings, Activator, Listen, ModelSettings, Refusal, parse_sections,
     record::{ActivationRecord, record_key},
 };
-use stonewheel_testing::{MemState, coordinated, timing};
+use stonewheel_testing::{MemState, spawn_coordinator, timing};
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
@@ -134,7 +134,8 @@
         let client = format!("m-{at}#{seed}");
         let stop = CancellationToken::new();
         let place = (at, self.size);
-        let coordinator = coordinated(&self.state, &client, place, seed, timing(SESSION), &stop);
+        let coordinator =
+            spawn_coordinator(&self.state, &client, place, seed, timing(SESSION), &stop);
         let starter = self.farm.client(&client);
         let activator = Activator::new(coordinator, self.settings.clone(), starter, seed);
         tokio::spawn(activator.clone().run(stop.clone()));
@@ -175,7 +176,7 @@
     }
 
     /// The controller's next transactions are carried out, but not answered.
-    pub fn mute_state(&self, at: usize, count: u32) {
+    pub fn lose_state_answers(&self, at: usize, count: u32) {
         self.state.lose_answers(&self.client_of(at), count);
     }
 
--- a/crates/stonewheel-activation/tests/scenarios.rs
+++ b/crates/stonewheel-activation/tests/scenarios.rs
@@ -146,7 +146,7 @@
     for lost in 1..6 {
         let fleet = Fleet::with_router(3).await;
         for at in 0..3 {
-            fleet.mute_state(at, lost);
+            fleet.lose_state_answers(at, lost);
             fleet.mute_farm(at, lost);
         }
         let outcomes = fleet.burst(60, "router").await;
@@ -160,9 +160,11 @@
 async fn transactions_carried_out_late_never_cause_a_second_start() {
     for seed in 0..20 {
         let fleet = Fleet::with_router(3).await;
-        fleet.state.set_late(Some(stonewheel_testing::LateTransactions::new(seed, 0.4, 0.5)));
+        fleet
+            .state
+            .set_late_transactions(Some(stonewheel_testing::LateTransactions::new(seed, 0.4, 0.5)));
         let outcomes = fleet.burst(30, "router").await;
-        fleet.state.set_late(None);
+        fleet.state.set_late_transactions(None);
         // Some may be refused while a session could not be had; none is lost.
         assert!(!outcomes.contains(&Outcome::Broken), "seed {seed}: {outcomes:?}");
         fleet.until("the model answers", is_ready).await;
--- a/crates/stonewheel-lending/tests/guarantees.rs
+++ b/crates/stonewheel-lending/tests/guarantees.rs
@@ -82,14 +82,14 @@
             4 => {
                 let time = Duration::from_secs(time);
                 world.excuse(time);
-                world.members.cut_from_others(at, time);
+                world.members.block_other_calls(at, time);
             }
             5 => world.outage(time).await,
             6 => {
                 world.excuse(Duration::from_secs(20));
-                world.state.set_late(Some(LateTransactions::new(seed, 0.3, 0.5)));
+                world.state.set_late_transactions(Some(LateTransactions::new(seed, 0.3, 0.5)));
                 sleep(Duration::from_secs(8)).await;
-                world.state.set_late(None);
+                world.state.set_late_transactions(None);
                 sleep(Duration::from_secs(12)).await;
             }
             7 if lost < MOST_LOST => {
@@ -110,7 +110,7 @@
         () = faults(world.clone(), seed) => {}
         () = sleep(PLAYED) => {}
     }
-    world.state.set_late(None);
+    world.state.set_late_transactions(None);
     world.state.set_outage(false);
     for at in 0..CONTROLLERS {
         world.kill(at);
--- a/crates/stonewheel-lending/tests/ledger.rs
+++ b/crates/stonewheel-lending/tests/ledger.rs
@@ -19,7 +19,7 @@
     },
 };
 use stonewheel_protocol::Condition;
-use stonewheel_testing::{MemState, coordinated, timing};
+use stonewheel_testing::{MemState, spawn_coordinator, timing};
 use tokio::{runtime::Runtime, time::sleep};
 use tokio_util::sync::CancellationToken;
 
@@ -232,7 +232,7 @@
             let start = |at: usize| {
                 let stop = CancellationToken::new();
                 let timing = timing(Duration::from_secs(10));
-                coordinated(&state, &format!("m-{at}"), (at, 2), at as u64, timing, &stop)
+                spawn_coordinator(&state, &format!("m-{at}"), (at, 2), at as u64, timing, &stop)
             };
             let both = [start(0), start(1)];
             sleep(Duration::from_secs(2)).await;
--- a/crates/stonewheel-lending/tests/stories.rs
+++ b/crates/stonewheel-lending/tests/stories.rs
@@ -87,7 +87,7 @@
         Fault::LosesMachines => {
             let time = Duration::from_secs(15);
             world.excuse(time);
-            world.members.cut_from_others(holder, time);
+            world.members.block_other_calls(holder, time);
         }
     }
 }
@@ -200,13 +200,13 @@
     for seed in 0..4 {
         let world = borrowed(5).await;
         let late = stonewheel_testing::LateTransactions::new(seed, 0.4, 0.5);
-        world.state.set_late(Some(late));
+        world.state.set_late_transactions(Some(late));
         world.submit(2, "s-1", serving("red", 2)).await;
         world.submit(1, "s-2", serving("red", 1)).await;
         world.withdraw(0, "s-2").await;
         world.excuse(Duration::from_secs(60));
         seconds(60).await;
-        world.state.set_late(None);
+        world.state.set_late_transactions(None);
         world.until_runs("s-1", 2).await;
         seconds(20).await;
         assert_eq!(world.runs("s-2"), 0, "withdrawn, whatever came late");
--- a/crates/stonewheel-rollout/tests/common/deployment.rs
+++ b/crates/stonewheel-rollout/tests/common/deployment.rs
@@ -115,12 +115,12 @@
         self.members.refuse(at, on);
     }
 
-    pub fn mute_state(&self, at: usize, count: u32) {
-        self.members.mute_state(at, count);
+    pub fn lose_state_answers(&self, at: usize, count: u32) {
+        self.members.lose_state_answers(at, count);
     }
 
     pub fn mute_host(&self, at: usize, count: u32) {
-        self.members.mute_others(at, count);
+        self.members.lose_other_answers(at, count);
     }
 
     /// The record, straight from the state service.
--- a/crates/stonewheel-rollout/tests/scenarios.rs
+++ b/crates/stonewheel-rollout/tests/scenarios.rs
@@ -202,7 +202,7 @@
     for lost in [1, 3, 6] {
         let deployment = Deployment::new(LEVEL, 10, 4).await;
         for at in 0..3 {
-            deployment.mute_state(at, lost);
+            deployment.lose_state_answers(at, lost);
             deployment.mute_host(at, lost);
         }
         // The command too: its repeat finds that it stands.
--- a/crates/stonewheel-testing/src/coordination.rs
+++ b/crates/stonewheel-testing/src/coordination.rs
@@ -15,7 +15,7 @@
 
 /// One process of controller `at` of `size`, whose calls are known as `client`. It runs
 /// until told to stop.
-pub fn coordinated(
+pub fn spawn_coordinator(
     state: &MemState,
     client: &str,
     (at, size): (usize, usize),
--- a/crates/stonewheel-testing/src/lib.rs
+++ b/crates/stonewheel-testing/src/lib.rs
@@ -9,7 +9,7 @@
 mod state;
 
 pub use callers::Callers;
-pub use coordination::{coordinated, timing};
+pub use coordination::{spawn_coordinator, timing};
 pub use faults::{Delays, LateCommands, LateTransactions};
 pub use members::{Members, Process};
 pub use state::{MemState, StateUsage};
--- a/crates/stonewheel-testing/src/members.rs
+++ b/crates/stonewheel-testing/src/members.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::{Callers, MemState, coordinated};
+use crate::{Callers, MemState, spawn_coordinator};
 
 struct Running<T> {
     part: T,
@@ -62,7 +62,7 @@
         let client = format!("m-{at}#{seed}");
         let stop = CancellationToken::new();
         let coordinator =
-            coordinated(&self.state, &client, (at, self.size), seed, self.timing, &stop);
+            spawn_coordinator(&self.state, &client, (at, self.size), seed, self.timing, &stop);
         let part = build(&Process { coordinator, client: &client, seed, stop: &stop });
         self.lock().insert(at, Running { part, stop, client });
     }
@@ -98,7 +98,7 @@
     }
 
     /// Lets a process's calls to anything but the state service wait.
-    pub fn cut_from_others(&self, at: usize, time: Duration) {
+    pub fn block_other_calls(&self, at: usize, time: Duration) {
         self.callers.freeze(&self.client(at), Instant::now() + time);
     }
 
@@ -108,12 +108,12 @@
     }
 
     /// A process's next transactions are carried out, but not answered.
-    pub fn mute_state(&self, at: usize, count: u32) {
+    pub fn lose_state_answers(&self, at: usize, count: u32) {
         self.state.lose_answers(&self.client(at), count);
     }
 
     /// A process's next calls to anything else are carried out, but not answered.
-    pub fn mute_others(&self, at: usize, count: u32) {
+    pub fn lose_other_answers(&self, at: usize, count: u32) {
         self.callers.mute(&self.client(at), count);
     }
 }
--- a/crates/stonewheel-testing/src/state.rs
+++ b/crates/stonewheel-testing/src/state.rs
@@ -207,7 +207,7 @@
     }
 
     /// From now on these of the transactions get no answer and are carried out late.
-    pub fn set_late(&self, late: Option<LateTransactions>) {
+    pub fn set_late_transactions(&self, late: Option<LateTransactions>) {
         lock(&self.0).late = late;
     }
 
--- a/tests/production_size.rs
+++ b/tests/production_size.rs
@@ -139,7 +139,7 @@
     // Minutes may pass on a network that is interrupted.
     let latest_s = if seed.is_multiple_of(2) { 16.0 } else { 60.0 };
     deployment.set_late_commands(Some(LateCommands::new(seed, 0.35, 2.0..latest_s)));
-    deployment.state.set_late(Some(LateTransactions::new(seed, 0.04, 0.5)));
+    deployment.state.set_late_transactions(Some(LateTransactions::new(seed, 0.04, 0.5)));
     deployment.state.set_window(40);
     let mut old_reports: Vec<WorkerHeartbeat> = Vec::new();
     while Instant::now() < end {
@@ -206,7 +206,7 @@
         }
     }
     deployment.set_late_commands(None);
-    deployment.state.set_late(None);
+    deployment.state.set_late_transactions(None);
 }
 
 /// Jobs that are neither done nor cancelled, as a user hears it.
