--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -182,7 +182,7 @@
 
     /// The same of its orders to start and stop replicas.
     pub fn mute_farm(&self, at: usize, count: u32) {
-        self.farm.callers.mute(&self.client_of(at), count);
+        self.farm.callers.lose_answers(&self.client_of(at), count);
     }
 
     pub fn activator(&self, at: usize) -> Arc<Activator> {
--- a/crates/stonewheel-testing/src/callers.rs
+++ b/crates/stonewheel-testing/src/callers.rs
@@ -1,5 +1,5 @@
-//! Faults of those who call a stand-in: answers that are lost, processes that stand
-//! still or are gone.
+//! Faults of the processes that call an in-memory fake: lost answers, suspended
+//! processes and terminated processes.
 
 use std::{
     collections::HashMap,
@@ -11,13 +11,13 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Caller {
-    /// Answers that are still to be lost.
-    mute: u32,
+    /// Number of next calls that are executed but not answered.
+    answers_to_lose: u32,
     frozen_until: Option<Instant>,
-    gone: bool,
+    terminated: bool,
 }
 
-/// The callers of a stand-in, by name.
+/// Fault state of the callers of an in-memory fake, by caller name.
 #[derive(Clone, Default)]
 pub struct Callers(Arc<Mutex<HashMap<String, Caller>>>);
 
@@ -26,39 +26,41 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The caller's next calls are carried out, but not answered.
-    pub fn mute(&self, name: &str, count: u32) {
-        self.lock().entry(name.into()).or_default().mute = count;
+    /// Loses the answers to the caller's next `count` calls; the calls are still executed.
+    pub fn lose_answers(&self, name: &str, count: u32) {
+        self.lock().entry(name.into()).or_default().answers_to_lose = count;
     }
 
-    /// The caller's process stands still: its calls wait.
+    /// Suspends the caller's process: its calls wait until `until`.
     pub fn freeze(&self, name: &str, until: Instant) {
         self.lock().entry(name.into()).or_default().frozen_until = Some(until);
     }
 
-    /// The caller's process is gone: nothing of it arrives any more.
+    /// Terminates the caller's process: its calls never arrive from now on.
     pub fn end(&self, name: &str) {
-        self.lock().entry(name.into()).or_default().gone = true;
+        self.lock().entry(name.into()).or_default().terminated = true;
     }
 
-    /// What a call takes until it arrives.
+    /// Waits until a call of the caller arrives: for `latency` and while the process is
+    /// suspended; forever if the process has terminated.
     pub async fn arrive(&self, name: &str, latency: Duration) {
         sleep(latency).await;
         let caller = self.lock().get(name).copied().unwrap_or_default();
         if let Some(until) = caller.frozen_until {
             sleep_until(until).await;
         }
-        if self.lock().get(name).is_some_and(|caller| caller.gone) {
+        if self.lock().get(name).is_some_and(|caller| caller.terminated) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Whether the answer to the call that was just carried out is lost.
+    /// Whether the answer to the call that was just executed is lost. Counts down the
+    /// answers to lose.
     pub fn loses_answer(&self, name: &str) -> bool {
         let mut callers = self.lock();
         let caller = callers.entry(name.into()).or_default();
-        let lost = caller.mute > 0;
-        caller.mute = caller.mute.saturating_sub(1);
+        let lost = caller.answers_to_lose > 0;
+        caller.answers_to_lose = caller.answers_to_lose.saturating_sub(1);
         lost
     }
 }
--- a/crates/stonewheel-testing/src/coordination.rs
+++ b/crates/stonewheel-testing/src/coordination.rs
@@ -1,4 +1,4 @@
-//! A controller's coordination over the state service in memory.
+//! Coordinators of controllers, over the in-memory state service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,17 +8,18 @@
 
 use crate::MemState;
 
-/// Changes a second that one controller may make.
+/// Writes per second that one controller may make.
 const WRITES_PER_S: f64 = 60.0;
-/// Requests a second that one controller may make.
+/// Requests per second that one controller may make.
 const REQUESTS_PER_S: f64 = 100.0;
 
-/// One process of controller `at` of `size`, whose calls are known as `client`. It runs
-/// until told to stop.
+/// Starts the coordinator of one process of controller `index` out of `size` controllers. The
+/// state service sees its calls as those of `client`. The coordinator runs until `stop` is
+/// cancelled.
 pub fn spawn_coordinator(
     state: &MemState,
     client: &str,
-    (at, size): (usize, usize),
+    (index, size): (usize, usize),
     incarnation: u64,
     timing: Timing,
     stop: &CancellationToken,
@@ -35,8 +36,8 @@
     let writer = Arc::new(Writer::new(api.clone(), limits, requests.clone()));
     tokio::spawn(writer.clone().run(stop.clone()));
     let coordinator = Coordinator::new(
-        Owner { member: format!("m-{at}"), incarnation },
-        (0..size).map(|at| format!("m-{at}")).collect(),
+        Owner { member: format!("m-{index}"), incarnation },
+        (0..size).map(|index| format!("m-{index}")).collect(),
         timing,
         Store::new(api, requests, writer),
     );
@@ -44,7 +45,7 @@
     coordinator
 }
 
-/// The usual times of a controller under paused time.
-pub fn timing(session: Duration) -> Timing {
-    Timing { session_ttl: session, state_timeout: Duration::from_secs(1) }
+/// Returns the timing of a controller under paused time, with the given session lifetime.
+pub fn timing(session_ttl: Duration) -> Timing {
+    Timing { session_ttl, state_timeout: Duration::from_secs(1) }
 }
--- a/crates/stonewheel-testing/src/faults.rs
+++ b/crates/stonewheel-testing/src/faults.rs
@@ -1,11 +1,11 @@
-//! Faults that are drawn with seeded randomness: messages that come late, and
-//! transactions that are carried out late or lose their answer.
+//! Faults drawn from a seeded random number generator: messages that arrive late, and
+//! transactions that are executed late or lose their answer.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// Which part of the messages of one kind comes late, and by how much.
+/// Selects the messages of one kind that arrive late, and draws their delays.
 #[derive(Debug)]
 pub struct Delays {
     rng: StdRng,
@@ -14,54 +14,58 @@
 }
 
 impl Delays {
-    /// `share`: of all, between 0 and 1. `seconds`: how late they come.
+    /// Creates the generator. `share`: part of the messages that is late, between 0 and 1.
+    /// `seconds`: range of their delays.
     pub fn new(seed: u64, share: f64, seconds: std::ops::Range<f64>) -> Self {
         Self { rng: StdRng::seed_from_u64(seed), share, seconds }
     }
 
-    /// How late the next message is, if it is.
+    /// Returns the delay of the next message, or `None` if the message is on time.
     pub fn draw(&mut self) -> Option<Duration> {
         let late = self.rng.random_bool(self.share);
         late.then(|| Duration::from_secs_f64(self.rng.random_range(self.seconds.clone())))
     }
 }
 
-/// Direct commands that are held up on their way, unanswered, and carried out once.
+/// Selects the direct commands that are delayed on their way. The sender gets no answer, and
+/// the commands are executed once.
 #[derive(Debug)]
 pub struct LateCommands(Delays);
 
 impl LateCommands {
-    /// `share`: of all, between 0 and 1. `seconds`: how late they come.
+    /// Creates the generator. `share`: part of the messages that is late, between 0 and 1.
+    /// `seconds`: range of their delays.
     pub fn new(seed: u64, share: f64, seconds: std::ops::Range<f64>) -> Self {
         Self(Delays::new(seed, share, seconds))
     }
 
-    /// How late the next order is, if it is.
+    /// Returns the delay of the next direct commands, or `None` if they are on time.
     pub fn draw(&mut self) -> Option<Duration> {
         self.0.draw()
     }
 }
 
-/// Transactions that get no answer: carried out late, or at once.
+/// Selects the transactions that get no answer and are executed late or immediately.
 #[derive(Debug)]
 pub struct LateTransactions {
     delays: Delays,
-    /// Which part of them is carried out at once.
-    at_once: f64,
+    /// Part of the unanswered transactions that is executed immediately.
+    immediate_share: f64,
 }
 
 impl LateTransactions {
-    /// `share`: of all transactions, between 0 and 1. `at_once`: the share of these that is
-    /// carried out at once, with only the answer lost.
-    pub fn new(seed: u64, share: f64, at_once: f64) -> Self {
-        Self { delays: Delays::new(seed, share, 2.0..12.0), at_once }
+    /// Creates the generator. `share`: part of all transactions that gets no answer, between 0
+    /// and 1. `immediate_share`: part of the unanswered transactions that is executed
+    /// immediately, with only the answer lost.
+    pub fn new(seed: u64, share: f64, immediate_share: f64) -> Self {
+        Self { delays: Delays::new(seed, share, 2.0..12.0), immediate_share }
     }
 
-    /// How late the next transaction is, if it gets no answer. Zero: it is
-    /// carried out at once.
+    /// Returns the delay of the next transaction, zero if only its answer is lost, or `None`
+    /// if the transaction is executed and answered normally.
     pub fn draw(&mut self) -> Option<Duration> {
         let delay = self.delays.draw()?;
-        let at_once = self.delays.rng.random_bool(self.at_once);
-        Some(if at_once { Duration::ZERO } else { delay })
+        let immediate_share = self.delays.rng.random_bool(self.immediate_share);
+        Some(if immediate_share { Duration::ZERO } else { delay })
     }
 }
--- a/crates/stonewheel-testing/src/lib.rs
+++ b/crates/stonewheel-testing/src/lib.rs
@@ -1,4 +1,5 @@
-//! In-memory fakes of what surrounds the controllers, for tests only: under paused time, with faults that a test brings about or draws from a seed.
+//! In-memory fakes of the services around the controllers, for tests under paused time. Faults
+//! are set by a test or drawn from a seeded random number generator.
 
 #![warn(missing_docs)]
 
--- a/crates/stonewheel-testing/src/members.rs
+++ b/crates/stonewheel-testing/src/members.rs
@@ -1,5 +1,5 @@
-//! The controllers of a test: processes that are started, end, stand still, and are cut
-//! from the state service or from what they call.
+//! Controller processes of a test, which can be started, killed, suspended, and cut off from
+//! the state service or from the other services that they call.
 
 use std::{
     collections::BTreeMap,
@@ -17,24 +17,24 @@
 use crate::{Callers, MemState, spawn_coordinator};
 
 struct Running<T> {
-    part: T,
+    component: T,
     stop: CancellationToken,
     client: String,
 }
 
-/// What a new process has.
+/// Handles and identity of a process that is being started.
 pub struct Process<'a> {
-    /// Its coordination.
+    /// Coordinator of the process.
     pub coordinator: Arc<Coordinator>,
-    /// The name that its calls are known by.
+    /// Client name under which the fakes see the calls of the process.
     pub client: &'a str,
-    /// Unique to the process.
+    /// Number that is unique to the process; also its incarnation.
     pub seed: u64,
-    /// Ends it.
+    /// Stops the process when cancelled.
     pub stop: &'a CancellationToken,
 }
 
-/// The controllers, by number. `T` is the part of each that is tested.
+/// Controllers by index. `T` is the tested component of each controller.
 pub struct Members<T> {
     state: MemState,
     callers: Callers,
@@ -45,8 +45,8 @@
 }
 
 impl<T: Clone> Members<T> {
-    /// None runs yet. `callers`: those of what the controllers call besides the state
-    /// service.
+    /// Creates a set of controllers of which none is running. `callers` are the callers of
+    /// the fakes other than the state service.
     pub fn new(state: MemState, callers: Callers, size: usize, timing: Timing) -> Self {
         let (running, seeds) = (Mutex::default(), AtomicU64::new(0));
         Self { state, callers, size, timing, running, seeds }
@@ -56,64 +56,65 @@
         self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts a process of a controller.
-    pub fn start(&self, at: usize, build: impl FnOnce(&Process<'_>) -> T) {
+    /// Starts a process of a controller with the component that `build` returns.
+    pub fn start(&self, index: usize, build: impl FnOnce(&Process<'_>) -> T) {
         let seed = self.seeds.fetch_add(1, Ordering::Relaxed) + 1;
-        let client = format!("m-{at}#{seed}");
+        let client = format!("m-{index}#{seed}");
         let stop = CancellationToken::new();
         let coordinator =
-            spawn_coordinator(&self.state, &client, (at, self.size), seed, self.timing, &stop);
-        let part = build(&Process { coordinator, client: &client, seed, stop: &stop });
-        self.lock().insert(at, Running { part, stop, client });
+            spawn_coordinator(&self.state, &client, (index, self.size), seed, self.timing, &stop);
+        let component = build(&Process { coordinator, client: &client, seed, stop: &stop });
+        self.lock().insert(index, Running { component, stop, client });
     }
 
-    /// Whether a controller's process runs.
-    pub fn runs(&self, at: usize) -> bool {
-        self.lock().contains_key(&at)
+    /// Whether a process of the controller is running.
+    pub fn runs(&self, index: usize) -> bool {
+        self.lock().contains_key(&index)
     }
 
-    /// The part of a controller that is tested.
-    pub fn part(&self, at: usize) -> T {
-        self.lock()[&at].part.clone()
+    /// Returns the tested component of a running controller.
+    pub fn part(&self, index: usize) -> T {
+        self.lock()[&index].component.clone()
     }
 
-    fn client(&self, at: usize) -> String {
-        self.lock()[&at].client.clone()
+    fn client(&self, index: usize) -> String {
+        self.lock()[&index].client.clone()
     }
 
-    /// Ends a process without notice.
-    pub fn kill(&self, at: usize) {
-        let Some(running) = self.lock().remove(&at) else { return };
+    /// Kills a process: its calls no longer arrive anywhere.
+    pub fn kill(&self, index: usize) {
+        let Some(running) = self.lock().remove(&index) else { return };
         self.state.refuse(&running.client, true);
         self.callers.end(&running.client);
         running.stop.cancel();
     }
 
-    /// Lets a process stand still.
-    pub fn pause(&self, at: usize, time: Duration) {
-        let client = self.client(at);
+    /// Suspends a process: its calls wait for `time`.
+    pub fn pause(&self, index: usize, time: Duration) {
+        let client = self.client(index);
         let until = Instant::now() + time;
         self.state.freeze(&client, until);
         self.callers.freeze(&client, until);
     }
 
-    /// Lets a process's calls to anything but the state service wait.
-    pub fn block_other_calls(&self, at: usize, time: Duration) {
-        self.callers.freeze(&self.client(at), Instant::now() + time);
+    /// Delays a process's calls to anything but the state service for `time`.
+    pub fn block_other_calls(&self, index: usize, time: Duration) {
+        self.callers.freeze(&self.client(index), Instant::now() + time);
     }
 
-    /// Lets the state service refuse a process.
-    pub fn refuse(&self, at: usize, on: bool) {
-        self.state.refuse(&self.client(at), on);
+    /// Makes the state service refuse a process's calls, or serve them again.
+    pub fn refuse(&self, index: usize, on: bool) {
+        self.state.refuse(&self.client(index), on);
     }
 
-    /// A process's next transactions are carried out, but not answered.
-    pub fn lose_state_answers(&self, at: usize, count: u32) {
-        self.state.lose_answers(&self.client(at), count);
+    /// Loses the answers to a process's next `count` transactions; they are still executed.
+    pub fn lose_state_answers(&self, index: usize, count: u32) {
+        self.state.lose_answers(&self.client(index), count);
     }
 
-    /// A process's next calls to anything else are carried out, but not answered.
-    pub fn lose_other_answers(&self, at: usize, count: u32) {
-        self.callers.mute(&self.client(at), count);
+    /// Loses the answers to a process's next `count` calls to anything but the state service;
+    /// the calls are still executed.
+    pub fn lose_other_answers(&self, index: usize, count: u32) {
+        self.callers.lose_answers(&self.client(index), count);
     }
 }
--- a/crates/stonewheel-testing/src/state.rs
+++ b/crates/stonewheel-testing/src/state.rs
@@ -1,4 +1,5 @@
-//! The state service in memory, with the faults that a real one may have.
+//! In-memory state service with the faults of a real one: outages, refusals, lost answers,
+//! late transactions and watches that are too far behind.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -28,32 +29,33 @@
     leases: HashMap<u64, (Duration, Instant)>,
     next_lease: u64,
     outage: bool,
-    refused: HashSet<String>,
-    /// Transactions of these clients are held back and answered by nobody.
+    /// Clients that are answered with status 503.
+    refused_clients: HashSet<String>,
+    /// Clients whose transactions are held back and not answered.
     held_clients: HashSet<String>,
-    held: Vec<Transaction>,
-    /// How many transactions to carry out without an answer, by client.
-    mute: HashMap<String, u32>,
-    /// How long an answer takes beyond the usual.
-    slow: Duration,
+    held_transactions: Vec<Transaction>,
+    /// Number of next transactions to execute without an answer, by client.
+    answers_to_lose: HashMap<String, u32>,
+    /// Latency of each call in addition to `LATENCY`.
+    extra_latency: Duration,
     limits: Limits,
-    /// Transactions that were larger than that.
-    rejected: u32,
-    /// How many changes a watch can go back, if not all.
-    window: Option<usize>,
-    /// Readings that a watch could not go on from.
-    too_old: u32,
-    /// Which readings of records fail.
-    failing: Option<Delays>,
-    /// Which transactions come late, or lose their answer.
-    late: Option<LateTransactions>,
-    /// Calls and changes that were asked for so far.
+    /// Number of transactions that were rejected because they exceeded `limits`.
+    rejected_count: u32,
+    /// Number of latest changes that a watch can start from; `None`: all changes.
+    watch_window: Option<usize>,
+    /// Number of watches that failed because their revision had left `watch_window`.
+    too_old_count: u32,
+    /// Selects the list requests that fail.
+    failing_lists: Option<Delays>,
+    /// Selects the transactions that are executed late or lose their answer.
+    late_transactions: Option<LateTransactions>,
+    /// Requests and writes of all clients so far.
     usage: StateUsage,
-    /// Until when these clients' calls wait, since their process stands still.
-    frozen: HashMap<String, Instant>,
+    /// End of the suspension of each suspended client; its calls wait until then.
+    frozen_until: HashMap<String, Instant>,
 }
 
-/// What was asked of the state service.
+/// Number of requests and writes that clients sent to the state service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateUsage {
     /// Requests of any kind.
@@ -62,7 +64,7 @@
     pub writes: u64,
 }
 
-/// What the state service takes: bytes of a value, writes of a transaction.
+/// Largest value, in bytes, and largest number of writes in a transaction.
 #[derive(Clone, Copy)]
 struct Limits {
     value_bytes: usize,
@@ -81,9 +83,13 @@
         if self.outage {
             return;
         }
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, (_, at))| *at <= now).map(|(id, _)| *id).collect();
-        for lease in over {
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (_, expires_at))| *expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for lease in expired {
             self.end_lease(lease);
         }
     }
@@ -93,8 +99,8 @@
         let keys: Vec<String> = self
             .kv
             .iter()
-            .filter(|(_, (_, _, l))| *l == Some(lease))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, (_, _, key_lease))| *key_lease == Some(lease))
+            .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
             self.revision += 1;
@@ -112,22 +118,22 @@
             || txn.conditions.len() > self.limits.writes * 4
             || txn.writes.iter().any(too_large)
         {
-            self.rejected += 1;
+            self.rejected_count += 1;
             return Err(StateError::Rejected("too large".into()));
         }
-        let over = |write: &Write| match write {
+        let lease_expired = |write: &Write| match write {
             Write::Put { lease: Some(lease), .. } => !self.leases.contains_key(lease),
             _ => false,
         };
-        if txn.writes.iter().any(over) {
+        if txn.writes.iter().any(lease_expired) {
             return Err(StateError::LeaseExpired);
         }
-        let version = |key: &String| self.kv.get(key).map_or(0, |(_, v, _)| *v);
+        let version = |key: &String| self.kv.get(key).map_or(0, |(_, version, _)| *version);
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|c| version(&c.key) != c.version)
-            .map(|c| c.key.clone())
+            .filter(|condition| version(&condition.key) != condition.version)
+            .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
             return Err(StateError::Conflict(failed));
@@ -155,134 +161,138 @@
 pub struct MemState(Arc<Mutex<Store>>);
 
 impl MemState {
-    /// The state service as the process of this name reaches it.
+    /// Returns the state service API as the process `name` sees it.
     pub fn client(&self, name: &str) -> Arc<dyn StateApi> {
         Arc::new(MemClient { store: self.clone(), name: name.into() })
     }
 
-    /// In an outage leases stand still; afterwards each has its full time.
+    /// Starts or ends an outage. Leases do not expire during the outage and have their full
+    /// time to live after it.
     pub fn set_outage(&self, on: bool) {
         let mut store = lock(&self.0);
         store.expire();
         store.outage = on;
         let now = Instant::now();
-        for (ttl, at) in store.leases.values_mut() {
-            *at = now + *ttl;
+        for (ttl, expires_at) in store.leases.values_mut() {
+            *expires_at = now + *ttl;
         }
     }
 
-    /// Answers this client with 503, or serves it again.
+    /// Answers this client with status 503, or serves it again.
     pub fn refuse(&self, client: &str, on: bool) {
         let mut store = lock(&self.0);
         if on {
-            store.refused.insert(client.into());
+            store.refused_clients.insert(client.into());
         } else {
-            store.refused.remove(client);
+            store.refused_clients.remove(client);
         }
     }
 
-    /// The limits fall, without notice.
+    /// Lowers the limits of values and transactions for all later transactions.
     pub fn lower_limits(&self, value_bytes: usize, writes: usize) {
         lock(&self.0).limits = Limits { value_bytes, writes };
     }
 
-    /// How many transactions were too large.
+    /// Returns the number of transactions that were rejected because they exceeded the limits.
     pub fn rejected(&self) -> u32 {
-        lock(&self.0).rejected
+        lock(&self.0).rejected_count
     }
 
-    /// A watch can't go back further than `changes`.
+    /// Limits watches to the latest `changes` changes.
     pub fn set_window(&self, changes: usize) {
-        lock(&self.0).window = Some(changes);
+        lock(&self.0).watch_window = Some(changes);
     }
 
-    /// How many watches could not go on from where they were.
+    /// Returns the number of watches that failed because their revision was too old.
     pub fn too_old(&self) -> u32 {
-        lock(&self.0).too_old
+        lock(&self.0).too_old_count
     }
 
-    /// That share of the readings of records fails, drawn from a seed.
+    /// Makes list requests fail: `(seed, share)`, where `share` is the part of them that fails.
     pub fn set_failing(&self, failing: Option<(u64, f64)>) {
-        lock(&self.0).failing = failing.map(|(seed, share)| Delays::new(seed, share, 0.0..1.0));
+        lock(&self.0).failing_lists =
+            failing.map(|(seed, share)| Delays::new(seed, share, 0.0..1.0));
     }
 
-    /// From now on these of the transactions get no answer and are carried out late.
+    /// Selects the later transactions that get no answer and are executed late.
     pub fn set_late_transactions(&self, late: Option<LateTransactions>) {
-        lock(&self.0).late = late;
+        lock(&self.0).late_transactions = late;
     }
 
-    /// The client's process stands still: its calls neither leave nor return.
+    /// Suspends the client's process: its calls wait until `until`.
     pub fn freeze(&self, client: &str, until: Instant) {
-        lock(&self.0).frozen.insert(client.into(), until);
+        lock(&self.0).frozen_until.insert(client.into(), until);
     }
 
-    /// Every call takes so much longer.
-    pub fn set_slow(&self, slow: Duration) {
-        lock(&self.0).slow = slow;
+    /// Adds a latency to every call of every client.
+    pub fn set_slow(&self, extra_latency: Duration) {
+        lock(&self.0).extra_latency = extra_latency;
     }
 
-    /// Holds this client's transactions back, unanswered, until they are delivered or
-    /// released.
+    /// Holds back the client's transactions without an answer until `deliver_held` or
+    /// `release_held`.
     pub fn hold(&self, client: &str) {
         lock(&self.0).held_clients.insert(client.into());
     }
 
-    /// Delivers what was held back, and tells how each ended.
+    /// Executes the held-back transactions and serves their clients again. Returns the
+    /// result of each transaction.
     pub fn deliver_held(&self) -> Vec<Result<u64, StateError>> {
         let mut store = lock(&self.0);
         store.expire();
         store.held_clients.clear();
-        let held = std::mem::take(&mut store.held);
-        held.iter().map(|txn| store.multi(txn)).collect()
+        let held_transactions = std::mem::take(&mut store.held_transactions);
+        held_transactions.iter().map(|txn| store.multi(txn)).collect()
     }
 
-    /// Answers its clients again; what was held back is carried out later.
+    /// Serves the held clients again. Returns the held-back transactions, which the test may
+    /// pass to `execute` later.
     pub fn release_held(&self) -> Vec<Transaction> {
         let mut store = lock(&self.0);
         store.held_clients.clear();
-        std::mem::take(&mut store.held)
+        std::mem::take(&mut store.held_transactions)
     }
 
-    /// Carries out transactions that were held back, and tells how each ended.
+    /// Executes transactions that were held back. Returns the result of each transaction.
     pub fn execute(&self, late: Vec<Transaction>) -> Vec<Result<u64, StateError>> {
         let mut store = lock(&self.0);
         store.expire();
         late.iter().map(|txn| store.multi(txn)).collect()
     }
 
-    /// How many transactions are held back.
+    /// Returns the number of transactions that are held back.
     pub fn held_count(&self) -> usize {
-        lock(&self.0).held.len()
+        lock(&self.0).held_transactions.len()
     }
 
-    /// The client's next transactions are carried out, but not answered.
+    /// Loses the answers to the client's next `count` transactions; they are still executed.
     pub fn lose_answers(&self, client: &str, count: u32) {
-        lock(&self.0).mute.insert(client.into(), count);
+        lock(&self.0).answers_to_lose.insert(client.into(), count);
     }
 
-    /// What was asked for so far, by all clients.
+    /// Returns the number of requests and writes of all clients so far.
     pub fn usage(&self) -> StateUsage {
         lock(&self.0).usage
     }
 
-    /// The text of a key's value, if the key exists.
+    /// Returns the JSON text of a key's value, if the key exists.
     pub fn value(&self, key: &str) -> Option<String> {
         lock(&self.0).kv.get(key).map(|(v, ..)| v.get().to_owned())
     }
 
-    /// The version of a key, or 0.
+    /// Returns the version of a key, or 0 if the key does not exist.
     pub fn version(&self, key: &str) -> u64 {
         lock(&self.0).kv.get(key).map_or(0, |(_, v, _)| *v)
     }
 
-    /// The keys with this prefix, in order.
+    /// Returns the keys with this prefix in ascending order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let store = lock(&self.0);
         let from = store.kv.range(prefix.to_owned()..);
         from.map(|(key, _)| key).take_while(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Commits a transaction at once, as if by another client.
+    /// Commits a transaction immediately, as if by another client.
     pub fn commit(
         &self,
         conditions: Vec<Condition>,
@@ -298,38 +308,40 @@
 }
 
 impl MemClient {
-    /// Waits for as long as a call takes, and while the process stands still.
-    async fn pass_time(&self) {
-        let (latency, frozen) = {
+    /// Counts a request, then waits for its latency and while the process is suspended.
+    async fn wait_for_arrival(&self) {
+        let (latency, frozen_until) = {
             let mut store = lock(&self.store.0);
             store.usage.requests += 1;
-            (LATENCY + store.slow, store.frozen.get(&self.name).copied())
+            (LATENCY + store.extra_latency, store.frozen_until.get(&self.name).copied())
         };
         sleep(latency).await;
-        if let Some(until) = frozen {
+        if let Some(until) = frozen_until {
             tokio::time::sleep_until(until).await;
         }
     }
 
-    fn open(&self) -> Result<MutexGuard<'_, Store>, StateError> {
+    /// Returns the store, unless an outage or a refusal keeps this client from it.
+    fn available_store(&self) -> Result<MutexGuard<'_, Store>, StateError> {
         let mut store = lock(&self.store.0);
         store.expire();
-        if store.outage || store.refused.contains(&self.name) {
+        if store.outage || store.refused_clients.contains(&self.name) {
             return Err(StateError::Refused(StatusCode::SERVICE_UNAVAILABLE));
         }
         Ok(store)
     }
 }
 
+/// Latency of a call without faults.
 const LATENCY: Duration = Duration::from_millis(3);
 
 impl StateApi for MemClient {
     fn list(&self, prefix: &str, since: &str) -> BoxFuture<'_, Result<ItemPage, StateError>> {
         let (prefix, since) = (prefix.to_owned(), since.to_owned());
         Box::pin(async move {
-            self.pass_time().await;
-            let mut store = self.open()?;
-            if store.failing.as_mut().and_then(Delays::draw).is_some() {
+            self.wait_for_arrival().await;
+            let mut store = self.available_store()?;
+            if store.failing_lists.as_mut().and_then(Delays::draw).is_some() {
                 return Err(StateError::Refused(StatusCode::SERVICE_UNAVAILABLE));
             }
             let mut items: Vec<Item> = store
@@ -352,11 +364,11 @@
     fn transact(&self, txn: &Transaction) -> BoxFuture<'_, Result<u64, StateError>> {
         let txn = txn.clone();
         Box::pin(async move {
-            self.pass_time().await;
-            let silent = {
-                let mut store = self.open()?;
+            self.wait_for_arrival().await;
+            let answer_lost = {
+                let mut store = self.available_store()?;
                 store.usage.writes += txn.writes.len() as u64;
-                let late = store.late.as_mut().and_then(LateTransactions::draw);
+                let late = store.late_transactions.as_mut().and_then(LateTransactions::draw);
                 if let Some(delay) = late {
                     if delay.is_zero() {
                         let _ = store.multi(&txn);
@@ -369,19 +381,20 @@
                     }
                     true
                 } else if store.held_clients.contains(&self.name) {
-                    store.held.push(txn);
+                    store.held_transactions.push(txn);
                     true
                 } else {
                     let result = store.multi(&txn);
-                    let mute = store.mute.entry(self.name.clone()).or_default();
-                    if *mute == 0 {
+                    let answers_to_lose =
+                        store.answers_to_lose.entry(self.name.clone()).or_default();
+                    if *answers_to_lose == 0 {
                         return result;
                     }
-                    *mute -= 1;
+                    *answers_to_lose -= 1;
                     true
                 }
             };
-            assert!(silent);
+            assert!(answer_lost);
             sleep(Duration::from_secs(1)).await;
             Err(StateError::OutcomeUnknown(CallError::Timeout))
         })
@@ -389,8 +402,8 @@
 
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<u64, StateError>> {
         Box::pin(async move {
-            self.pass_time().await;
-            let mut store = self.open()?;
+            self.wait_for_arrival().await;
+            let mut store = self.available_store()?;
             store.next_lease += 1;
             let id = store.next_lease;
             store.leases.insert(id, (ttl, Instant::now() + ttl));
@@ -400,18 +413,18 @@
 
     fn renew_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
         Box::pin(async move {
-            self.pass_time().await;
-            let mut store = self.open()?;
-            let (ttl, at) = store.leases.get_mut(&lease).ok_or(StateError::LeaseExpired)?;
-            *at = Instant::now() + *ttl;
+            self.wait_for_arrival().await;
+            let mut store = self.available_store()?;
+            let (ttl, expires_at) = store.leases.get_mut(&lease).ok_or(StateError::LeaseExpired)?;
+            *expires_at = Instant::now() + *ttl;
             Ok(())
         })
     }
 
     fn revoke_lease(&self, lease: u64) -> BoxFuture<'_, Result<(), StateError>> {
         Box::pin(async move {
-            self.pass_time().await;
-            self.open()?.end_lease(lease);
+            self.wait_for_arrival().await;
+            self.available_store()?.end_lease(lease);
             Ok(())
         })
     }
@@ -424,18 +437,18 @@
     ) -> BoxFuture<'_, Result<Events, StateError>> {
         let prefix = prefix.to_owned();
         Box::pin(async move {
-            self.pass_time().await;
-            let until = Instant::now() + wait;
+            self.wait_for_arrival().await;
+            let deadline = Instant::now() + wait;
             if wait.is_zero() {
-                drop(self.open()?);
+                drop(self.available_store()?);
             }
             loop {
-                if let Ok(mut store) = self.open() {
-                    let window = store.window.unwrap_or(usize::MAX);
+                if let Ok(mut store) = self.available_store() {
+                    let window = store.watch_window.unwrap_or(usize::MAX);
                     let oldest = store.log.len().saturating_sub(window);
                     let first = store.log.partition_point(|(r, ..)| *r <= since);
                     if first < oldest {
-                        store.too_old += 1;
+                        store.too_old_count += 1;
                         return Err(StateError::RevisionTooOld);
                     }
                     let events: Vec<Event> = store.log[first..]
@@ -448,7 +461,7 @@
                             version: *revision,
                         })
                         .collect();
-                    if !events.is_empty() || Instant::now() >= until {
+                    if !events.is_empty() || Instant::now() >= deadline {
                         return Ok(Events { revision: store.revision, events });
                     }
                 }
