--- a/tests/common/assertions.rs
+++ b/tests/common/assertions.rs
@@ -1,4 +1,4 @@
-//! Waiting, and what most tests assert.
+//! Waiting and assertions that most tests share.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use super::deployment::TestDeployment;
 
-/// Lets time pass.
+/// Waits for `n` seconds of simulated time.
 pub async fn seconds(n: u64) {
     sleep(Duration::from_secs(n)).await;
 }
 
-/// The state that a user was told, if any.
+/// Returns the job state in an answer to a user, if it contains one.
 pub fn state(reply: &Result<UserReply, Unavailable>) -> Option<JobState> {
     match reply {
         Ok(UserReply::Known(status) | UserReply::Created(status)) => Some(status.state),
@@ -23,7 +23,7 @@
     }
 }
 
-/// No rule that the deployment judges was broken so far.
+/// Asserts that the deployment has recorded no violation so far.
 pub fn assert_no_violation(deployment: &TestDeployment) {
     assert!(deployment.violations().is_empty(), "{:?}", deployment.violations());
 }
--- a/tests/common/cloud.rs
+++ b/tests/common/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machine types, rentals and the machine list.
+//! Simulated cloud: machine types, rentals and the machine list.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,14 +13,16 @@
 
 use super::{deployment::TestDeployment, lock, samples::machine_type};
 
-/// Where a machine's worker answers, as the cloud lists it.
+/// Returns the address of a machine's worker, as the cloud lists it.
 pub fn address_of(machine: &str) -> SocketAddr {
-    let number: u16 = machine.trim_start_matches("n-").parse().expect("a machine of the stand-in");
+    let number: u16 =
+        machine.trim_start_matches("n-").parse().expect("a machine of the simulated cloud");
     let [high, low] = number.to_be_bytes();
     SocketAddr::from(([10, 1, high, low], 9000))
 }
 
-/// The machine at an address, which may be its name.
+/// Returns the machine at an address. Any text that is not an IPv4 address is taken as the
+/// machine's name.
 pub fn machine_at(address: &str) -> MachineId {
     match address.parse::<SocketAddr>() {
         Ok(SocketAddr::V4(address)) => {
@@ -51,8 +53,8 @@
             }
             let mut names = Vec::new();
             for _ in 0..rental.count {
-                inner.next += 1;
-                let name: MachineId = format!("n-{:06}", inner.next).into();
+                inner.last_machine_number += 1;
+                let name: MachineId = format!("n-{:06}", inner.last_machine_number).into();
                 names.push(name.clone());
                 self.boot(name, rental.zone.clone(), rental.spot, Duration::from_secs(20));
             }
@@ -80,11 +82,11 @@
                 .workers
                 .iter()
                 .filter(|(id, _)| ***id > *since)
-                .map(|(id, w)| ListedMachine {
+                .map(|(id, worker)| ListedMachine {
                     id: id.clone(),
                     machine_type: "g8".into(),
-                    zone: w.zone.clone(),
-                    spot: w.spot,
+                    zone: worker.zone.clone(),
+                    spot: worker.spot,
                     address: address_of(id).to_string(),
                     state: MachineState::Running,
                     age_s: 0.0,
@@ -96,7 +98,7 @@
 }
 
 impl TestDeployment {
-    /// From now on the cloud rents nothing.
+    /// Makes the cloud refuse new rentals for lack of capacity.
     pub fn exhaust_capacity(&self) {
         lock(&self.inner).no_capacity = true;
     }
--- a/tests/common/deployment.rs
+++ b/tests/common/deployment.rs
@@ -1,4 +1,4 @@
-//! The simulated deployment: its controllers, and what all of its parts share.
+//! Simulated deployment: its controllers, and the state that its components share.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -32,46 +32,52 @@
 pub(super) struct Inner {
     pub(super) nodes: Vec<Option<(Arc<Node>, CancellationToken)>>,
     pub(super) workers: BTreeMap<MachineId, Worker>,
+    /// Machines of each rental, by request id.
     pub(super) rented: HashMap<String, Vec<MachineId>>,
-    pub(super) next: u32,
+    pub(super) last_machine_number: u32,
     pub(super) violations: Vec<String>,
-    /// Nodes that speak as the version before does.
+    /// Nodes that send only the features of the previous version.
     pub(super) previous_version_nodes: BTreeSet<usize>,
-    /// Reports to a node that a worker is cut from hang until it gives up, rather
-    /// than fail at once.
+    /// Whether heartbeats to a node that a worker is partitioned from hang until the worker's
+    /// timeout, instead of failing immediately.
     pub(super) partitions_hang: bool,
-    /// Nodes partitioned from the other controllers.
+    /// Nodes without links to the other controllers.
     pub(super) disconnected: BTreeSet<usize>,
+    /// Number of task starts on all workers so far.
     pub(super) starts: u32,
     pub(super) no_capacity: bool,
     pub(super) coming_limits: bool,
-    pub(super) seeds: u64,
+    /// Seed of the node process that started last.
+    pub(super) last_seed: u64,
+    /// Specifications of the jobs whose tasks were started, by job id.
     pub(super) specs: HashMap<String, JobSpec>,
-    /// When users were told that these are cancelled, and what else is final.
+    /// Instant at which a user was first told that a job is cancelled, by job id.
     pub(super) cancellation_answers: HashMap<String, Instant>,
+    /// Final states that users were told, by job id.
     pub(super) final_states: HashMap<String, JobState>,
-    /// The records, for what tasks may start.
+    /// Durable records, to check which tasks may start.
     pub(super) store: MemState,
-    /// How long a task runs; services never end.
-    pub(super) run: HashMap<String, Duration>,
-    /// Which direct commands come late.
+    /// Run time of a task, by task or job id; tasks without an entry never end.
+    pub(super) run_times: HashMap<String, Duration>,
+    /// Selects the direct commands that arrive late.
     pub(super) late_commands: Option<LateCommands>,
-    /// Until when these nodes be paused.
-    pub(super) frozen: HashMap<usize, Instant>,
-    /// Holds what workers run against the records.
+    /// End of the suspension of each suspended node.
+    pub(super) frozen_until: HashMap<usize, Instant>,
+    /// Compares the tasks that workers start with the records.
     pub(super) checker: Checker,
-    /// Whether every second machine that is up from the start is in the second zone.
-    pub(super) spread: bool,
-    /// Models that scale to zero, for nodes that start from now on.
+    /// Whether every second initial machine is in the second zone.
+    pub(super) two_zones: bool,
+    /// Models that scale to zero, for nodes that start later.
     pub(super) activation: Option<ActivationSettings>,
-    /// Services that are rolled out in steps, likewise.
+    /// Services that are rolled out in steps, for nodes that start later.
     pub(super) rollouts: Option<Rollouts>,
+    /// Lending settings for nodes that start later.
     pub(super) lending: Option<LendingSettings>,
-    /// How many times the usual settings' rates and sockets there are, if not once.
+    /// Factor for the rates and resource quotas of the usual settings; `None`: unscaled.
     pub(super) scale: Option<f64>,
 }
 
-/// A whole deployment in memory.
+/// Deployment in memory. Clones share its state.
 #[derive(Clone, Default)]
 pub struct TestDeployment {
     pub state: MemState,
@@ -79,17 +85,18 @@
 }
 
 impl TestDeployment {
-    /// Three controllers and some ordinary machines in zone `a`.
+    /// Starts three controllers and `machines` on-demand machines in zone `a`.
     pub async fn new(machines: u32) -> Self {
         Self::default().start(machines).await
     }
 
-    /// The same, where limits of the state service are to come.
+    /// Starts a deployment whose settings announce lower limits of the state service.
     pub async fn with_coming_limits(machines: u32) -> Self {
         Self::in_upgrade(machines, &[]).await
     }
 
-    /// The same, while these nodes are still of the version before.
+    /// Starts a deployment whose settings announce lower limits of the state service, with
+    /// the nodes `old` still on the previous version.
     pub async fn in_upgrade(machines: u32, old: &[usize]) -> Self {
         let deployment = Self::default();
         lock(&deployment.inner).coming_limits = true;
@@ -99,17 +106,18 @@
         deployment.start(machines).await
     }
 
-    /// The same with machines in both zones.
+    /// Starts a deployment with machines in both zones.
     pub async fn in_two_zones(machines: u32) -> Self {
         let deployment = Self::default();
-        lock(&deployment.inner).spread = true;
+        lock(&deployment.inner).two_zones = true;
         deployment.start(machines).await
     }
 
-    /// The same with rates and sockets for a fleet of `scale` times the usual size.
+    /// Starts a deployment with machines in both zones, and with rates and quotas for a fleet
+    /// of `scale` times the usual size.
     pub async fn in_two_zones_scaled(machines: u32, scale: f64) -> Self {
         let deployment = Self::default();
-        lock(&deployment.inner).spread = true;
+        lock(&deployment.inner).two_zones = true;
         lock(&deployment.inner).scale = Some(scale);
         deployment.start(machines).await
     }
@@ -128,46 +136,46 @@
         tokio::spawn(deployment.clone().run_links());
         tokio::spawn(deployment.clone().check_cancelled_tasks());
         for number in 0..machines {
-            let second = lock(&deployment.inner).spread && number % 2 == 1;
-            deployment.add_machine(if second { "b" } else { "a" });
+            let in_second_zone = lock(&deployment.inner).two_zones && number % 2 == 1;
+            deployment.add_machine(if in_second_zone { "b" } else { "a" });
         }
         deployment
             .until("a leader knows the machine types", || {
                 deployment.leader().is_some() && deployment.state.value("sw/types").is_some()
             })
             .await;
-        // The watch brings them to every node.
+        // The watch delivers the machine types to every node.
         sleep(Duration::from_secs(1)).await;
         deployment
     }
 
-    /// Nodes that start from now on know these models.
+    /// Sets the models of nodes that start later.
     pub fn set_activation(&self, activation: Option<ActivationSettings>) {
         lock(&self.inner).activation = activation;
     }
 
-    /// Nodes that start from now on know these services.
+    /// Sets the rollout services of nodes that start later.
     pub fn set_rollouts(&self, rollouts: Option<Rollouts>) {
         lock(&self.inner).rollouts = rollouts;
     }
 
-    /// Nodes that start from now on lend by these settings.
+    /// Sets the lending settings of nodes that start later.
     pub fn set_lending(&self, lending: Option<LendingSettings>) {
         lock(&self.inner).lending = lending;
     }
 
-    /// A node's stop token, for what runs beside it.
-    pub fn stop_token(&self, at: usize) -> CancellationToken {
-        lock(&self.inner).nodes[at].as_ref().expect("it runs").1.child_token()
+    /// Returns a child of a node's stop token, for tasks that must end with the node.
+    pub fn stop_token(&self, index: usize) -> CancellationToken {
+        lock(&self.inner).nodes[index].as_ref().expect("it runs").1.child_token()
     }
 
-    pub fn start_node(&self, at: usize) {
-        let name = format!("m-{at}");
+    pub fn start_node(&self, index: usize) {
+        let name = format!("m-{index}");
         let stop = CancellationToken::new();
         let seed = {
             let mut inner = lock(&self.inner);
-            inner.seeds += 1;
-            inner.seeds
+            inner.last_seed += 1;
+            inner.last_seed
         };
         let (state, cloud) = (self.state.client(&name), Arc::new(self.clone()));
         let coming = lock(&self.inner).coming_limits;
@@ -177,14 +185,15 @@
             scale_settings(&mut settings, scale);
         }
         let sockets = Arc::new(Semaphore::new(settings.max_direct_calls()));
-        let workers = Arc::new(InMemoryWorkers { deployment: self.clone(), at, sockets });
-        // Machines stay long enough for a scenario to end.
+        let workers =
+            Arc::new(InMemoryWorkers { deployment: self.clone(), node_index: index, sockets });
+        // Keeps idle machines rented until the end of a scenario.
         settings.operator.idle_boots = 10.0;
         settings.operator.activation = lock(&self.inner).activation.clone();
         settings.operator.rollout = lock(&self.inner).rollouts.clone();
         settings.operator.lending = lock(&self.inner).lending.clone();
         settings.members = (0..3)
-            .filter(|other| *other != at)
+            .filter(|other| *other != index)
             .map(|other| Member {
                 member: format!("m-{other}"),
                 endpoint: "127.0.0.1:9".parse().expect("an address"),
@@ -192,36 +201,38 @@
             .collect();
         let node = Node::new(settings, state, cloud, workers, seed);
         node.spawn_background_tasks(&stop).close();
-        lock(&self.inner).nodes[at] = Some((node, stop));
+        lock(&self.inner).nodes[index] = Some((node, stop));
     }
 
-    /// Ends a node without any farewell.
-    pub fn kill_node(&self, at: usize) {
-        if let Some((_, stop)) = lock(&self.inner).nodes[at].take() {
+    /// Kills a node's process; the node sends no message before it ends.
+    pub fn kill_node(&self, index: usize) {
+        if let Some((_, stop)) = lock(&self.inner).nodes[index].take() {
             stop.cancel();
         }
-        self.state.refuse(&format!("m-{at}"), false);
+        self.state.refuse(&format!("m-{index}"), false);
     }
 
-    pub fn node(&self, at: usize) -> Arc<Node> {
-        lock(&self.inner).nodes[at].as_ref().expect("the node runs").0.clone()
+    pub fn node(&self, index: usize) -> Arc<Node> {
+        lock(&self.inner).nodes[index].as_ref().expect("the node runs").0.clone()
     }
 
-    /// A node, if its process runs.
-    pub fn running_node(&self, at: usize) -> Option<usize> {
-        lock(&self.inner).nodes[at].as_ref().map(|_| at)
+    /// Returns the node's index if its process is running.
+    pub fn running_node(&self, index: usize) -> Option<usize> {
+        lock(&self.inner).nodes[index].as_ref().map(|_| index)
     }
 
-    /// Who leads, as the state service has it.
+    /// Returns the index of the leader that the state service has recorded.
     pub fn leader(&self) -> Option<usize> {
-        let lead: serde_json::Value = serde_json::from_str(&self.state.value("sw/lead")?).ok()?;
-        lead["member"].as_str()?.strip_prefix("m-")?.parse().ok()
+        let leadership: serde_json::Value =
+            serde_json::from_str(&self.state.value("sw/lead")?).ok()?;
+        leadership["member"].as_str()?.strip_prefix("m-")?.parse().ok()
     }
 
-    pub async fn until(&self, what: &str, mut holds: impl FnMut() -> bool) {
-        let limit = Instant::now() + Duration::from_secs(240);
-        while !holds() {
-            assert!(Instant::now() < limit, "never came true: {what}");
+    /// Waits until `condition` holds, for at most 240 s of simulated time.
+    pub async fn until(&self, what: &str, mut condition: impl FnMut() -> bool) {
+        let deadline = Instant::now() + Duration::from_secs(240);
+        while !condition() {
+            assert!(Instant::now() < deadline, "condition did not hold within 240 s: {what}");
             sleep(Duration::from_millis(50)).await;
         }
     }
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -1,5 +1,4 @@
-//! The leader's duty alone, with its records and the workers' heartbeats played by
-//! hand: no network in between.
+//! Leader without network: tests apply its records and the workers' heartbeats directly.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -22,10 +21,12 @@
     pub settings: Settings,
     pub watch_cache: WatchCache,
     pub leader: Leader,
+    /// Revision of the latest write.
     pub revision: u64,
     pub now: Instant,
-    /// Since when surely no other controller answers workers.
+    /// Instant from which no other controller can answer workers any more, if known.
     pub alone: Option<Instant>,
+    /// Sequence number of the latest heartbeat, by machine.
     pub sequences: BTreeMap<String, u64>,
 }
 
@@ -34,16 +35,18 @@
         Self::with(settings("m-0"), TermTokens::single(token))
     }
 
+    /// Creates a leader without any records but the machine types.
     pub fn with(mut settings: Settings, tokens: TermTokens) -> Self {
         let mut watch_cache = WatchCache { loaded: true, ..WatchCache::default() };
         watch_cache.machine_types =
             Some(Versioned { version: 1, value: Arc::new(vec![machine_type()]) });
-        // Returning idle machines is no part of these scenarios.
+        // Keeps idle machines: their return is not part of these scenarios.
         settings.operator.idle_boots = 1e3;
-        Self::over(settings, watch_cache, tokens)
+        Self::with_records(settings, watch_cache, tokens)
     }
 
-    pub fn over(settings: Settings, watch_cache: WatchCache, tokens: TermTokens) -> Self {
+    /// Creates a leader that takes over the given records.
+    pub fn with_records(settings: Settings, watch_cache: WatchCache, tokens: TermTokens) -> Self {
         let now = Instant::now();
         let leader = Leader::new(Arc::new(settings.clone()), 1, tokens, &watch_cache, now);
         Self {
@@ -57,17 +60,17 @@
         }
     }
 
-    /// The next leader, over the records that this one left.
+    /// Replaces this leader by its successor, which takes over the same records.
     pub fn succeed(self, token: u64) -> Self {
         Self {
             sequences: self.sequences,
             revision: self.revision,
-            ..Self::over(self.settings, self.watch_cache, TermTokens::single(token))
+            ..Self::with_records(self.settings, self.watch_cache, TermTokens::single(token))
         }
     }
 
-    /// Begins anew with an aim for the usual class.
-    pub fn set_aim(&mut self, kind: &str, within_s: f64) {
+    /// Replaces the leader by one with an objective for the class `train`.
+    pub fn set_objective(&mut self, kind: &str, within_s: f64) {
         let mut settings = settings("m-0");
         settings.cluster.objectives.push(Objective {
             kind: kind.into(),
@@ -96,15 +99,18 @@
         self.leader.on_changes(&changes, &self.watch_cache, self.now);
     }
 
+    /// Lets time pass, then runs a tick of the leader.
     pub fn pass(&mut self, seconds: f64) {
         self.now += Duration::from_secs_f64(seconds);
         self.leader.tick(self.now, StateService::Available, self.alone);
     }
 
+    /// Takes all pending writes of the leader.
     pub fn commits(&mut self) -> Vec<Commit> {
         self.leader.take_commits(&self.watch_cache, usize::MAX)
     }
 
+    /// Applies writes to the records and reports them to the leader as committed.
     pub fn commit(&mut self, commits: Vec<Commit>) {
         for commit in commits {
             self.revision += 1;
@@ -122,7 +128,7 @@
         }
     }
 
-    /// Time passes and all that is due is committed.
+    /// Lets 0.4 s pass in four steps and commits all pending writes after each step.
     pub fn settle(&mut self) {
         for _ in 0..4 {
             self.pass(0.1);
@@ -131,6 +137,7 @@
         }
     }
 
+    /// Delivers a heartbeat with the given sequence number and the current token.
     pub fn heartbeat_at(
         &mut self,
         machine: &str,
@@ -147,7 +154,7 @@
         )
     }
 
-    /// A heartbeat of a worker whose highest token is `token`.
+    /// Delivers a heartbeat of a worker whose highest known token is `token`.
     pub fn heartbeat_with_token(
         &mut self,
         token: u64,
@@ -160,6 +167,7 @@
         self.leader.on_heartbeat(&heartbeat, self.now).expect("no higher token")
     }
 
+    /// Delivers a heartbeat with the machine's next sequence number.
     pub fn heartbeat(
         &mut self,
         machine: &str,
@@ -172,23 +180,24 @@
         self.heartbeat_at(machine, sequence, incarnation, tasks)
     }
 
+    /// Returns the first page of a job's placement records.
     pub fn page(&self, id: &str) -> Page {
         self.watch_cache
             .pages
             .get(id)
-            .and_then(|p| p.get(&0))
-            .and_then(|p| serde_json::from_str(p.raw.get()).ok())
+            .and_then(|pages| pages.get(&0))
+            .and_then(|page| serde_json::from_str(page.raw.get()).ok())
             .unwrap_or_default()
     }
 
-    /// The machines that a job's tasks are bound to, by the records.
+    /// Returns the tasks of a job's first page with the machines that the records bind them to.
     pub fn bound(&self, id: &str) -> Vec<(u32, String)> {
         self.page(id).bound.iter().map(|bound| (bound.task, bound.machine.to_string())).collect()
     }
 }
 
-/// What a worker of the usual kind reports; its name begins with its zone if that
-/// is the second one.
+/// Returns a heartbeat of an on-demand worker of type `g8`. A machine whose name begins with
+/// `b-` is in zone `b`, any other in zone `a`.
 pub fn heartbeat_of(
     machine: &str,
     incarnation: u64,
@@ -211,10 +220,12 @@
     }
 }
 
+/// Returns the status of a running task that `command` started.
 pub fn running(command: &TaskCommand) -> TaskStatus {
     exited_with(command, TaskState::Running, None)
 }
 
+/// Returns the status of an exited task that `command` started.
 pub fn exited(command: &TaskCommand, cause: ExitCause) -> TaskStatus {
     exited_with(command, TaskState::Exited, Some(cause))
 }
@@ -227,6 +238,7 @@
     TaskStatus { task: command.task.clone(), attempt: command.attempt, state, cause, saved: None }
 }
 
-pub fn ops(commands: &[TaskCommand], op: CommandKind) -> Vec<&TaskCommand> {
-    commands.iter().filter(|o| o.op == op).collect()
+/// Returns the commands of one kind.
+pub fn ops(commands: &[TaskCommand], kind: CommandKind) -> Vec<&TaskCommand> {
+    commands.iter().filter(|command| command.op == kind).collect()
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in memory, under paused time: controllers, state service, cloud, workers
+//! Simulated deployment in memory, under paused time: controllers, state service, cloud, workers
 //! and the network between them.
 
 mod assertions;
@@ -17,7 +17,7 @@
 
 pub use re_exports::*;
 
-/// What tests import from here; each test binary uses its own part.
+/// Items that tests import from this module; each test binary uses only some of them.
 #[allow(unused_imports)]
 mod re_exports {
     pub use super::{
--- a/tests/common/network.rs
+++ b/tests/common/network.rs
@@ -1,4 +1,4 @@
-//! Links between the controllers, and faults of the network.
+//! Links between the controllers, and network faults.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,10 +12,11 @@
 
 use super::{LateCommands, deployment::TestDeployment, lock};
 
-/// Waits until heartbeats are due, or a node wants them to leave at once.
+/// Waits until the next heartbeats are due after `interval`, or until a node requests immediate
+/// heartbeats.
 pub(super) async fn wait_for_heartbeats(
     nodes: &[Option<(Arc<Node>, CancellationToken)>],
-    most: Duration,
+    interval: Duration,
 ) {
     let urgent = nodes.iter().flatten().map(|(node, _)| {
         let mut urgent = node.peers.immediate_heartbeats();
@@ -23,13 +24,13 @@
     });
     let urgent: Vec<_> = urgent.collect();
     if urgent.is_empty() {
-        return sleep(most).await;
+        return sleep(interval).await;
     }
-    let _ = tokio::time::timeout(most, futures_util::future::select_all(urgent)).await;
+    let _ = tokio::time::timeout(interval, futures_util::future::select_all(urgent)).await;
 }
 
 impl TestDeployment {
-    /// The links between the controllers.
+    /// Exchanges heartbeats between the controllers over their links.
     pub(super) async fn run_links(self) {
         loop {
             let (nodes, disconnected) = {
@@ -44,7 +45,7 @@
                         && from != to
                         && !cut
                     {
-                        // As over the wire.
+                        // Encodes and decodes the message, as a real link does.
                         let frame = peers::encode(sender.message(&format!("m-{to}")));
                         let mut message = peers::decode(&frame).expect("a heartbeat");
                         if self.is_previous_version(from) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// From now on a node says no more than the version before.
+    /// Makes a node announce no features, as the previous version does, or all of them again.
     pub fn set_previous_version(&self, node: usize, old: bool) {
         let mut inner = lock(&self.inner);
         if old {
@@ -80,19 +81,22 @@
         lock(&self.inner).disconnected.remove(&node);
     }
 
+    /// Partitions a machine from `nodes`, and from no others.
     pub fn partition(&self, machine: &str, nodes: &[usize]) {
         let mut inner = lock(&self.inner);
         let worker = inner.workers.get_mut(machine).expect("known machine");
         worker.partitioned_from = nodes.iter().copied().collect();
     }
 
+    /// Partitions a machine as `partition` does, if it still exists.
     pub fn partition_if_present(&self, machine: &str, nodes: &[usize]) {
         if let Some(worker) = lock(&self.inner).workers.get_mut(machine) {
             worker.partitioned_from = nodes.iter().copied().collect();
         }
     }
 
-    /// From now on heartbeats to a controller that a worker is partitioned from hang.
+    /// Makes heartbeats to a controller that a worker is partitioned from hang until the
+    /// worker's timeout.
     pub fn make_partitions_hang(&self) {
         lock(&self.inner).partitions_hang = true;
     }
@@ -102,7 +106,7 @@
             drops_responses;
     }
 
-    /// Answers and commands to these machines are lost for a while.
+    /// Loses the answers and direct commands to these machines for `seconds`.
     pub fn drop_responses_for(&self, machines: &[MachineId], seconds: f64) {
         let set = |deployment: &TestDeployment, machines: &[MachineId], drops_responses: bool| {
             let mut inner = lock(&deployment.inner);
@@ -125,20 +129,20 @@
             drops_heartbeats;
     }
 
-    /// From now on these of the direct commands come late.
+    /// Selects the later direct commands that arrive late.
     pub fn set_late_commands(&self, late: Option<LateCommands>) {
         lock(&self.inner).late_commands = late;
     }
 
-    /// A controller is paused: nothing leaves it or is answered by it, while
-    /// its clock runs on.
-    pub fn freeze(&self, at: usize, seconds: f64) {
+    /// Suspends a controller for `seconds`: it sends and answers nothing, while its clock
+    /// continues.
+    pub fn freeze(&self, index: usize, seconds: f64) {
         let until = Instant::now() + Duration::from_secs_f64(seconds);
-        lock(&self.inner).frozen.insert(at, until);
-        self.state.freeze(&format!("m-{at}"), until);
+        lock(&self.inner).frozen_until.insert(index, until);
+        self.state.freeze(&format!("m-{index}"), until);
     }
 
-    pub(super) fn frozen_until(&self, at: usize) -> Option<Instant> {
-        lock(&self.inner).frozen.get(&at).copied().filter(|until| *until > Instant::now())
+    pub(super) fn frozen_until(&self, index: usize) -> Option<Instant> {
+        lock(&self.inner).frozen_until.get(&index).copied().filter(|until| *until > Instant::now())
     }
 }
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -1,4 +1,4 @@
-//! Rules of the protocol that are checked whenever a task starts.
+//! Protocol rules that are checked whenever a task starts.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -15,12 +15,12 @@
 };
 
 impl TestDeployment {
-    /// Rules broken so far.
+    /// Returns the violations recorded so far.
     pub fn violations(&self) -> Vec<String> {
         lock(&self.inner).violations.clone()
     }
 
-    /// Notes a broken rule that a test found by itself.
+    /// Records a violation that a test has found.
     pub fn record_violation(&self, what: String) {
         let mut inner = lock(&self.inner);
         if !inner.violations.contains(&what) {
@@ -30,17 +30,18 @@
 }
 
 impl Inner {
-    /// Whether a task that just started keeps its job's and its team's bounds.
+    /// Records a violation for each rule of its job or its team that a task which just started
+    /// breaks.
     pub(super) fn check_start(&mut self, task: &str, zone: &Arc<str>, spot: bool) {
         let job = task.split('/').next().unwrap_or_default();
         let Some(spec) = self.specs.get(job).cloned() else {
             return self.violations.push(format!("a task of an unknown job started: {task}"));
         };
-        self.violations.extend(self.checker.start(&spec, task));
+        self.violations.extend(self.checker.check_latest_start(&spec, task));
         if self
             .cancellation_answers
             .get(job)
-            .is_some_and(|at| at.elapsed() > Duration::from_secs(36))
+            .is_some_and(|answered_at| answered_at.elapsed() > Duration::from_secs(36))
         {
             self.violations.push(format!("ran_cancelled: {task} started"));
         }
@@ -53,46 +54,46 @@
         if spec.zone.as_ref().is_some_and(|z| z != zone) || (spot && !spec.spot) {
             self.violations.push(format!("wrong_place: {task} in {zone}"));
         }
-        // The rest takes a look at all machines.
+        // The remaining rules need a scan of all machines, so jobs without them skip the scan.
         if &*spec.team != "red" && !spec.one_zone && !spec.spread {
             return;
         }
         let live = |w: &Worker| -> Vec<String> {
-            let live = w.tasks.iter().filter(|(_, on)| on.state != TaskState::Exited);
+            let live = w.tasks.iter().filter(|(_, running)| running.state != TaskState::Exited);
             live.map(|(task, _)| task.split('/').next().unwrap_or_default().to_owned()).collect()
         };
-        let mut team = 0.0;
+        let mut team_gpus = 0.0;
         let mut zones: HashMap<Arc<str>, u32> = HashMap::new();
         for worker in self.workers.values() {
             for other in live(worker) {
-                let of = self.specs.get(&other);
-                team += of.filter(|s| s.team == spec.team).map_or(0.0, |s| s.gpus);
+                let other_spec = self.specs.get(&other);
+                team_gpus += other_spec.filter(|s| s.team == spec.team).map_or(0.0, |s| s.gpus);
                 if other == job {
                     *zones.entry(worker.zone.clone()).or_default() += 1;
                 }
             }
         }
-        if &*spec.team == "red" && team > 16.0 {
-            self.violations.push(format!("quota: {team} GPUs with {task}"));
+        if &*spec.team == "red" && team_gpus > 16.0 {
+            self.violations.push(format!("quota: {team_gpus} GPUs with {task}"));
         }
-        let wrong = (spec.one_zone && zones.len() > 1)
+        let wrong_zones = (spec.one_zone && zones.len() > 1)
             || (spec.spread && zones.values().any(|n| *n > spec.tasks.div_ceil(2)));
-        if wrong {
+        if wrong_zones {
             self.violations.push(format!("wrong_place: {task} in {zone}"));
         }
     }
 
-    /// Tasks of these jobs that are on machines, as broken rules.
+    /// Returns a violation for each task of these jobs that still runs on a machine.
     pub(super) fn live_tasks_of(&self, jobs: &HashSet<String>) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         for (machine, worker) in &self.workers {
-            for (task, on) in &worker.tasks {
+            for (task, running) in &worker.tasks {
                 let job = task.split('/').next().unwrap_or_default();
-                if on.state != TaskState::Exited && jobs.contains(job) {
-                    found.push(format!("ran_cancelled: {job} on {machine}"));
+                if running.state != TaskState::Exited && jobs.contains(job) {
+                    violations.push(format!("ran_cancelled: {job} on {machine}"));
                 }
             }
         }
-        found
+        violations
     }
 }
--- a/tests/common/samples.rs
+++ b/tests/common/samples.rs
@@ -1,4 +1,4 @@
-//! A machine type and a submission, as most tests use them.
+//! Sample machine type and job submission that most tests use.
 
 use serde_json::json;
 use stonewheel::protocol::MachineType;
@@ -18,7 +18,7 @@
     }
 }
 
-/// A submission with the given fields in place of the usual ones.
+/// Returns a job submission in which `changes` replaces the default fields.
 pub fn job(id: &str, changes: serde_json::Value) -> Vec<u8> {
     let mut job = json!({
         "Ref": id, "Grain": "train", "Crew": "blue", "Shape": "batch", "Rank": "standard",
--- a/tests/common/settings.rs
+++ b/tests/common/settings.rs
@@ -40,7 +40,7 @@
 fd_limit = 600
 "#;
 
-/// With limits of the state service that are to come.
+/// Returns settings that announce lower limits of the state service.
 pub fn settings_with_coming_limits(member: &str) -> Settings {
     let mut settings = settings(member);
     settings.cluster.state.next =
@@ -52,7 +52,8 @@
     Settings::parse("test.toml", &SETTINGS.replace("m-0", member)).expect("valid settings")
 }
 
-/// What a fleet of so many times the usual size needs, see `docs/operations.md`.
+/// Scales rates and quotas for a fleet of `scale` times the usual size, see
+/// `docs/operations.md`.
 pub fn scale_settings(settings: &mut Settings, scale: f64) {
     let cluster = &mut settings.cluster;
     cluster.state.rps *= scale;
--- a/tests/common/users.rs
+++ b/tests/common/users.rs
@@ -1,4 +1,5 @@
-//! Users: submissions, questions and cancellations, with answers compared over time.
+//! User requests: submissions, status queries and cancellations. Each answer is compared with
+//! the earlier answers for the same job.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -35,34 +36,35 @@
     }
 
     pub async fn until_state(&self, node: usize, id: &str, state: JobState) {
-        let limit = Instant::now() + Duration::from_secs(240);
+        let deadline = Instant::now() + Duration::from_secs(240);
         loop {
             if let Ok(UserReply::Known(status)) = self.node(node).status(id).await
                 && status.state == state
             {
                 return;
             }
-            assert!(Instant::now() < limit, "{id} never became {state:?}");
+            assert!(Instant::now() < deadline, "{id} never became {state:?}");
             sleep(Duration::from_millis(500)).await;
         }
     }
 
-    /// What a user hears, held against what any user heard before.
+    /// Compares a user's answer with the earlier answers of all users: a final state must
+    /// not change.
     pub(super) fn record_answer(&self, id: &str, reply: &Result<UserReply, Unavailable>) {
         let mut inner = lock(&self.inner);
-        let heard = match reply {
+        let reported_state = match reply {
             Ok(UserReply::Known(status) | UserReply::Created(status)) => Some(status.state),
             Ok(_) => None,
             Err(_) => return,
         };
         match inner.final_states.get(id) {
-            Some(told) if Some(*told) != heard => {
-                let what = format!("went_back: {id} was {told:?}, now {heard:?}");
+            Some(final_state) if Some(*final_state) != reported_state => {
+                let what = format!("went_back: {id} was {final_state:?}, now {reported_state:?}");
                 inner.violations.push(what);
             }
             _ => {}
         }
-        match heard {
+        match reported_state {
             Some(JobState::Cancelled) => {
                 inner.cancellation_answers.entry(id.into()).or_insert_with(Instant::now);
                 inner.final_states.insert(id.into(), JobState::Cancelled);
@@ -74,27 +76,31 @@
         }
     }
 
-    /// Ids that users were told are final.
+    /// Returns the final state of a job that a user was told, if any.
     pub fn final_answer(&self, id: &str) -> Option<JobState> {
         lock(&self.inner).final_states.get(id).copied()
     }
 
-    /// No task of a job outlives `cancel_s` after its user was told.
+    /// Records a violation for each task that still runs `cancel_s` after a user was told that
+    /// its job is cancelled.
     pub(super) async fn check_cancelled_tasks(self) {
         let limit = Duration::from_secs(36);
         loop {
             sleep(Duration::from_millis(250)).await;
-            let over: Vec<String> = {
+            let overdue: Vec<String> = {
                 let inner = lock(&self.inner);
-                let late = inner.cancellation_answers.iter().filter(|(_, at)| at.elapsed() > limit);
+                let late = inner
+                    .cancellation_answers
+                    .iter()
+                    .filter(|(_, answered_at)| answered_at.elapsed() > limit);
                 late.map(|(job, _)| job.clone()).collect()
             };
-            if over.is_empty() {
+            if overdue.is_empty() {
                 continue;
             }
-            let over: HashSet<String> = over.into_iter().collect();
+            let overdue: HashSet<String> = overdue.into_iter().collect();
             let mut inner = lock(&self.inner);
-            for what in inner.live_tasks_of(&over) {
+            for what in inner.live_tasks_of(&overdue) {
                 if !inner.violations.contains(&what) {
                     inner.violations.push(what);
                 }
--- a/tests/common/workers.rs
+++ b/tests/common/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: heartbeats, leases, commands, and machines that hang.
+//! Simulated workers: heartbeats, leases, commands, and machines that hang.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -29,17 +29,17 @@
     lock,
 };
 
-/// How long a call takes.
+/// Latency of a direct command.
 pub(super) const LATENCY: Duration = Duration::from_millis(3);
 
 /// `lease_s` of the settings.
 pub(super) const WORKER_LEASE: Duration = Duration::from_secs(11);
 
-/// How long a worker waits for the answer to a heartbeat.
+/// Time that a worker waits for the answer to a heartbeat.
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Where late commands come from: no cut of a controller holds them back.
-pub(super) const DELAYED: usize = usize::MAX;
+/// Sender index of late direct commands. It is no node's index, so no partition applies to them.
+pub(super) const LATE_SENDER: usize = usize::MAX;
 
 #[derive(Clone, Debug)]
 pub(super) struct RunningTask {
@@ -55,28 +55,30 @@
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
     pub(super) token: u64,
-    /// When the last answered report was sent.
-    pub(super) leased: Instant,
+    /// Instant at which the latest answered heartbeat was sent; the lease runs from here.
+    pub(super) leased_at: Instant,
     pub(super) tasks: BTreeMap<String, RunningTask>,
-    /// The nodes that it can't reach.
+    /// Nodes that the worker can't reach.
     pub(super) partitioned_from: BTreeSet<usize>,
-    /// Answers to its heartbeats are lost.
+    /// Whether answers and direct commands to the worker are lost.
     pub(super) drops_responses: bool,
-    /// Its reports reach nobody, but direct commands reach it.
+    /// Whether its heartbeats are lost; direct commands still reach the worker.
     pub(super) drops_heartbeats: bool,
-    /// It is paused; direct commands wait until it goes on.
+    /// Whether the machine is suspended; direct commands wait until it resumes.
     pub(super) hung: bool,
+    /// Direct commands that arrived while the machine was suspended.
     pub(super) waiting: Vec<DirectCommands>,
+    /// Whether every task fails on this machine.
     pub(super) fails: bool,
-    pub(super) last: Option<WorkerHeartbeat>,
+    pub(super) last_heartbeat: Option<WorkerHeartbeat>,
 }
 
 impl TestDeployment {
     pub fn add_machine(&self, zone: &str) {
         let name: MachineId = {
             let mut inner = lock(&self.inner);
-            inner.next += 1;
-            format!("n-{:06}", inner.next).into()
+            inner.last_machine_number += 1;
+            format!("n-{:06}", inner.last_machine_number).into()
         };
         self.boot(name, zone.into(), false, Duration::ZERO);
     }
@@ -91,7 +93,7 @@
                 incarnation: 1,
                 sequence: 0,
                 token: 0,
-                leased: Instant::now(),
+                leased_at: Instant::now(),
                 tasks: BTreeMap::new(),
                 partitioned_from: BTreeSet::new(),
                 drops_responses: false,
@@ -99,16 +101,16 @@
                 hung: false,
                 waiting: Vec::new(),
                 fails: false,
-                last: None,
+                last_heartbeat: None,
             };
             lock(&deployment.inner).workers.insert(name.clone(), worker);
             deployment.run_worker(&name).await;
         });
     }
 
-    /// A worker's life: reports, lease, commands.
+    /// Runs a worker: sends heartbeats, renews its lease and executes the commands in answers.
     pub(super) async fn run_worker(&self, name: &MachineId) {
-        let mut at = 0;
+        let mut node_index = 0;
         loop {
             sleep(Duration::from_millis(950)).await;
             let sent = Instant::now();
@@ -118,15 +120,16 @@
                 return;
             };
             let Some(heartbeat) = heartbeat else { continue };
-            let node = lock(&self.inner).nodes[at].as_ref().map(|(n, _)| n.clone());
-            let lost = drops_heartbeats || partitioned.contains(&at);
-            if partitioned.contains(&at) && lock(&self.inner).partitions_hang {
+            let node = lock(&self.inner).nodes[node_index].as_ref().map(|(n, _)| n.clone());
+            let lost = drops_heartbeats || partitioned.contains(&node_index);
+            if partitioned.contains(&node_index) && lock(&self.inner).partitions_hang {
                 sleep(HEARTBEAT_TIMEOUT).await;
             }
             let mut reply = None;
             if let Some(node) = node.filter(|_| !lost) {
-                if let Some(until) = self.frozen_until(at) {
-                    // It is read when the node goes on; by then nobody waits.
+                if let Some(until) = self.frozen_until(node_index) {
+                    // The node reads the heartbeat when it resumes. The worker has timed out
+                    // by then.
                     tokio::spawn(async move {
                         tokio::time::sleep_until(until).await;
                         node.answer_heartbeat_now(&heartbeat);
@@ -144,26 +147,28 @@
                     if token < worker.token {
                         continue;
                     }
-                    (worker.token, worker.leased) = (token, sent);
+                    (worker.token, worker.leased_at) = (token, sent);
                     for command in commands {
                         inner.execute(name, command);
                     }
                 }
-                Some(HeartbeatReply::Redirect(to)) => {
-                    let known = to.and_then(|m| m.strip_prefix("m-")?.parse::<usize>().ok());
-                    at = known.filter(|to| *to != at).unwrap_or((at + 1) % 3);
+                Some(HeartbeatReply::Redirect(member)) => {
+                    let target = member.and_then(|m| m.strip_prefix("m-")?.parse::<usize>().ok());
+                    node_index = target
+                        .filter(|target| *target != node_index)
+                        .unwrap_or((node_index + 1) % 3);
                 }
                 None => {
                     sleep(Duration::from_secs(1)).await;
-                    at = (at + 1) % 3;
+                    node_index = (node_index + 1) % 3;
                 }
             }
         }
     }
 
-    /// Notes the jobs of tasks that are to start, as users described them.
+    /// Stores the specifications of the jobs whose tasks are to start, from the records.
     pub(super) fn remember_jobs(&self, commands: &[TaskCommand]) {
-        for command in commands.iter().filter(|o| o.op == CommandKind::Start) {
+        for command in commands.iter().filter(|command| command.op == CommandKind::Start) {
             let id = command.task.split('/').next().unwrap_or_default();
             if lock(&self.inner).specs.contains_key(id) {
                 continue;
@@ -175,12 +180,15 @@
         }
     }
 
+    /// Returns the worker's next heartbeat (`None` while it is suspended) with its network
+    /// faults: the nodes that it is partitioned from, and whether its answers and its heartbeats
+    /// are lost. Returns `None` if the machine no longer exists.
     pub(super) fn next_heartbeat(
         &self,
         name: &MachineId,
     ) -> Option<(Option<WorkerHeartbeat>, BTreeSet<usize>, bool, bool)> {
         let mut inner = lock(&self.inner);
-        let Inner { workers, run, .. } = &mut *inner;
+        let Inner { workers, run_times, .. } = &mut *inner;
         let now = Instant::now();
         let worker = workers.get_mut(name)?;
         let (partitioned, drops_responses, drops_heartbeats) =
@@ -189,67 +197,77 @@
             return Some((None, partitioned, drops_responses, drops_heartbeats));
         }
         worker.end_overdue_incarnation();
-        for (task, on) in &mut worker.tasks {
+        for (task, running) in &mut worker.tasks {
             let job = task.split('/').next().unwrap_or_default();
-            let age = now - on.since;
-            if on.state == TaskState::Running && worker.fails {
-                (on.state, on.cause) = (TaskState::Exited, Some(ExitCause::Error));
-            } else if on.state == TaskState::Running
-                && run.get(task).or(run.get(job)).is_some_and(|r| age >= *r)
+            let age = now - running.since;
+            if running.state == TaskState::Running && worker.fails {
+                (running.state, running.cause) = (TaskState::Exited, Some(ExitCause::Error));
+            } else if running.state == TaskState::Running
+                && run_times
+                    .get(task)
+                    .or(run_times.get(job))
+                    .is_some_and(|run_time| age >= *run_time)
             {
-                (on.state, on.cause) = (TaskState::Exited, Some(ExitCause::Done));
+                (running.state, running.cause) = (TaskState::Exited, Some(ExitCause::Done));
             }
         }
         let heartbeat = worker.heartbeat(name);
-        worker.last = Some(heartbeat.clone());
+        worker.last_heartbeat = Some(heartbeat.clone());
         Some((Some(heartbeat), partitioned, drops_responses, drops_heartbeats))
     }
 
-    /// Whether a task of this job runs on a machine.
+    /// Whether a task of the job is running on the machine.
     pub fn runs_on(&self, job: &str, machine: &str) -> bool {
         let inner = lock(&self.inner);
         let Some(worker) = inner.workers.get(machine) else { return false };
         let of_job = |task: &str| task.split('/').next() == Some(job);
-        worker.tasks.iter().any(|(task, on)| of_job(task) && on.state == TaskState::Running)
+        worker
+            .tasks
+            .iter()
+            .any(|(task, running)| of_job(task) && running.state == TaskState::Running)
     }
 
+    /// Returns the number of task starts on all workers so far.
     pub fn starts(&self) -> u32 {
         lock(&self.inner).starts
     }
 
-    /// How long each task of a job runs.
+    /// Sets the run time of a job's tasks.
     pub fn runs_for(&self, job: &str, seconds: u64) {
-        lock(&self.inner).run.insert(job.into(), Duration::from_secs(seconds));
+        lock(&self.inner).run_times.insert(job.into(), Duration::from_secs(seconds));
     }
 
-    /// Machines that hold a task of a job.
+    /// Returns the machines that have a task of the job which has not exited.
     pub fn machines_of(&self, job: &str) -> Vec<MachineId> {
         let prefix = format!("{job}/");
         lock(&self.inner)
             .workers
             .iter()
             .filter(|(_, w)| {
-                w.tasks.iter().any(|(t, o)| t.starts_with(&prefix) && o.state != TaskState::Exited)
+                w.tasks.iter().any(|(task, running)| {
+                    task.starts_with(&prefix) && running.state != TaskState::Exited
+                })
             })
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Machines that are up.
+    /// Returns the machines that are running.
     pub fn machines(&self) -> Vec<MachineId> {
         lock(&self.inner).workers.keys().cloned().collect()
     }
 
-    /// A machine stops with all that is on it.
+    /// Stops a machine with all its tasks.
     pub fn remove_machine(&self, machine: &str) {
         lock(&self.inner).workers.remove(machine);
     }
 
+    /// Makes every task on a machine fail.
     pub fn set_failing(&self, machine: &str) {
         lock(&self.inner).workers.get_mut(machine).expect("known machine").fails = true;
     }
 
-    /// Lets a machine be paused, or go on with what waited for it.
+    /// Suspends a machine, or resumes it and executes the direct commands that waited for it.
     pub fn set_hung(&self, machine: &str, hung: bool) {
         let mut inner = lock(&self.inner);
         let worker = inner.workers.get_mut(machine).expect("known machine");
@@ -263,7 +281,7 @@
         }
     }
 
-    /// Lets a machine be paused for a while, if it is there.
+    /// Suspends a machine for `seconds`, if it exists and is not suspended.
     pub fn hang_for(&self, machine: &str, seconds: f64) {
         match lock(&self.inner).workers.get_mut(machine) {
             Some(worker) if !worker.hung => worker.hung = true,
@@ -272,34 +290,36 @@
         let (deployment, machine) = (self.clone(), machine.to_owned());
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(seconds)).await;
-            let there = lock(&deployment.inner).workers.contains_key(machine.as_str());
-            if there {
+            let exists = lock(&deployment.inner).workers.contains_key(machine.as_str());
+            if exists {
                 deployment.set_hung(&machine, false);
             }
         });
     }
 
+    /// Returns the incarnation of a machine's worker, or 0 if the machine does not exist.
     pub fn incarnation(&self, machine: &str) -> u64 {
         lock(&self.inner).workers.get(machine).map_or(0, |w| w.incarnation)
     }
 
-    /// The last heartbeat that a machine sent.
+    /// Returns the latest heartbeat that a machine sent.
     pub fn last_heartbeat(&self, machine: &str) -> WorkerHeartbeat {
-        lock(&self.inner).workers[machine].last.clone().expect("a report")
+        lock(&self.inner).workers[machine].last_heartbeat.clone().expect("a heartbeat")
     }
 
-    /// The last heartbeat of each machine, as a network may hold them back.
+    /// Returns the latest heartbeat of each machine, to be delivered late as a network might.
     pub fn last_heartbeats(&self) -> Vec<WorkerHeartbeat> {
-        lock(&self.inner).workers.values().filter_map(|w| w.last.clone()).collect()
+        lock(&self.inner).workers.values().filter_map(|w| w.last_heartbeat.clone()).collect()
     }
 }
 
 impl Worker {
+    /// Starts a new incarnation without tasks if the lease has expired.
     pub(super) fn end_overdue_incarnation(&mut self) {
-        if self.leased.elapsed() > WORKER_LEASE {
+        if self.leased_at.elapsed() > WORKER_LEASE {
             self.tasks.clear();
             self.incarnation += 1;
-            self.leased = Instant::now();
+            self.leased_at = Instant::now();
         }
     }
 
@@ -308,11 +328,11 @@
         let tasks = self
             .tasks
             .iter()
-            .map(|(task, on)| TaskStatus {
+            .map(|(task, running)| TaskStatus {
                 task: task.clone(),
-                attempt: on.attempt,
-                state: on.state,
-                cause: on.cause,
+                attempt: running.attempt,
+                state: running.state,
+                cause: running.cause,
                 saved: None,
             })
             .collect();
@@ -331,11 +351,11 @@
     }
 }
 
-/// A node's way to the workers' own addresses.
+/// Client through which a node sends direct commands to workers.
 pub(super) struct InMemoryWorkers {
     pub(super) deployment: TestDeployment,
-    pub(super) at: usize,
-    /// Each request takes one, and waits for it, until it is answered or given up.
+    pub(super) node_index: usize,
+    /// Free sockets. Each request waits for one and holds it until the request ends.
     pub(super) sockets: Arc<Semaphore>,
 }
 
@@ -349,7 +369,7 @@
         Box::pin(async move {
             let _socket = self.sockets.acquire().await;
             sleep(LATENCY).await;
-            if let Some(until) = self.deployment.frozen_until(self.at) {
+            if let Some(until) = self.deployment.frozen_until(self.node_index) {
                 tokio::time::sleep_until(until).await;
             }
             self.deployment.remember_jobs(&commands.commands);
@@ -360,14 +380,14 @@
                 tokio::spawn(async move {
                     sleep(delay).await;
                     let mut inner = lock(&deployment.inner);
-                    let _ = inner.command(&name, DELAYED, commands);
+                    let _ = inner.command(&name, LATE_SENDER, commands);
                 });
                 sleep(Duration::from_secs(1)).await;
                 return Err(CallError::Timeout);
             }
             let answer = {
                 let mut inner = lock(&self.deployment.inner);
-                inner.command(&name, self.at, commands)
+                inner.command(&name, self.node_index, commands)
             };
             if let Some(heartbeat) = answer {
                 return Ok(heartbeat);
@@ -379,7 +399,8 @@
 }
 
 impl Inner {
-    /// Direct commands from node `from`: the worker's heartbeat, or silence.
+    /// Delivers direct commands from node `from`. Returns the worker's heartbeat, or `None` if
+    /// the worker does not answer.
     pub(super) fn command(
         &mut self,
         name: &MachineId,
@@ -397,15 +418,16 @@
         self.execute_direct(name, commands)
     }
 
-    /// Direct commands are carried out whenever token and incarnation match.
+    /// Executes direct commands if their token is not older than the worker's and their
+    /// incarnation is the worker's. Returns the worker's heartbeat.
     pub(super) fn execute_direct(
         &mut self,
         name: &MachineId,
         commands: DirectCommands,
     ) -> Option<WorkerHeartbeat> {
         let worker = self.workers.get(name)?;
-        let carried = commands.token >= worker.token && commands.incarnation == worker.incarnation;
-        if carried {
+        let accepted = commands.token >= worker.token && commands.incarnation == worker.incarnation;
+        if accepted {
             for command in commands.commands {
                 self.execute(name, command);
             }
@@ -415,43 +437,48 @@
         Some(worker.heartbeat(name))
     }
 
+    /// Executes a command on a worker and checks the rules for a task that starts.
     pub(super) fn execute(&mut self, name: &MachineId, command: TaskCommand) {
-        // A worker gives up its incarnation by itself, also while it is paused: it
-        // may go on within its lease only.
-        let running = |id: &MachineId| {
-            let worker = self.workers.get(id).filter(|w| w.leased.elapsed() <= WORKER_LEASE);
-            let on = worker.and_then(|w| w.tasks.get(&command.task));
-            on.is_some_and(|on| on.state != TaskState::Exited)
+        // A worker whose lease has expired counts as stopped, also while it is suspended: it
+        // ends its incarnation before it continues.
+        let runs_on = |id: &MachineId| {
+            let worker = self.workers.get(id).filter(|w| w.leased_at.elapsed() <= WORKER_LEASE);
+            let task = worker.and_then(|w| w.tasks.get(&command.task));
+            task.is_some_and(|running| running.state != TaskState::Exited)
         };
-        let elsewhere = command.op == CommandKind::Start
-            && self.checker.machines_of(&command.task).any(|id| id != name && running(id));
+        let runs_elsewhere = command.op == CommandKind::Start
+            && self.checker.machines_of(&command.task).any(|id| id != name && runs_on(id));
         let Some(worker) = self.workers.get_mut(name) else { return };
         match command.op {
             CommandKind::Start => {
-                if worker.tasks.get(&command.task).is_some_and(|o| o.attempt >= command.attempt) {
+                if worker
+                    .tasks
+                    .get(&command.task)
+                    .is_some_and(|task| task.attempt >= command.attempt)
+                {
                     return;
                 }
                 let incarnation = worker.incarnation;
-                if elsewhere {
+                if runs_elsewhere {
                     self.violations.push(format!("ran_twice: {} on {name}", command.task));
                 }
                 self.starts += 1;
                 let (zone, spot) = (worker.zone.clone(), worker.spot);
-                let on = RunningTask {
+                let running = RunningTask {
                     attempt: command.attempt,
                     state: TaskState::Running,
                     cause: None,
                     since: Instant::now(),
                 };
-                worker.tasks.insert(command.task.clone(), on);
-                self.checker.placed(&command.task, command.attempt, name, incarnation);
+                worker.tasks.insert(command.task.clone(), running);
+                self.checker.record_start(&command.task, command.attempt, name, incarnation);
                 self.check_start(&command.task, &zone, spot);
             }
             CommandKind::Stop => {
-                if let Some(on) = worker.tasks.get_mut(&command.task)
-                    && on.state != TaskState::Exited
+                if let Some(running) = worker.tasks.get_mut(&command.task)
+                    && running.state != TaskState::Exited
                 {
-                    (on.state, on.cause) = (TaskState::Exited, Some(ExitCause::Stopped));
+                    (running.state, running.cause) = (TaskState::Exited, Some(ExitCause::Stopped));
                 }
             }
             CommandKind::Forget => {
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -36,7 +36,7 @@
     // A fleet that starts from nothing had room for exactly what waited, and
     // each boot that took several times as long kept a replica from starting.
     let mut harness = LeaderHarness::new(5);
-    harness.set_aim("wait", 10.0);
+    harness.set_objective("wait", 10.0);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 25, "Gpus": 8.0}));
     harness.settle();
     let rented: u32 = harness.leader.take_provision_requests().iter().map(|r| r.count).sum();
@@ -46,7 +46,7 @@
 #[tokio::test(start_paused = true)]
 async fn empty_spot_machines_are_kept_for_work_that_may_use_them() {
     let mut harness = LeaderHarness::new(5);
-    harness.set_aim("finished", 100.0);
+    harness.set_objective("finished", 100.0);
     harness.submit("j-000001", json!({"Spokes": 64, "Driftwood": true}));
     harness.pass(5.0);
     let rentals = harness.leader.take_provision_requests();
@@ -115,7 +115,7 @@
     // In a fleet that starts from nothing every sweep of the first minutes
     // waited for the boot that it had caused itself.
     let mut harness = LeaderHarness::new(5);
-    harness.set_aim("finished", 100.0);
+    harness.set_objective("finished", 100.0);
     harness.pass(1.0);
     harness.submit("j-000001", json!({"Spokes": 64, "Driftwood": true}));
     harness.pass(4.0);
