--- a/tests/deployment/failover.rs
+++ b/tests/deployment/failover.rs
@@ -1,4 +1,4 @@
-//! Leaders that end, lose the state service or lose their workers.
+//! Failover of leaders that are killed or lose the state service or their workers.
 
 use crate::common::seconds;
 use crate::common::{TestDeployment, job};
@@ -21,13 +21,15 @@
     deployment.state.hold(&name);
     let other = (old + 1) % 3;
     assert!(created(&deployment.node(other).submit(&body).await));
-    deployment.until("the placement is under way", || deployment.state.held_count() > 0).await;
-    assert!(deployment.machines_of("j-000005").is_empty(), "no order before the record");
+    deployment
+        .until("the placement write is in flight", || deployment.state.held_count() > 0)
+        .await;
+    assert!(deployment.machines_of("j-000005").is_empty(), "a start before its record is durable");
     deployment.kill_node(old);
     deployment.until("another leads", || deployment.leader().is_some_and(|l| l != old)).await;
     deployment.until("it runs", || deployment.starts() >= 2).await;
     for late in deployment.state.deliver_held() {
-        assert!(late.is_err(), "a late write of the old leader was taken: {late:?}");
+        assert!(late.is_err(), "a late write of the old leader was committed: {late:?}");
     }
     seconds(10).await;
     assert_eq!(deployment.starts(), 2);
@@ -35,7 +37,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn workers_leave_a_leader_that_lost_the_store_and_find_the_next() {
+async fn workers_move_to_the_new_leader_when_the_old_one_loses_the_state_service() {
     let deployment = TestDeployment::new(2).await;
     let old = deployment.leader().expect("a leader");
     let body = job("j-000007", json!({"Shape": "service", "Spokes": 2}));
@@ -43,22 +45,23 @@
     deployment.until("it runs", || deployment.starts() == 2).await;
     deployment.state.refuse(&format!("m-{old}"), true);
     seconds(30).await;
-    // New work starts under the new leader, and the old work went on.
+    // New tasks start under the new leader, and the old tasks kept running.
     let next = deployment.leader().expect("a leader");
     assert_ne!(next, old);
     deployment.runs_for("j-000008", 2);
     assert!(created(&deployment.node(next).submit(&job("j-000008", json!({}))).await));
     deployment.until_state(next, "j-000008", JobState::Done).await;
     assert_eq!(deployment.starts(), 4, "nothing was restarted");
-    // The refused node doesn't guess.
+    // The node without state service answers no status queries from its cache.
     assert_eq!(deployment.node(old).status("j-000007").await, Err(Unavailable::State));
     assert_eq!(deployment.node(old).status("j-999999").await, Err(Unavailable::State));
     assert!(deployment.violations().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_controllers_end_within_an_outage_and_no_task_is_lost() {
-    // Nobody can be elected in an outage, and worker leases are shorter.
+async fn all_controllers_restart_during_an_outage_and_no_task_is_lost() {
+    // No leader can be elected during an outage, and worker leases are shorter than the
+    // outage.
     let deployment = TestDeployment::new(2).await;
     let body = job("j-000011", json!({"Shape": "service", "Spokes": 4}));
     assert!(created(&deployment.node(0).submit(&body).await));
@@ -80,8 +83,8 @@
     assert!(deployment.violations().is_empty(), "{:?}", deployment.violations());
 }
 
-/// A deployment whose four machines are full, and its leader, after its first
-/// lease: all that then happens to the workers costs tasks if it takes long.
+/// Returns a deployment whose four machines are full, its leader and the machines, after the
+/// leader's first lease. A worker that is then without a leader for too long loses its tasks.
 async fn saturated_deployment(id: &str) -> (TestDeployment, usize, Vec<Arc<str>>) {
     let deployment = TestDeployment::new(4).await;
     let leader = deployment.leader().expect("a leader");
@@ -93,8 +96,9 @@
     (deployment, leader, machines)
 }
 
-/// The leader hears none of the machines; another takes over in time.
-async fn loses_workers_but_no_task(
+/// Partitions the leader from all machines and asserts that another controller takes over before
+/// any task is lost.
+async fn assert_no_task_lost_without_workers(
     deployment: &TestDeployment,
     leader: usize,
     machines: &[Arc<str>],
@@ -110,49 +114,49 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_lost_its_workers_resigns_before_their_leases_expire() {
-    // Each node turns reports away and says so; whichever member hears from it
-    // first, the leader has to learn of it.
+    // The partitioned workers send their heartbeats to the other controllers. Whichever
+    // controller gets them first, the leader has to learn that it has lost these workers.
     let (deployment, leader, machines) = saturated_deployment("j-000014").await;
-    loses_workers_but_no_task(&deployment, leader, &machines).await;
+    assert_no_task_lost_without_workers(&deployment, leader, &machines).await;
 }
 
-/// Reports hang instead of being refused, so a worker comes to another controller
-/// only after its time-out. Sent back to the leader it would wait for that once
-/// more, and half of a lease would be left (`docs/incidents/inc-e8a5.md`).
+/// Heartbeats hang instead of failing, so a worker tries another controller only after its
+/// timeout. If that controller redirected the worker to the leader, the worker would wait for a
+/// second timeout and have half of a lease left (`docs/incidents/inc-e8a5.md`).
 #[tokio::test(start_paused = true)]
 async fn workers_whose_heartbeats_to_the_leader_hang_find_its_successor_within_their_leases() {
     let (deployment, leader, machines) = saturated_deployment("j-000017").await;
     deployment.make_partitions_hang();
-    let began = Instant::now();
-    loses_workers_but_no_task(&deployment, leader, &machines).await;
+    let started_at = Instant::now();
+    assert_no_task_lost_without_workers(&deployment, leader, &machines).await;
     for machine in &machines {
         assert_eq!(deployment.incarnation(machine), 1, "{machine} lost its lease");
     }
-    assert!(began.elapsed() < Duration::from_secs(23));
+    assert!(started_at.elapsed() < Duration::from_secs(23));
 }
 
-/// A worker sent on before there is a successor would come to a controller that
-/// is paused, and wait for a second time-out there.
+/// A worker that was redirected before a successor is elected could reach a suspended controller
+/// and wait for a second timeout there.
 #[tokio::test(start_paused = true)]
-async fn workers_wait_for_a_successor_rather_than_try_a_silent_controller() {
+async fn workers_wait_for_a_successor_instead_of_trying_a_suspended_controller() {
     let (deployment, leader, machines) = saturated_deployment("j-000019").await;
-    let silent = (leader + 2) % 3;
+    let suspended = (leader + 2) % 3;
     deployment.make_partitions_hang();
-    deployment.disconnect(silent);
-    deployment.freeze(silent, 60.0);
+    deployment.disconnect(suspended);
+    deployment.freeze(suspended, 60.0);
     seconds(5).await;
-    loses_workers_but_no_task(&deployment, leader, &machines).await;
+    assert_no_task_lost_without_workers(&deployment, leader, &machines).await;
     assert_eq!(deployment.leader(), Some((leader + 1) % 3));
     for machine in &machines {
         assert_eq!(deployment.incarnation(machine), 1, "{machine} lost its lease");
     }
 }
 
-/// A leader that loses its workers hands them on to the controller after it: while
-/// that one is silent, another had better lead. No worker reports here, for whom
-/// they come to first would decide otherwise.
+/// A leader that loses its workers redirects them to the controller after it, so a candidate whose
+/// next controller does not respond should not be elected. The test has no workers, because their
+/// choice of a controller would decide the election otherwise.
 #[tokio::test(start_paused = true)]
-async fn of_two_candidates_the_one_whose_next_controller_lives_leads() {
+async fn the_candidate_whose_next_controller_responds_is_elected() {
     let deployment = TestDeployment::new(0).await;
     for round in 0..5 {
         let leader = deployment.leader().expect("a leader");
@@ -167,7 +171,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_new_to_the_leader_is_redirected_to_it_although_it_hears_few() {
+async fn a_worker_new_to_the_leader_is_redirected_to_it_although_others_cannot_reach_it() {
     let (deployment, leader, machines) = saturated_deployment("j-000018").await;
     deployment.make_partitions_hang();
     for machine in &machines {
@@ -175,40 +179,46 @@
     }
     seconds(4).await;
     let follower = (leader + 1) % 3;
-    let known = deployment.last_heartbeat(&machines[0]);
+    let known_worker = deployment.last_heartbeat(&machines[0]);
     let leader_name = format!("m-{leader}");
-    let sent_to = |token| match deployment
+    let redirect_for = |token| match deployment
         .node(follower)
-        .answer_heartbeat_now(&WorkerHeartbeat { token, ..known.clone() })
+        .answer_heartbeat_now(&WorkerHeartbeat { token, ..known_worker.clone() })
     {
         HeartbeatReply::Redirect(to) => to,
         other => panic!("a follower answered {other:?}"),
     };
-    assert_eq!(sent_to(0), Some(leader_name), "it may reach whom others can't");
-    assert_eq!(sent_to(known.token), None, "it could not reach the leader");
+    assert_eq!(
+        redirect_for(0),
+        Some(leader_name),
+        "a new worker may reach a leader that others can't reach"
+    );
+    assert_eq!(redirect_for(known_worker.token), None, "a known worker could not reach the leader");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_lost_workers_and_peers_learns_of_it_from_the_store() {
+async fn a_leader_cut_off_from_workers_and_peers_is_replaced_through_the_state_service() {
     let (deployment, leader, machines) = saturated_deployment("j-000015").await;
     deployment.disconnect(leader);
-    loses_workers_but_no_task(&deployment, leader, &machines).await;
+    assert_no_task_lost_without_workers(&deployment, leader, &machines).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_successors_the_one_that_hears_the_workers_leads() {
-    // A leader and one other lose the workers together. If the other followed,
-    // it would give way only after another lease.
+async fn the_candidate_that_receives_worker_heartbeats_is_elected() {
+    // The leader and one other controller lose the workers together. If that controller
+    // became leader, it would resign only after another lease.
     let (deployment, old, machines) = saturated_deployment("j-000016").await;
     for other in [(old + 1) % 3, (old + 2) % 3] {
-        let now = deployment.leader().expect("a leader");
-        if other == now {
+        let current = deployment.leader().expect("a leader");
+        if other == current {
             continue;
         }
         for machine in &machines {
-            deployment.partition(machine, &[now, other]);
+            deployment.partition(machine, &[current, other]);
         }
-        deployment.until("another leads", || deployment.leader().is_some_and(|l| l != now)).await;
+        deployment
+            .until("another leads", || deployment.leader().is_some_and(|l| l != current))
+            .await;
         assert_ne!(deployment.leader(), Some(other));
         seconds(13).await;
         for machine in &machines {
@@ -220,7 +230,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_controllers_end_at_once_and_nothing_is_lost() {
+async fn all_controllers_restart_together_and_no_task_is_lost() {
     let deployment = TestDeployment::new(2).await;
     deployment.runs_for("j-000011", 30);
     assert!(created(&deployment.node(0).submit(&job("j-000011", json!({"Spokes": 6}))).await));
@@ -233,6 +243,6 @@
         deployment.start_node(node);
     }
     deployment.until_state(0, "j-000011", JobState::Done).await;
-    assert_eq!(deployment.starts(), 6, "running work went on through it");
+    assert_eq!(deployment.starts(), 6, "running tasks continued through the restart");
     assert!(deployment.violations().is_empty());
 }
--- a/tests/deployment/jobs.rs
+++ b/tests/deployment/jobs.rs
@@ -1,4 +1,4 @@
-//! Life of a job: submission, idempotent repeats, ends, what users are told.
+//! Life cycle of a job: submission, idempotent retries, end, and the answers to users.
 
 use crate::common::seconds;
 use crate::common::{TestDeployment, job};
@@ -30,21 +30,21 @@
     assert_eq!(deployment.starts(), 5);
     assert_eq!(deployment.state.keys("sw/j/"), [""; 0]);
     assert_eq!(deployment.state.keys("sw/p/"), [""; 0]);
-    // A late repeat of the submission gets the end, not a new job.
+    // A late retry of the submission returns the end of the job and creates no new job.
     assert_eq!(state(deployment.node(2).submit(&body).await), JobState::Done);
     assert!(deployment.violations().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_to_a_submission_and_its_retry_at_another_controller_make_one_job() {
+async fn a_retry_at_another_controller_after_a_lost_answer_creates_no_second_job() {
     let deployment = TestDeployment::new(1).await;
     let follower = (deployment.leader().expect("a leader") + 1) % 3;
     deployment.runs_for("j-000002", 3);
     deployment.state.lose_answers(&format!("m-{follower}"), 1);
     let body = job("j-000002", json!({"Spokes": 1}));
-    // The write was carried out unanswered; reading back finds it.
-    let told = state(deployment.node(follower).submit(&body).await);
-    assert!(matches!(told, JobState::Pending | JobState::Running));
+    // The write was executed without an answer; the controller finds it by reading back.
+    let first_state = state(deployment.node(follower).submit(&body).await);
+    assert!(matches!(first_state, JobState::Pending | JobState::Running));
     let other = (follower + 1) % 3;
     let reply = deployment.node(other).submit(&body).await;
     assert!(matches!(reply, Ok(UserReply::Known(_))));
@@ -53,20 +53,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_end_wins_between_cancelled_and_done() {
+async fn the_first_recorded_end_of_a_job_is_final() {
     let deployment = TestDeployment::new(1).await;
     deployment.runs_for("j-000003", 2);
     let body = job("j-000003", json!({"Spokes": 1}));
     assert!(created(&deployment.node(0).submit(&body).await));
-    // Done stands in the store before any node's watch cache may know of it.
+    // The end is in the state service before a node's watch cache may have it.
     let version = deployment.state.version("sw/j/j-000003");
     assert!(version > 0);
     deployment.until_state(0, "j-000003", JobState::Done).await;
     for node in 0..3 {
         assert_eq!(state(deployment.node(node).cancel("j-000003").await), JobState::Done);
     }
-    let again = job("j-000004", json!({"Shape": "service", "Spokes": 1}));
-    assert!(created(&deployment.node(0).submit(&again).await));
+    let second = job("j-000004", json!({"Shape": "service", "Spokes": 1}));
+    assert!(created(&deployment.node(0).submit(&second).await));
     deployment.until("it runs", || !deployment.machines_of("j-000004").is_empty()).await;
     assert_eq!(state(deployment.node(1).cancel("j-000004").await), JobState::Cancelled);
     for node in 0..3 {
@@ -86,7 +86,7 @@
         let body = job(&id, json!({"Shape": "service", "Spokes": 1}));
         let first = deployment.node(round % 3).submit(&body).await;
         assert!(created(&first));
-        // At once, on every node: whatever the watch has brought so far.
+        // Immediately and on every node, whatever its watch has delivered so far.
         for node in 0..3 {
             assert_ne!(deployment.node(node).status(&id).await, Ok(UserReply::Unknown));
         }
@@ -122,15 +122,15 @@
     let body = job("j-000014", json!({"Spokes": 100_000, "Crew": "red"}));
     assert!(created(&deployment.node(0).submit(&body).await));
     // Its team's limit is 16 GPUs, so 16 tasks run.
-    deployment.until("it fills its limit", || deployment.starts() == 16).await;
+    deployment.until("the team's limit is used up", || deployment.starts() == 16).await;
     let old = deployment.leader().expect("a leader");
     deployment.kill_node(old);
     seconds(30).await;
-    assert_eq!(deployment.starts(), 16, "the limit holds over a takeover");
+    assert_eq!(deployment.starts(), 16, "the limit holds across a failover");
     let node = (old + 1) % 3;
     assert_eq!(state(deployment.node(node).cancel("j-000014").await), JobState::Cancelled);
     deployment.until("it is gone", || deployment.machines_of("j-000014").is_empty()).await;
-    deployment.until("its records are dropped", || deployment.state.keys("sw/p/").is_empty()).await;
+    deployment.until("its records are deleted", || deployment.state.keys("sw/p/").is_empty()).await;
     assert!(deployment.violations().is_empty());
 }
 
@@ -166,7 +166,7 @@
         assert!(matches!(reply, Ok(UserReply::Impossible(_))), "{reply:?}");
     }
     assert_eq!(node.status("j-000020").await, Ok(UserReply::Unknown));
-    // More tasks than the limit holds at once are fine for an array.
+    // An array may have more tasks than the team's limit allows to run concurrently.
     let body = job("j-000021", json!({"Crew": "red", "Spokes": 17}));
     assert!(created(&node.submit(&body).await));
 }
--- a/tests/deployment/listeners.rs
+++ b/tests/deployment/listeners.rs
@@ -1,4 +1,4 @@
-//! Sockets, overload and the writer under conflicts.
+//! Listeners and links under load, overload of user requests, and write conflicts.
 
 use crate::common::seconds;
 use crate::common::{TestDeployment, job};
@@ -24,10 +24,10 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// All workers of a large fleet may come within one heartbeat interval after a change
-/// of leader. A connection beyond the backlog would try again a second later.
+/// All workers of a large fleet may connect within one heartbeat interval after a change of
+/// leader. A connection beyond the listen backlog is retried only a second later.
 #[tokio::test]
-async fn a_listener_has_room_for_more_waiting_connections_than_the_usual_backlog() {
+async fn a_listener_accepts_more_waiting_connections_than_the_usual_backlog() {
     const WAITING: usize = 1500;
     let any_port = "127.0.0.1:0".parse().expect("an address");
     let listener = stonewheel::http::listen(any_port, 2 * WAITING as u32).expect("a port");
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_conflict_takes_out_one_change_and_commits_the_others() {
+async fn a_conflicting_write_fails_alone_and_the_others_commit() {
     let deployment = TestDeployment::new(1).await;
     let node = deployment.node(0);
     let raw = |text: &str| store::to_raw_value(&text).expect("json");
@@ -52,24 +52,29 @@
             Vec::new(),
             vec![Write::Put { key: "sw/e/j-7".into(), value: raw("x"), lease: None }],
         )
-        .expect("free");
+        .expect("the key is free");
     let bodies = ["j-000030", "j-7", "j-000031"].map(|id| job(id, json!({})));
     let (one, two, three) =
         tokio::join!(node.submit(&bodies[0]), node.submit(&bodies[1]), node.submit(&bodies[2]),);
     assert!(created(&one) && created(&three));
-    assert!(!created(&two), "its end record stands already");
+    assert!(!created(&two), "the job already has an end record");
     let condition = Condition { key: "sw/e/j-7".into(), version: 1 };
     assert!(deployment.state.commit(vec![condition], Vec::new()).is_err());
 }
 
-/// One request to a node's routes: the status, `Retry-After`, and how long the
-/// answer took.
-async fn ask(node: Arc<Node>, method: &str, path: &str, body: Vec<u8>) -> (u16, bool, Duration) {
+/// Sends one request to a node's routes. Returns the status, whether the response has a
+/// `Retry-After` header, and the response time.
+async fn send_request(
+    node: Arc<Node>,
+    method: &str,
+    path: &str,
+    body: Vec<u8>,
+) -> (u16, bool, Duration) {
     let service = TowerToHyperService::new(warp::service(routes(node)));
     let request = Request::builder().method(method).uri(path).body(Full::new(Bytes::from(body)));
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let response = service.call(request.expect("a request")).await.expect("an answer");
-    (response.status().as_u16(), response.headers().contains_key("retry-after"), asked.elapsed())
+    (response.status().as_u16(), response.headers().contains_key("retry-after"), sent_at.elapsed())
 }
 
 #[tokio::test(start_paused = true)]
@@ -77,36 +82,36 @@
     let deployment = TestDeployment::new(3).await;
     let leader = deployment.leader().expect("a leader");
     let node = deployment.node(leader);
-    // Every write takes a second, and far more users come than can be served.
+    // Every write takes a second, and there are far more requests than can be served.
     deployment.state.lose_answers(&format!("m-{leader}"), 1000);
     let limit = node.admission.limit();
-    let crowd: Vec<_> = (0..4 * limit)
+    let user_requests: Vec<_> = (0..4 * limit)
         .map(|n| {
             let body = job(&format!("j-1{n:05}"), json!({"Spokes": 1}));
-            tokio::spawn(ask(node.clone(), "POST", "/work", body))
+            tokio::spawn(send_request(node.clone(), "POST", "/work", body))
         })
         .collect();
     seconds(1).await;
     let heartbeat = json!({"Millstone": "n-000001", "Endpoint": "", "Frame": "g8", "Yard": "a",
         "Turning": 1, "Tick": 1_000_000, "Warrant": 0, "Spokes": []});
     let body = serde_json::to_vec(&heartbeat).expect("json");
-    let (status, _, took) = ask(node.clone(), "POST", "/agent/beat", body).await;
-    assert_eq!((status, took), (200, Duration::ZERO), "no report waits for users");
+    let (status, _, took) = send_request(node.clone(), "POST", "/agent/beat", body).await;
+    assert_eq!((status, took), (200, Duration::ZERO), "heartbeats do not wait for user requests");
     let (mut accepted, mut refused) = (Vec::new(), 0);
-    for (n, answer) in crowd.into_iter().enumerate() {
+    for (n, answer) in user_requests.into_iter().enumerate() {
         match answer.await.expect("it ran") {
             (200 | 201, ..) => accepted.push(format!("j-1{n:05}")),
             (503, retry_after, took) => {
-                assert!(retry_after, "it says when to come back");
+                assert!(retry_after, "a refusal carries Retry-After");
                 refused += usize::from(took < Duration::from_millis(100));
             }
             other => panic!("{other:?}"),
         }
     }
-    assert!(refused >= 3 * limit, "only {refused} were refused at once");
+    assert!(refused >= 3 * limit, "only {refused} were refused immediately");
     assert!(!accepted.is_empty());
-    assert!(node.admission.limit() < limit, "slow answers shrink the limit");
-    // When the store is quick again, all that was accepted runs.
+    assert!(node.admission.limit() < limit, "slow answers lower the limit");
+    // When writes are fast again, all accepted jobs run.
     deployment.state.lose_answers(&format!("m-{leader}"), 0);
     for id in &accepted {
         deployment.runs_for(id, 1);
@@ -117,7 +122,7 @@
     assert!(deployment.violations().is_empty(), "{:?}", deployment.violations());
 }
 
-/// Runs in real time, since it has real connections.
+/// Runs in real time, because it uses real connections.
 #[tokio::test]
 async fn unfinished_frames_on_many_links_are_bounded_and_links_are_released() {
     let deployment = TestDeployment::new(0).await;
@@ -129,26 +134,26 @@
     let mut unfinished = Vec::new();
     for _ in 0..peers::max_links(node.settings.members.len()) {
         let mut link = TcpStream::connect(address).await.expect("connected");
-        // The length of a frame, and none of it.
+        // Sends the length of a frame but none of its bytes.
         link.write_all(&1024_u32.to_be_bytes()).await.expect("sent");
         unfinished.push(link);
     }
     let mut heartbeat = deployment.node(1).controller_heartbeat("m-0");
     heartbeat.member = "m-9".into();
     let frame = peers::encode(peers::Message::new(heartbeat, peers::MIN_FRAME_LIMIT));
-    let mut link = TcpStream::connect(address).await.expect("the system takes it");
+    let mut link = TcpStream::connect(address).await.expect("the system accepts the connection");
     link.write_all(&(frame.len() as u32).to_be_bytes()).await.expect("sent");
     link.write_all(&frame).await.expect("sent");
-    let heard =
+    let heartbeat_arrived =
         || node.peers.any_recent(Duration::from_secs(60), |heartbeat| heartbeat.member == "m-9");
     sleep(Duration::from_millis(300)).await;
-    assert!(!heard(), "one link too many is heard");
+    assert!(!heartbeat_arrived(), "a link beyond the limit is read");
     unfinished.pop();
-    let limit = Instant::now() + Duration::from_secs(20);
-    while !heard() {
-        assert!(Instant::now() < limit, "a free link is not used");
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !heartbeat_arrived() {
+        assert!(Instant::now() < deadline, "a released link is not used");
         sleep(Duration::from_millis(20)).await;
     }
     stop.cancel();
-    listening.await.expect("it ends when told to");
+    listening.await.expect("the listener ends when it is stopped");
 }
--- a/tests/deployment/main.rs
+++ b/tests/deployment/main.rs
@@ -1,5 +1,5 @@
-//! Scenarios of a whole deployment in memory (controllers, state service, cloud, workers),
-//! under paused time.
+//! Scenarios of a simulated deployment (controllers, state service, cloud, workers), under paused
+//! time.
 
 #[allow(dead_code)] // Each test binary uses its own part.
 #[path = "../common/mod.rs"]
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -1,4 +1,4 @@
-//! Scale out, scale in and headroom; the cost of passes.
+//! Scale-out, scale-in and headroom, and the cost of scheduling passes.
 
 use crate::common::{
     leader_harness::{LeaderHarness, ops, running},
@@ -14,33 +14,34 @@
 };
 
 #[tokio::test(start_paused = true)]
-async fn work_does_not_count_on_a_machine_that_never_boots() {
+async fn a_machine_that_never_boots_is_replaced_and_deleted() {
     let mut harness = LeaderHarness::new(5);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
     let rental = harness.leader.take_provision_requests().pop().expect("a rental");
     harness.leader.on_provisioned(&rental, Some(vec!["n-9".into()]), harness.now);
     harness.settle();
-    assert!(harness.leader.take_provision_requests().is_empty(), "it waits for the boot");
-    // A boot takes 20 s as a rule; past one and a half of it another is rented.
+    assert!(harness.leader.take_provision_requests().is_empty(), "a second rental during the boot");
+    // The usual boot time is 20 s; after 1.5 times that time a replacement is rented.
     harness.pass(33.0);
     let second = harness.leader.take_provision_requests().pop().expect("another rental");
-    assert_ne!(second.request, rental.request, "a name is never used twice");
+    assert_ne!(second.request, rental.request, "a request id is never used twice");
     harness.pass(20.0);
     let deletions = harness.leader.take_deletions();
     assert_eq!(deletions.iter().map(|m| &**m).collect::<Vec<_>>(), ["n-9"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn headroom_counts_waiting_work_too() {
-    // A fleet that starts from nothing had room for exactly what waited, and
-    // each boot that took several times as long kept a replica from starting.
+async fn headroom_includes_waiting_tasks() {
+    // Without headroom for waiting work, a fleet that starts from nothing has capacity for
+    // exactly the waiting tasks, and each boot that takes several times as long as usual
+    // delays a replica.
     let mut harness = LeaderHarness::new(5);
     harness.set_objective("wait", 10.0);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 25, "Gpus": 8.0}));
     harness.settle();
     let rented: u32 = harness.leader.take_provision_requests().iter().map(|r| r.count).sum();
-    assert_eq!(rented, 27, "0.4 of the root of 25 machines more");
+    assert_eq!(rented, 27, "25 machines and a headroom of 0.4 * sqrt(25)");
 }
 
 #[tokio::test(start_paused = true)]
@@ -54,12 +55,12 @@
     assert_eq!(
         rentals.iter().map(|r| r.count).sum::<u32>(),
         12,
-        "0.4 of the root of 8, times 20/6 for their price, more"
+        "8 machines and a headroom of 0.4 * sqrt(8) * 20/6, the ratio of prices"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_thousand_machines_cost_work_in_proportion_to_what_changes() {
+async fn scheduling_cost_of_a_thousand_machines_is_proportional_to_changes() {
     const MACHINES: u64 = 1000;
     let mut harness = LeaderHarness::new(5);
     let name = |n: u64| format!("n-{n:06}");
@@ -77,10 +78,10 @@
     harness.pass(0.2);
     let filled = harness.leader.counters;
     assert_eq!(filled.passes - before.passes, 1, "one pass places all of it");
-    let weighed = filled.candidates_evaluated - before.candidates_evaluated;
-    // Each machine twice for each job (free room, and room that holds its
-    // image), and once more for each task.
-    assert!(weighed < 2 * 440 * MACHINES + 2800, "{weighed} places weighed");
+    let evaluated = filled.candidates_evaluated - before.candidates_evaluated;
+    // Each machine is evaluated twice for each job (with enough free capacity, and with the
+    // image as well), and once more for each task.
+    assert!(evaluated < 2 * 440 * MACHINES + 2800, "{evaluated} candidates evaluated");
     let mut tasks: BTreeMap<u64, Vec<TaskStatus>> = BTreeMap::new();
     for _ in 0..60 {
         let commits = harness.commits();
@@ -90,9 +91,9 @@
         let commands = harness.heartbeat(&name(n), 1, &[]);
         tasks.insert(n, ops(&commands, CommandKind::Start).into_iter().map(running).collect());
     }
-    let held: usize = tasks.values().map(Vec::len).sum();
-    assert_eq!(held, 2800);
-    // A second in which everybody reports and nothing changes.
+    let running_tasks: usize = tasks.values().map(Vec::len).sum();
+    assert_eq!(running_tasks, 2800);
+    // One second in which every worker sends a heartbeat and nothing changes.
     harness.pass(0.2);
     let before = harness.leader.counters;
     for n in 0..MACHINES {
@@ -103,17 +104,17 @@
     assert_eq!(after.heartbeats - before.heartbeats, MACHINES);
     assert_eq!(
         after.tasks_reconciled - before.tasks_reconciled,
-        2 * held as u64,
-        "its own tasks each, twice"
+        2 * running_tasks as u64,
+        "each heartbeat reconciles its machine's tasks twice"
     );
-    assert!(after.sweeps - before.sweeps <= 8, "not one for each report");
+    assert!(after.sweeps - before.sweeps <= 8, "fewer sweeps than heartbeats");
     assert_eq!(after.passes, before.passes, "nothing changed");
 }
 
 #[tokio::test(start_paused = true)]
 async fn spot_machines_are_rented_ahead_of_growth() {
-    // In a fleet that starts from nothing every sweep of the first minutes
-    // waited for the boot that it had caused itself.
+    // Without rentals ahead of growth, every batch job of the first minutes in a fleet that
+    // starts from nothing waits for the boot that it has caused.
     let mut harness = LeaderHarness::new(5);
     harness.set_objective("finished", 100.0);
     harness.pass(1.0);
@@ -125,16 +126,21 @@
         harness.leader.on_provisioned(&rental, Some(names), harness.now);
         rented += rental.count;
     }
-    assert_eq!(rented, 8 + 4 + 8, "its own, 0.4 of the root times 20/6, and its growth again");
-    // A boot later without growth nothing more is rented.
+    assert_eq!(
+        rented,
+        8 + 4 + 8,
+        "8 for the job, 0.4 * sqrt(8) * 20/6 of headroom, and 8 for the same growth again"
+    );
+    // After a boot time without growth, nothing more is rented.
     harness.pass(21.0);
     harness.pass(5.0);
     assert!(harness.leader.take_provision_requests().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn machines_that_idled_through_an_outage_take_the_work_that_waited() {
-    // They were returned in the first second after it, and others rented.
+async fn idle_machines_are_kept_for_waiting_tasks_after_an_outage() {
+    // Guards against a leader that returns the idle machines in the first second after an
+    // outage and rents others for the waiting work.
     let mut harness = LeaderHarness::new(5);
     harness.leader = Leader::new(
         Arc::new(settings("m-0")),
@@ -155,7 +161,7 @@
         }
         harness.leader.tick(harness.now, StateService::Unavailable, harness.alone);
     }
-    // The first look after it is one over all machines.
+    // The first pass after the outage covers all machines.
     harness.pass(1.0);
     harness.settle();
     assert!(harness.leader.take_deletions().is_empty());
@@ -165,12 +171,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_machine_that_boots_fast_is_not_returned_before_it_takes_tasks() {
-    // A quarter of a short boot was less than the time between two reports:
-    // machines were returned and rented again and nothing ever ran.
+    // Idle machines are kept for a quarter of the boot time. With a short boot this is less
+    // than the interval between two heartbeats: machines could be returned and rented again
+    // without ever running a task.
     let mut harness = LeaderHarness::new(5);
-    let quick = MachineType { boot_s: 1.0, ..machine_type() };
+    let fast_booting = MachineType { boot_s: 1.0, ..machine_type() };
     harness.watch_cache.machine_types =
-        Some(Versioned { version: 1, value: Arc::new(vec![quick]) });
+        Some(Versioned { version: 1, value: Arc::new(vec![fast_booting]) });
     harness.leader = Leader::new(
         Arc::new(settings("m-0")),
         1,
@@ -190,7 +197,7 @@
     heartbeat(&mut harness, 2, 5);
     harness.settle();
     assert_eq!(harness.bound("j-000001"), [(0, "n-1".to_owned())]);
-    // Left without work it goes all the same.
+    // Without work, the machine is returned.
     harness.cancel("j-000001");
     heartbeat(&mut harness, 3, 5);
     harness.settle();
--- a/tests/leader/failover.rs
+++ b/tests/leader/failover.rs
@@ -1,4 +1,5 @@
-//! What a new leader concludes from records and silence: proof by lease expiry, kept and returned machines.
+//! Decisions of a new leader from the records and from missing heartbeats: proof of termination
+//! by lease expiry, and machines that are kept or returned.
 
 use crate::common::leader_harness::{LeaderHarness, ops, running};
 use serde_json::json;
@@ -7,8 +8,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_returned_task_is_placed_once_after_a_failover() {
-    // It was listed twice when it lay beyond the new leader's cursor, and so
-    // ran on two machines.
+    // A returned task beyond the new leader's cursor over the job could be listed twice, and
+    // then ran on two machines.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1, "Gpus": 8.0}));
@@ -30,7 +31,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_towards_a_new_leader_is_no_proof() {
+async fn missing_heartbeats_to_a_new_leader_do_not_prove_that_a_task_ended() {
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
@@ -46,7 +47,7 @@
     }
     next.settle();
     assert_eq!(next.bound("j-000001"), [(0, "n-1".to_owned())]);
-    // Only a deletion that the cloud answered frees the task.
+    // Only a deletion that the cloud has confirmed frees the task.
     next.pass(2.0);
     let deletions = next.leader.take_deletions();
     assert_eq!(deletions.iter().map(|m| &**m).collect::<Vec<_>>(), ["n-1"]);
@@ -54,14 +55,14 @@
     next.heartbeat("n-2", 1, &[]);
     next.settle();
     assert_ne!(next.bound("j-000001")[0].1, "n-1");
-    // A late report of the deleted machine brings nothing back.
+    // A late heartbeat of the deleted machine has no effect.
     assert!(next.heartbeat_at("n-1", 99, 7, &[]).is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_without_any_answer_is_proof_for_machines_never_heard() {
-    // Half of a fleet was partitioned as its leader ended. The next one waited for
-    // the end of the cut with tasks that were long gone.
+async fn lease_expiry_proves_that_tasks_of_a_machine_without_heartbeats_ended() {
+    // Half of a fleet is partitioned when its leader ends. Without the proof by lease expiry,
+    // the next leader waits until the partition heals to place tasks that ended long before.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 3, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
@@ -72,19 +73,22 @@
         next.heartbeat("n-2", 1, &[]);
         next.pass(1.0);
         let bound = next.bound("j-000001");
-        assert!(second > 12 || bound.is_empty() || bound[0].1 == "n-1", "before its lease ended");
+        assert!(
+            second > 12 || bound.is_empty() || bound[0].1 == "n-1",
+            "placed elsewhere before the lease expired"
+        );
     }
     next.settle();
     assert_eq!(next.bound("j-000001"), [(0, "n-2".to_owned())]);
-    // A late copy from before the cut brings nothing back.
+    // A late heartbeat copy from before the partition has no effect.
     assert!(next.heartbeat_at("n-1", 50, 3, &[]).is_empty());
-    assert!(next.leader.take_deletions().is_empty(), "it may come back");
+    assert!(next.leader.take_deletions().is_empty(), "the machine may return");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_partitioned_zone_is_not_returned() {
-    // A leader new to its post took the machines of a zone that it could not
-    // hear for dead, 30 at once, and each needed a boot to be replaced.
+    // A new leader considered the machines of a zone that it could not reach as dead and
+    // returned 30 at a time; each replacement needed a boot.
     let mut harness = LeaderHarness::new(5);
     let names = ["a-1", "a-2", "a-3", "a-4", "a-5", "b-1", "b-2", "b-3"];
     for name in names {
@@ -105,13 +109,13 @@
         }
         harness.pass(1.0);
     }
-    // The zone comes back, one machine after the other, in new incarnations.
-    for back in [&names[5..7], &names[5..]] {
+    // The zone becomes reachable again, one machine after the other, in new incarnations.
+    for reachable in [&names[5..7], &names[5..]] {
         harness.pass(1.0);
         for name in &names[1..5] {
             harness.heartbeat(name, 1, &tasks[name]);
         }
-        for name in back {
+        for name in reachable {
             harness.heartbeat(name, 2, &[]);
         }
         harness.pass(1.0);
@@ -120,8 +124,9 @@
     assert_eq!(returned.iter().map(|m| &**m).collect::<Vec<_>>(), ["a-1"]);
 }
 
-/// Six of eight machines run a task each for a new leader, which hears all but
-/// one of them. Which machines it gave back within so many seconds.
+/// Returns the machines that a new leader returns within `seconds`. Six machines run a task
+/// each, and the new leader receives the heartbeats of all but `n-1`. Other controllers may answer
+/// workers for `others_answer_until_s`, or for an unknown time if `None`.
 fn returned_by_a_new_leader(others_answer_until_s: Option<f64>, seconds: u32) -> Vec<MachineId> {
     let mut harness = LeaderHarness::new(5);
     let names = ["n-1", "n-2", "n-3", "n-4", "n-5", "n-6"];
@@ -136,8 +141,8 @@
         tasks.insert(name, ops(&commands, CommandKind::Start).into_iter().map(running).collect());
     }
     let mut harness = harness.succeed(6);
-    let began = harness.now;
-    let alone_from = others_answer_until_s.map(|after| began + Duration::from_secs_f64(after));
+    let started_at = harness.now;
+    let alone_from = others_answer_until_s.map(|after| started_at + Duration::from_secs_f64(after));
     let mut returned = Vec::new();
     for _ in 0..seconds {
         harness.alone = alone_from.filter(|from| *from <= harness.now);
@@ -154,25 +159,25 @@
     returned
 }
 
-/// Six machines partitioned around a takeover were given back after 8 s, while the
-/// cloud had no others to give (`docs/incidents/inc-b6d2.md`).
+/// Six machines that were partitioned around a takeover were returned after 8 s, while the
+/// cloud had no capacity for replacements (`docs/incidents/inc-b6d2.md`).
 #[tokio::test(start_paused = true)]
-async fn a_new_leader_keeps_a_silent_machine_whose_lease_will_prove_its_tasks_gone() {
-    // The others' promises stand two seconds after the takeover: the proof comes
-    // a lease after that, and frees the task without giving the machine back.
+async fn a_new_leader_keeps_a_silent_machine_when_lease_expiry_will_free_its_tasks() {
+    // The other controllers may answer workers until 2 s after the takeover. The lease
+    // expires one lease time later and frees the task without returning the machine.
     assert!(returned_by_a_new_leader(Some(2.0), 12).is_empty());
     assert!(returned_by_a_new_leader(Some(2.0), 20).is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_leader_that_will_have_no_proof_returns_a_silent_machine() {
+async fn a_new_leader_returns_a_silent_machine_when_lease_expiry_cannot_free_its_tasks() {
     assert_eq!(returned_by_a_new_leader(None, 12), ["n-1".into()]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_leader_rents_nothing_before_it_has_heard_its_machines() {
-    // At each takeover the whole fleet looked gone for a second, and dozens
-    // of machines were rented that nobody needed.
+async fn a_new_leader_rents_nothing_before_the_first_heartbeats() {
+    // For the first second after a takeover, the new leader has no heartbeats. Without this
+    // wait it considers the whole fleet gone and rents dozens of unneeded machines.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1, "Gpus": 4.0}));
@@ -186,16 +191,16 @@
     harness.settle();
     assert_eq!(harness.bound("j-000002"), [(0, "n-1".into())]);
     assert!(harness.leader.take_provision_requests().is_empty());
-    // A machine that stays silent is not waited for.
+    // The leader does not wait for a machine that stays silent.
     harness.submit("j-000003", json!({"Shape": "service", "Spokes": 1, "Gpus": 4.0}));
     harness.settle();
     assert_eq!(harness.leader.take_provision_requests().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_copy_of_a_heartbeat_only_postpones_the_proof() {
-    // Copies of reports come up to more than a lease late, also to a leader
-    // that never heard the machine, and look as if it were alive.
+async fn a_late_copy_of_a_heartbeat_only_postpones_the_lease_expiry() {
+    // Heartbeat copies may arrive more than a lease late, also at a leader that has no other
+    // heartbeat of the machine, and make the machine look alive.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 3, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
@@ -206,24 +211,24 @@
     let copy = |next: &mut LeaderHarness, sequence| {
         next.heartbeat_with_token(5, "n-1", sequence, 3, std::slice::from_ref(&task))
     };
-    let mut moved = None;
+    let mut moved_at_s = None;
     for second in 0..30 {
         if second == 8 {
-            assert!(copy(&mut next, 40).is_empty(), "no order for what may be long gone");
-            assert!(copy(&mut next, 39).is_empty(), "nor for an older copy");
+            assert!(copy(&mut next, 40).is_empty(), "no command for a worker that may have ended");
+            assert!(copy(&mut next, 39).is_empty(), "no command for an older copy");
         }
         next.heartbeat("n-2", 1, &[]);
         next.pass(1.0);
         let commits = next.commits();
         next.commit(commits);
         if next.bound("j-000001").iter().any(|(_, machine)| machine == "n-2") {
-            moved = Some(second);
+            moved_at_s = Some(second);
             break;
         }
     }
-    let moved = moved.expect("it is started elsewhere in the end");
-    assert!((19..23).contains(&moved), "a lease of 11 s after the copy: {moved}");
-    assert!(copy(&mut next, 41).is_empty(), "a copy of a dead session changes nothing");
+    let moved_at_s = moved_at_s.expect("the task is placed on n-2");
+    assert!((19..23).contains(&moved_at_s), "a lease of 11 s after the copy: {moved_at_s}");
+    assert!(copy(&mut next, 41).is_empty(), "a copy of an ended incarnation has no effect");
     next.settle();
     assert_eq!(next.bound("j-000001"), [(0, "n-2".to_owned())]);
 }
--- a/tests/leader/heartbeats.rs
+++ b/tests/leader/heartbeats.rs
@@ -8,7 +8,7 @@
 };
 
 #[tokio::test(start_paused = true)]
-async fn a_start_leaves_only_after_its_record_and_a_clear_only_after_the_outcomes() {
+async fn start_and_forget_commands_are_sent_only_after_durable_records() {
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
@@ -24,12 +24,13 @@
     let commands = harness.heartbeat("n-1", 1, std::slice::from_ref(&exit));
     assert!(ops(&commands, CommandKind::Forget).is_empty(), "the exit is not durable yet");
     harness.settle();
-    let cleared = exit.attempt;
+    let cleared_attempt = exit.attempt;
     let commands = harness.heartbeat("n-1", 1, &[exit]);
     assert_eq!(ops(&commands, CommandKind::Forget).len(), 1);
-    // The next start has another number: a cleared attempt would run again.
+    // The next start has a higher attempt number: a worker would execute a start with the
+    // number of a cleared attempt again.
     let commands = harness.heartbeat("n-1", 1, &[]);
-    assert!(ops(&commands, CommandKind::Start)[0].attempt > cleared);
+    assert!(ops(&commands, CommandKind::Start)[0].attempt > cleared_attempt);
 }
 
 #[tokio::test(start_paused = true)]
@@ -41,33 +42,34 @@
     let commands = harness.heartbeat("n-1", 1, &[]);
     let task = running(&commands[0]);
     harness.heartbeat("n-1", 1, &[task]);
-    // Copies from before the start, which lack the task.
+    // Heartbeat copies from before the start, which do not list the task.
     for sequence in 1..=2 {
         assert!(harness.heartbeat_at("n-1", sequence, 1, &[]).is_empty());
     }
     harness.settle();
     assert_eq!(harness.bound("j-000001"), [(0, "n-1".to_owned())]);
-    // Past its lease the incarnation is over, and a late report of it too.
+    // After the lease has expired, the incarnation has ended and a late heartbeat of this
+    // incarnation has no effect.
     harness.pass(12.0);
     harness.settle();
     assert!(harness.bound("j-000001").is_empty());
     assert!(harness.heartbeat_at("n-1", 90, 1, &[]).is_empty());
     harness.settle();
-    assert!(harness.bound("j-000001").is_empty(), "a dead session takes no tasks");
+    assert!(harness.bound("j-000001").is_empty(), "an ended incarnation gets no tasks");
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_unmanaged_task_is_stopped_and_a_cancelled_task_never_started() {
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
-    let stranger = TaskStatus {
+    let unmanaged = TaskStatus {
         task: "j-000009/0".into(),
         attempt: 3,
         state: TaskState::Running,
         cause: None,
         saved: None,
     };
-    let commands = harness.heartbeat("n-1", 1, &[stranger]);
+    let commands = harness.heartbeat("n-1", 1, &[unmanaged]);
     assert_eq!(ops(&commands, CommandKind::Stop).len(), 1);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
@@ -86,19 +88,19 @@
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
     let direct = harness.leader.take_direct_requests(harness.now);
-    let request = direct.first().expect("a start that doesn't wait for a report").clone();
+    let request = direct.first().expect("a start that doesn't wait for a heartbeat").clone();
     let commands = request.commands.clone();
     assert_eq!(ops(&commands.commands, CommandKind::Start).len(), 1);
     harness.leader.on_direct_outcome(&request, DirectOutcome::Unknown, harness.now).expect("leads");
     harness.cancel("j-000001");
-    // Reports that lack the task prove nothing: the order may still arrive.
+    // Heartbeats without the task prove nothing: the command may still arrive.
     for _ in 0..3 {
         assert!(harness.heartbeat("n-1", 1, &[]).is_empty());
         harness.settle();
         assert_eq!(harness.bound("j-000001").len(), 1);
     }
-    // It arrived, and the task is stopped; while it is listed, another copy
-    // of the order can't start it again, so it is not cleared.
+    // The command has arrived, and the task is stopped. While the worker lists the task,
+    // another copy of the command can't start it again, so the exit is not cleared.
     let start = commands.commands[0].clone();
     let commands = harness.heartbeat("n-1", 1, &[running(&start)]);
     assert_eq!(ops(&commands, CommandKind::Stop).len(), 1);
@@ -125,11 +127,11 @@
         .leader
         .on_direct_outcome(&request, DirectOutcome::Answered(&answer), harness.now)
         .expect("leads");
-    // A heartbeat sent before the order was carried out is older by its number.
+    // A heartbeat sent before the command was executed has a lower sequence number.
     assert!(harness.heartbeat_at("n-1", 2, 1, &[]).is_empty());
     harness.settle();
     assert_eq!(harness.bound("j-000001").len(), 1);
-    // A higher token in the answer ends the leadership.
+    // A higher token in the answer ends this controller's leadership.
     let superseding = WorkerHeartbeat { token: 6, sequence: 8, ..answer };
     assert!(
         harness
@@ -140,9 +142,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_response_to_direct_commands_proves_no_absence() {
-    // A start command may be under way in the answer to the worker's last report
-    // while the worker answers direct commands for another task.
+async fn a_response_to_direct_commands_does_not_prove_that_a_task_is_absent() {
+    // A start command may be in flight in the answer to the worker's latest heartbeat while
+    // the worker answers direct commands for another task.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
@@ -155,7 +157,7 @@
     harness.cancel("j-000001");
     let listed: Vec<_> = ops(&commands.commands, CommandKind::Start)
         .into_iter()
-        .filter(|o| o.task.starts_with("j-000002"))
+        .filter(|command| command.task.starts_with("j-000002"))
         .map(running)
         .collect();
     assert_eq!(listed.len(), 1);
@@ -165,8 +167,8 @@
         .on_direct_outcome(&request, DirectOutcome::Answered(&answer), harness.now)
         .expect("leads");
     harness.settle();
-    assert_eq!(harness.bound("j-000001").len(), 1, "it may still start there");
-    // The worker's next own report is proof.
+    assert_eq!(harness.bound("j-000001").len(), 1, "the task may still start there");
+    // The worker's next heartbeat proves that the task is absent.
     harness.heartbeat_at("n-1", 10, 1, &listed);
     harness.settle();
     assert!(harness.bound("j-000001").is_empty());
--- a/tests/leader/main.rs
+++ b/tests/leader/main.rs
@@ -1,5 +1,5 @@
-//! Scenarios of the leader alone: worker heartbeats and records in, commands and writes out,
-//! with no network between.
+//! Scenarios of the leader without a network: its inputs are worker heartbeats and records, its
+//! outputs are commands and writes.
 
 #[allow(dead_code)] // Each test binary uses its own part.
 #[path = "../common/mod.rs"]
--- a/tests/leader/page_records.rs
+++ b/tests/leader/page_records.rs
@@ -13,7 +13,7 @@
 };
 
 #[tokio::test(start_paused = true)]
-async fn a_page_is_never_written_twice_at_once() {
+async fn a_page_has_at_most_one_write_in_flight() {
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
@@ -23,44 +23,45 @@
     harness.heartbeat("n-1", 2, &[]);
     harness.pass(0.1);
     let second = harness.commits();
-    let same = |c: &Commit| matches!(&c.kind, CommitKind::Page { job, .. } if &**job == "j-000001");
-    assert!(first.iter().any(same));
-    assert!(!second.iter().any(same), "it waits for the first write");
-    // The first write is unsure and turns out not to stand: made again.
+    let is_same_page = |commit: &Commit| matches!(&commit.kind, CommitKind::Page { job, .. } if &**job == "j-000001");
+    assert!(first.iter().any(is_same_page));
+    assert!(!second.iter().any(is_same_page), "written while the first write is in flight");
+    // The first write had an unknown outcome and turns out not to be committed: it is
+    // written again.
     for commit in first {
         harness.leader.not_committed(commit.kind, &harness.watch_cache, harness.now);
     }
-    assert!(harness.commits().iter().any(same));
+    assert!(harness.commits().iter().any(is_same_page));
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_a_loss_placements_of_higher_priority_are_recorded_first() {
-    // Pages left in order of job id, all at once, and the write budget then
-    // brought sweeps back before the replicas that riders wait for.
+async fn placements_of_higher_priority_are_recorded_first() {
+    // If all pages are written together in order of job id, the write budget restarts batch
+    // jobs before the production replicas that serve users.
     let mut harness = LeaderHarness::new(5);
     for n in 0..40 {
         harness.heartbeat(&format!("n-{n:03}"), 1, &[]);
     }
-    let shape = |rank: &str| json!({"Shape": "service", "Spokes": 1, "Gpus": 2.0, "Rank": rank});
+    let service = |rank: &str| json!({"Shape": "service", "Spokes": 1, "Gpus": 2.0, "Rank": rank});
     for n in 0..100 {
         let rank = if n % 4 == 3 { "production" } else { "best_effort" };
-        harness.submit(&format!("j-{n:06}"), shape(rank));
+        harness.submit(&format!("j-{n:06}"), service(rank));
     }
     harness.pass(0.2);
     let commits = harness.commits();
-    let under_way = 24 * stonewheel::state::MAX_IN_FLIGHT;
-    assert_eq!(commits.len(), under_way, "no more at once than the transactions hold");
-    let production = commits.iter().take_while(|c| match &c.kind {
+    let in_flight = 24 * stonewheel::state::MAX_IN_FLIGHT;
+    assert_eq!(commits.len(), in_flight, "as many writes as the transactions in flight hold");
+    let production = commits.iter().take_while(|commit| match &commit.kind {
         CommitKind::Page { job, .. } => job[2..].parse::<u32>().expect("a number") % 4 == 3,
         _ => false,
     });
-    assert_eq!(production.count(), 25, "all of them, and before all others");
-    assert!(harness.commits().is_empty(), "the rest waits its turn");
+    assert_eq!(production.count(), 25, "all production jobs, and before all others");
+    assert!(harness.commits().is_empty(), "the rest waits for the commits in flight");
     harness.commit(commits);
-    assert_eq!(harness.commits().len(), 100 - under_way);
+    assert_eq!(harness.commits().len(), 100 - in_flight);
 }
 
-/// The smaller of the limits in the settings, in bytes.
+/// Limit of a value's size that the settings announce, in bytes; lower than the current limit.
 const VALUE_BYTES: usize = 2048;
 
 fn largest_page(watch_cache: &WatchCache) -> usize {
@@ -68,8 +69,8 @@
     pages.map(|page| page.raw.get().len()).max().unwrap_or(0)
 }
 
-/// Machines with room for many tasks of the kind `tiny`.
-pub(crate) fn many_tiny_tasks() -> LeaderHarness {
+/// Returns a leader with four machines that have capacity for many tasks of a `tiny` job.
+pub(crate) fn harness_for_tiny_tasks() -> LeaderHarness {
     let mut harness =
         LeaderHarness::with(settings_with_coming_limits("m-0"), TermTokens::single(5));
     for machine in 0..4 {
@@ -78,19 +79,20 @@
     harness
 }
 
+/// Returns the fields of a job with `tasks` tasks that need few resources.
 pub(crate) fn tiny(tasks: u32, shape: &str) -> serde_json::Value {
     json!({"Shape": shape, "Spokes": tasks, "Cores": 1.0, "Gpus": 0.0, "MemoryGb": 1.0})
 }
 
 #[tokio::test(start_paused = true)]
-async fn placements_are_made_only_as_far_as_their_page_fits_the_coming_limit() {
-    let mut harness = many_tiny_tasks();
+async fn placements_stop_before_their_page_exceeds_the_coming_limit() {
+    let mut harness = harness_for_tiny_tasks();
     harness.submit("j-000001", tiny(128, "batch"));
     harness.settle();
     let first = harness.bound("j-000001").len();
-    assert!((60..128).contains(&first), "{first} of 128 tasks have a place");
+    assert!((60..128).contains(&first), "{first} of 128 tasks are bound");
     assert!(largest_page(&harness.watch_cache) <= VALUE_BYTES);
-    // As they are done, others take their places; the job gets to its end.
+    // Finished tasks make space in the page for others, until the job ends.
     for _ in 0..6 {
         for machine in 0..4 {
             let name = format!("n-00000{machine}");
@@ -108,8 +110,8 @@
     assert!(harness.watch_cache.ended_jobs.contains("j-000001"));
 }
 
-/// A page that a version without the coming limits filled with `tasks` places.
-fn page_of_the_version_before(harness: &mut LeaderHarness, id: &str, tasks: u32) {
+/// Stores a page with `tasks` bound tasks, as a version without the coming limits wrote it.
+fn put_page_of_previous_version(harness: &mut LeaderHarness, id: &str, tasks: u32) {
     let bound: Vec<_> =
         (0..tasks).map(|task| (task, 1, format!("n-00000{}", task % 4), 1, 0)).collect();
     let value = store::to_raw_value(&json!({"a": 1, "w": tasks, "b": bound})).expect("json");
@@ -119,10 +121,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_page_too_large_for_the_coming_limit_is_written_once_some_tasks_have_left_it() {
+async fn a_page_above_the_coming_limit_is_written_once_enough_tasks_have_exited() {
     let mut before = LeaderHarness::with(settings_with_coming_limits("m-0"), TermTokens::single(4));
     before.submit("j-000001", tiny(120, "batch"));
-    page_of_the_version_before(&mut before, "j-000001", 120);
+    put_page_of_previous_version(&mut before, "j-000001", 120);
     let mut harness = before.succeed(5);
     let running: Vec<Vec<TaskStatus>> = (0..4)
         .map(|machine| {
@@ -140,15 +142,16 @@
     for (machine, tasks) in running.iter().enumerate() {
         harness.heartbeat(&format!("n-00000{machine}"), 1, tasks);
     }
-    // One task is done: its exit is not cleared before it is durable.
+    // One task is done. Its exit is not cleared until it is durable.
     let mut first = running[0].clone();
     (first[0].state, first[0].cause) = (TaskState::Exited, Some(ExitCause::Done));
     harness.heartbeat("n-000000", 1, &first);
     harness.settle();
-    assert!(harness.page("j-000001").done.is_empty(), "the page is still that of before");
+    assert!(harness.page("j-000001").done.is_empty(), "the oversized page is not rewritten yet");
     let commands = harness.heartbeat("n-000000", 1, &first);
     assert!(ops(&commands, CommandKind::Forget).is_empty());
-    // Some of its tasks are told to stop; when they are gone it is written.
+    // Some of the job's tasks are stopped so that the page fits the limit. The page is
+    // written once these tasks have exited.
     let mut stopped = 0;
     for (machine, tasks) in running.iter().enumerate() {
         let name = format!("n-00000{machine}");
@@ -169,17 +172,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_gang_larger_than_a_page_waits_until_all_members_know_small_pages() {
-    let mut harness = many_tiny_tasks();
+async fn a_gang_larger_than_a_page_waits_until_all_members_support_small_pages() {
+    let mut harness = harness_for_tiny_tasks();
     harness.submit("j-000001", tiny(120, "ensemble"));
     harness.settle();
-    assert!(harness.bound("j-000001").is_empty(), "part of a gang is no use");
+    assert!(harness.bound("j-000001").is_empty(), "a gang is not placed in part");
     harness.leader.allow_small_pages();
     harness.pass(0.1);
     let commits = harness.commits();
     let pages = commits.len();
-    assert!(pages > 1, "its places take several pages");
-    // No task starts before the last of them is durable.
+    assert!(pages > 1, "the placements fill several pages");
+    // No task starts before the last page is durable.
     let mut commits = commits.into_iter();
     for commit in commits.by_ref().take(pages - 1) {
         harness.commit(vec![commit]);
@@ -196,15 +199,15 @@
             ops(&harness.heartbeat(&format!("n-00000{machine}"), 1, &[]), CommandKind::Start).len();
     }
     assert_eq!(starts, 120);
-    // The next leader reads the same layout.
+    // The next leader reads the same page layout.
     let mut next = harness.succeed(6);
     assert_eq!(next.page("j-000001").tasks, Some(32));
-    let mut again = 0;
+    let mut repeated_starts = 0;
     for machine in 0..4 {
-        again +=
+        repeated_starts +=
             ops(&next.heartbeat(&format!("n-00000{machine}"), 1, &[]), CommandKind::Start).len();
     }
-    assert_eq!(again, 120);
+    assert_eq!(repeated_starts, 120);
 }
 
 #[tokio::test(start_paused = true)]
@@ -218,7 +221,7 @@
     assert_eq!(starts.len(), 2);
     let done = [exited(&starts[0], ExitCause::Done), running(&starts[1])];
     harness.heartbeat("n-1", 1, &done);
-    // A new place is urgent, an exit is not; the job's end is.
+    // Placements and ends of jobs are urgent writes; exits are not and wait for budget.
     harness.submit("j-000002", json!({"Spokes": 1}));
     harness.pass(0.1);
     let urgent = harness.leader.take_commits(&harness.watch_cache, 0);
@@ -233,7 +236,8 @@
     harness.commit(later);
     let commands = harness.heartbeat("n-1", 1, &done);
     assert_eq!(ops(&commands, CommandKind::Forget).len(), 1);
-    // The last exit is durable only with the job's end, which spares nothing.
+    // The last exit becomes durable with the job's end, which is written without spare
+    // budget.
     let all = [exited(&starts[0], ExitCause::Done), exited(&starts[1], ExitCause::Done)];
     let commands = harness.heartbeat("n-1", 1, &all);
     assert!(ops(&commands, CommandKind::Forget).is_empty());
--- a/tests/leader/placement.rs
+++ b/tests/leader/placement.rs
@@ -1,19 +1,19 @@
-//! Quota, spread, gang scheduling and machines that fail tasks.
+//! Team limits, spread, gang scheduling and machines on which tasks fail.
 
 use crate::common::leader_harness::{LeaderHarness, exited, ops, running};
-use crate::page_records::many_tiny_tasks;
+use crate::page_records::harness_for_tiny_tasks;
 use crate::page_records::tiny;
 use serde_json::json;
 use std::collections::BTreeMap;
 use stonewheel::protocol::{CommandKind, ExitCause, TaskState, TaskStatus};
 
 #[tokio::test(start_paused = true)]
-async fn a_team_stays_within_its_limit_while_a_task_lingers() {
+async fn a_cancelled_task_counts_towards_its_teams_limit_until_it_has_ended() {
     let mut harness = LeaderHarness::new(5);
     for machine in ["n-1", "n-2", "n-3"] {
         harness.heartbeat(machine, 1, &[]);
     }
-    // 16 GPUs at most: two tasks of 8.
+    // The team's limit is 16 GPUs, which two tasks with 8 GPUs use up.
     harness
         .submit("j-000001", json!({"Crew": "red", "Shape": "service", "Spokes": 2, "Gpus": 8.0}));
     harness.settle();
@@ -28,7 +28,7 @@
     harness.heartbeat(&machine, 1, std::slice::from_ref(&task));
     harness.cancel("j-000001");
     harness.settle();
-    // Cancelled, but still on the machine: it counts until proof.
+    // A cancelled task counts towards the limit until the worker proves that it has ended.
     assert!(harness.bound("j-000002").is_empty());
     let commands = harness.heartbeat(&machine, 1, &[task]);
     assert_eq!(ops(&commands, CommandKind::Stop).len(), 1);
@@ -39,14 +39,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn spread_counts_tasks_that_linger_in_a_zone() {
+async fn a_spread_job_leaves_tasks_unplaced_until_a_second_zone_has_capacity() {
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.heartbeat("n-2", 1, &[]);
     let spread = json!({"Shape": "service", "Spokes": 2, "Scatter": true});
     harness.submit("j-000001", spread);
     harness.settle();
-    // One zone takes one of two, whatever room it has.
+    // A zone gets at most one of the two tasks, whatever its free capacity.
     assert_eq!(harness.bound("j-000001").len(), 1);
     harness.heartbeat("b-1", 1, &[]);
     harness.settle();
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_broken_gang_starts_again_only_when_all_of_it_is_gone() {
+async fn a_broken_gang_restarts_only_after_all_its_tasks_have_ended() {
     let mut harness = LeaderHarness::new(5);
     for machine in ["n-1", "n-2", "n-3"] {
         harness.heartbeat(machine, 1, &[]);
@@ -72,14 +72,22 @@
         let commands = harness.heartbeat(machine, 1, &[]);
         tasks.push(running(ops(&commands, CommandKind::Start)[0]));
     }
-    assert_eq!(tasks[0].attempt, tasks[1].attempt, "they find each other by it");
+    assert_eq!(
+        tasks[0].attempt, tasks[1].attempt,
+        "the tasks of a gang find each other by the attempt"
+    );
     for ((_, machine), task) in bound.iter().zip(&tasks) {
         harness.heartbeat(machine, 1, std::slice::from_ref(task));
     }
-    // The first one's incarnation ends: the other is told to save and stop.
+    // The incarnation of the first task's worker ends: the other task must checkpoint and
+    // stop.
     harness.heartbeat(&bound[0].1, 2, &[]);
     harness.settle();
-    assert_eq!(harness.bound("j-000001").len(), 1, "no new attempt yet");
+    assert_eq!(
+        harness.bound("j-000001").len(),
+        1,
+        "no new attempt while a task of the old one remains"
+    );
     let commands = harness.heartbeat(&bound[1].1, 1, std::slice::from_ref(&tasks[1]));
     let stops = ops(&commands, CommandKind::Stop);
     assert!(stops[0].grace_s.is_some_and(|g| g >= 4.0));
@@ -110,19 +118,19 @@
             }
         }
     }
-    let reasons = harness.leader.take_deletions();
+    let deletions = harness.leader.take_deletions();
     let attempts = harness.page("j-000001").attempt;
-    assert!((4..25).contains(&attempts), "it backs off: {attempts} attempts");
-    assert!(reasons.is_empty(), "one job alone fails no machine: {reasons:?}");
+    assert!((4..25).contains(&attempts), "restarts back off: {attempts} attempts");
+    assert!(deletions.is_empty(), "one job alone must not quarantine a machine: {deletions:?}");
     harness.submit("j-000002", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
     assert_eq!(harness.bound("j-000002").len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn capacity_preempted_for_a_gang_is_reserved_until_all_of_it_is_there() {
-    // Half of the room came free first, went back to the tasks that had just
-    // been stopped for it, and had to be made again, many times a second.
+async fn capacity_preempted_for_a_gang_is_reserved_until_all_of_it_is_free() {
+    // Half of the gang's capacity becomes free first. Without a reservation, the preempted
+    // tasks are placed there again and have to be preempted again, many times a second.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness.heartbeat("n-2", 1, &[]);
@@ -132,17 +140,18 @@
     for _ in 0..24 {
         harness.settle();
         for machine in ["n-1", "n-2"] {
-            let on_it = tasks.entry(machine).or_default();
-            let commands = harness.heartbeat(machine, 1, on_it);
-            on_it.extend(ops(&commands, CommandKind::Start).into_iter().map(running));
+            let machine_tasks = tasks.entry(machine).or_default();
+            let commands = harness.heartbeat(machine, 1, machine_tasks);
+            machine_tasks.extend(ops(&commands, CommandKind::Start).into_iter().map(running));
         }
     }
     assert!(tasks.values().all(|t| t.len() == 8), "the array fills both machines");
     harness
         .submit("j-000002", json!({"Shape": "ensemble", "Spokes": 2, "Gpus": 8.0, "Rank": "high"}));
     harness.settle();
-    // One machine's tasks have saved and gone, the other's are still saving.
-    let gone: Vec<_> = tasks["n-1"]
+    // The tasks on one machine have checkpointed and exited; those on the other machine are
+    // still checkpointing.
+    let exits: Vec<_> = tasks["n-1"]
         .iter()
         .map(|t| TaskStatus {
             state: TaskState::Exited,
@@ -150,14 +159,14 @@
             ..t.clone()
         })
         .collect();
-    harness.heartbeat("n-1", 1, &gone);
+    harness.heartbeat("n-1", 1, &exits);
     for _ in 0..5 {
         harness.settle();
         harness.heartbeat("n-2", 1, &tasks["n-2"].clone());
     }
-    let on_first = harness.bound("j-000001").iter().filter(|(_, m)| m == "n-1").count();
-    assert_eq!(on_first, 0, "the room is held for the gang");
-    let gone: Vec<_> = tasks["n-2"]
+    let bound_to_first = harness.bound("j-000001").iter().filter(|(_, m)| m == "n-1").count();
+    assert_eq!(bound_to_first, 0, "the capacity is reserved for the gang");
+    let exits: Vec<_> = tasks["n-2"]
         .iter()
         .map(|t| TaskStatus {
             state: TaskState::Exited,
@@ -166,15 +175,15 @@
         })
         .collect();
     harness.heartbeat("n-1", 1, &[]);
-    harness.heartbeat("n-2", 1, &gone);
+    harness.heartbeat("n-2", 1, &exits);
     harness.settle();
     assert_eq!(harness.bound("j-000002").len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn part_of_a_gangs_capacity_is_reserved_for_it() {
-    // Single machines came free one after the other, and small replicas took
-    // each before the gang's second was there: it waited for minutes.
+async fn a_free_machine_is_reserved_for_a_gang_that_waits_for_more_machines() {
+    // Machines become free one at a time. Without a reservation, small replicas use each
+    // machine before the gang's second machine is free, and the gang waits for minutes.
     let mut harness = LeaderHarness::new(5);
     harness.heartbeat("n-1", 1, &[]);
     harness
@@ -182,7 +191,7 @@
     harness
         .submit("j-000002", json!({"Shape": "service", "Spokes": 1, "Gpus": 2.0, "Rank": "high"}));
     harness.settle();
-    assert_eq!(harness.bound("j-000002"), [], "the machine is held");
+    assert_eq!(harness.bound("j-000002"), [], "the machine is reserved for the gang");
     let rentals = harness.leader.take_provision_requests();
     assert_eq!(
         rentals.iter().map(|r| r.count).sum::<u32>(),
@@ -195,8 +204,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_gang_that_a_former_leader_bound_in_part_is_stopped() {
-    let mut harness = many_tiny_tasks();
+async fn a_gang_that_a_previous_leader_bound_in_part_is_placed_again() {
+    let mut harness = harness_for_tiny_tasks();
     harness.submit("j-000001", tiny(120, "ensemble"));
     harness.leader.allow_small_pages();
     harness.pass(0.1);
@@ -207,12 +216,15 @@
     for _ in 0..3 {
         for machine in 0..4 {
             let commands = next.heartbeat(&format!("n-00000{machine}"), 1, &[]);
-            assert!(ops(&commands, CommandKind::Start).is_empty(), "nothing of the part starts");
+            assert!(
+                ops(&commands, CommandKind::Start).is_empty(),
+                "a task of the partly bound gang starts"
+            );
         }
         next.pass(1.0);
     }
     next.settle();
-    assert!(!next.bound("j-000001").is_empty(), "it is placed anew");
+    assert!(!next.bound("j-000001").is_empty(), "the gang is placed again");
     let attempts = next.page("j-000001").bound.iter().map(|bound| bound.attempt).max();
     assert!(attempts > Some(1));
 }
