--- a/crates/stonewheel-testing/src/members.rs
+++ b/crates/stonewheel-testing/src/members.rs
@@ -81,7 +81,7 @@
         self.lock()[&index].client.clone()
     }
 
-    /// Kills a process: its calls no longer arrive anywhere.
+    /// Kills a process: the state service refuses its calls, and its other calls never arrive.
     pub fn kill(&self, index: usize) {
         let Some(running) = self.lock().remove(&index) else { return };
         self.state.refuse(&running.client, true);
--- a/tests/common/leader_harness.rs
+++ b/tests/common/leader_harness.rs
@@ -24,8 +24,8 @@
     /// Revision of the latest write.
     pub revision: u64,
     pub now: Instant,
-    /// Instant from which no other controller can answer workers any more, if known.
-    pub alone: Option<Instant>,
+    /// Instant since which certainly no other controller renews workers' leases, if there is one.
+    pub sole_renewer_since: Option<Instant>,
     /// Sequence number of the latest heartbeat, by machine.
     pub sequences: BTreeMap<String, u64>,
 }
@@ -55,7 +55,7 @@
             leader,
             revision: 100,
             now,
-            alone: Some(now),
+            sole_renewer_since: Some(now),
             sequences: BTreeMap::new(),
         }
     }
@@ -102,7 +102,7 @@
     /// Lets time pass, then runs a tick of the leader.
     pub fn pass(&mut self, seconds: f64) {
         self.now += Duration::from_secs_f64(seconds);
-        self.leader.tick(self.now, StateService::Available, self.alone);
+        self.leader.tick(self.now, StateService::Available, self.sole_renewer_since);
     }
 
     /// Takes all pending writes of the leader.
--- a/tests/late_commands/cancelled_tasks.rs
+++ b/tests/late_commands/cancelled_tasks.rs
@@ -43,7 +43,7 @@
     for after in 1..40 {
         harness.now += Duration::from_secs(1);
         harness.heartbeat("n-1", 1, &[]);
-        harness.leader.tick(harness.now, StateService::Available, harness.alone);
+        harness.leader.tick(harness.now, StateService::Available, harness.sole_renewer_since);
         if !harness.leader.take_deletions().is_empty() {
             return after;
         }
--- a/tests/leader/capacity.rs
+++ b/tests/leader/capacity.rs
@@ -105,7 +105,7 @@
     assert_eq!(
         after.tasks_reconciled - before.tasks_reconciled,
         2 * running_tasks as u64,
-        "each heartbeat reconciles its machine's tasks twice"
+        "the bound and the reported tasks of each machine"
     );
     assert!(after.sweeps - before.sweeps <= 8, "fewer sweeps than heartbeats");
     assert_eq!(after.passes, before.passes, "nothing changed");
@@ -152,14 +152,14 @@
     for machine in ["n-1", "n-2"] {
         harness.heartbeat(machine, 1, &[]);
     }
-    harness.leader.tick(harness.now, StateService::Unavailable, harness.alone);
+    harness.leader.tick(harness.now, StateService::Unavailable, harness.sole_renewer_since);
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 2, "Gpus": 8.0}));
     for _ in 0..50 {
         harness.now += Duration::from_secs(1);
         for machine in ["n-1", "n-2"] {
             harness.heartbeat(machine, 1, &[]);
         }
-        harness.leader.tick(harness.now, StateService::Unavailable, harness.alone);
+        harness.leader.tick(harness.now, StateService::Unavailable, harness.sole_renewer_since);
     }
     // The first pass after the outage covers all machines.
     harness.pass(1.0);
--- a/tests/leader/failover.rs
+++ b/tests/leader/failover.rs
@@ -37,7 +37,7 @@
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
     let mut next = harness.succeed(6);
-    next.alone = None;
+    next.sole_renewer_since = None;
     next.heartbeat("n-2", 1, &[]);
     next.heartbeat("n-3", 1, &[]);
     for _ in 0..15 {
@@ -68,7 +68,7 @@
     harness.submit("j-000001", json!({"Shape": "service", "Spokes": 1}));
     harness.settle();
     let mut next = harness.succeed(6);
-    next.alone = Some(next.now + Duration::from_secs(2));
+    next.sole_renewer_since = Some(next.now + Duration::from_secs(2));
     for second in 0..14 {
         next.heartbeat("n-2", 1, &[]);
         next.pass(1.0);
@@ -142,10 +142,11 @@
     }
     let mut harness = harness.succeed(6);
     let started_at = harness.now;
-    let alone_from = others_answer_until_s.map(|after| started_at + Duration::from_secs_f64(after));
+    let sole_renewer_from =
+        others_answer_until_s.map(|after| started_at + Duration::from_secs_f64(after));
     let mut returned = Vec::new();
     for _ in 0..seconds {
-        harness.alone = alone_from.filter(|from| *from <= harness.now);
+        harness.sole_renewer_since = sole_renewer_from.filter(|from| *from <= harness.now);
         for name in &names[1..] {
             harness.heartbeat(name, 1, &tasks[name]);
         }
@@ -155,7 +156,7 @@
         harness.commit(commits);
     }
     let bound = harness.bound("j-000001").len();
-    assert_eq!(bound, 6 - usize::from(seconds > 15 && alone_from.is_some()));
+    assert_eq!(bound, 6 - usize::from(seconds > 15 && sole_renewer_from.is_some()));
     returned
 }
 
