--- a/tests/leader/page_records.rs
+++ b/tests/leader/page_records.rs
@@ -23,7 +23,12 @@
     harness.heartbeat("n-1", 2, &[]);
     harness.pass(0.1);
     let second = harness.commits();
-    let is_same_page = |commit: &Commit| matches!(&commit.kind, CommitKind::Page { job, .. } if &**job == "j-000001");
+    let is_same_page = |commit: &Commit| {
+        matches!(
+            &commit.kind,
+            CommitKind::Page { job, .. } if &**job == "j-000001"
+        )
+    };
     assert!(first.iter().any(is_same_page));
     assert!(!second.iter().any(is_same_page), "written while the first write is in flight");
     // The first write had an unknown outcome and turns out not to be committed: it is
