--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -17,7 +17,7 @@
     ActivationSettings, Activator, Listen, ModelSettings, Refusal, parse_sections,
     record::{ActivationRecord, record_key},
 };
-use stonewheel_testing::{MemState, coordinated, timing};
+use stonewheel_testing::{MemState, spawn_coordinator, timing};
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
@@ -134,7 +134,8 @@
         let client = format!("m-{at}#{seed}");
         let stop = CancellationToken::new();
         let place = (at, self.size);
-        let coordinator = coordinated(&self.state, &client, place, seed, timing(SESSION), &stop);
+        let coordinator =
+            spawn_coordinator(&self.state, &client, place, seed, timing(SESSION), &stop);
         let starter = self.farm.client(&client);
         let activator = Activator::new(coordinator, self.settings.clone(), starter, seed);
         tokio::spawn(activator.clone().run(stop.clone()));
@@ -175,13 +176,13 @@
     }
 
     /// The controller's next transactions are carried out, but not answered.
-    pub fn mute_state(&self, at: usize, count: u32) {
+    pub fn lose_state_answers(&self, at: usize, count: u32) {
         self.state.lose_answers(&self.client_of(at), count);
     }
 
     /// The same of its orders to start and stop replicas.
     pub fn mute_farm(&self, at: usize, count: u32) {
-        self.farm.callers.mute(&self.client_of(at), count);
+        self.farm.callers.lose_answers(&self.client_of(at), count);
     }
 
     pub fn activator(&self, at: usize) -> Arc<Activator> {
--- a/crates/stonewheel-rollout/tests/common/deployment.rs
+++ b/crates/stonewheel-rollout/tests/common/deployment.rs
@@ -118,11 +118,11 @@
     }
 
     pub fn lose_state_answers(&self, controller_index: usize, count: u32) {
-        self.members.mute_state(controller_index, count);
+        self.members.lose_state_answers(controller_index, count);
     }
 
     pub fn lose_host_answers(&self, controller_index: usize, count: u32) {
-        self.members.mute_others(controller_index, count);
+        self.members.lose_other_answers(controller_index, count);
     }
 
     /// Reads the service's record from the state service.
