--- a/tests/fault_scenarios/leadership.rs
+++ b/tests/fault_scenarios/leadership.rs
@@ -1,59 +1,64 @@
-//! Failovers met by partitions and by cancellations.
+//! Failovers combined with partitions, cancellations and outages of the state service.
 
 use crate::common::{TestDeployment, assert_no_violation, seconds, state};
-use crate::state_outages::{leader_refused_then_outage, outage_ends, two_services};
+use crate::state_outages::{
+    cancel_while_leader_is_refused_then_outage, deployment_with_two_services,
+    end_outage_and_check_states,
+};
 use serde_json::json;
 use std::time::Duration;
 use stonewheel::{node::Unavailable, protocol::JobState};
 use tokio::time::{Instant, sleep};
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_without_store_and_peers_stops_renewing_leases_in_time() {
-    let (deployment, leader, other) = two_services().await;
+async fn leader_without_state_service_and_peers_stops_renewing_worker_leases_in_time() {
+    let (deployment, leader, other) = deployment_with_two_services().await;
     deployment.disconnect(leader);
-    // Nobody else is reached, who might know and tell.
+    // The machines reach no other controller, so the leader can't learn of the cancellation.
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     for machine in deployment.machines() {
         deployment.partition(&machine, &others);
     }
-    leader_refused_then_outage(&deployment, leader, other, 60).await;
+    cancel_while_leader_is_refused_then_outage(&deployment, leader, other, 60).await;
     for machine in deployment.machines() {
         deployment.partition(&machine, &[]);
     }
-    outage_ends(&deployment, leader).await;
+    end_outage_and_check_states(&deployment, leader).await;
 }
 
+/// A cancelled task on an unreachable machine still counts towards its team's limit after a
+/// failover: a new leader that forgot it would start the team's waiting job too early.
 #[tokio::test(start_paused = true)]
-async fn a_full_team_stays_within_its_limit_when_the_leader_changes_and_machines_are_away() {
+async fn team_stays_within_its_limit_across_failover_with_an_unreachable_machine() {
     let deployment = TestDeployment::new(4).await;
-    let full = json!({"Shape": "service", "Spokes": 2, "Gpus": 8.0, "Crew": "red"});
-    assert!(state(&deployment.submit(0, "j-000001", full.clone()).await).is_some());
+    let service = json!({"Shape": "service", "Spokes": 2, "Gpus": 8.0, "Crew": "red"});
+    assert!(state(&deployment.submit(0, "j-000001", service.clone()).await).is_some());
     deployment.until("the team is at its limit", || deployment.starts() == 2).await;
-    assert!(state(&deployment.submit(0, "j-000003", full).await).is_some());
+    assert!(state(&deployment.submit(0, "j-000003", service).await).is_some());
     seconds(12).await;
     let old = deployment.leader().expect("a leader");
-    let away = deployment.machines_of("j-000001");
-    deployment.partition(&away[0], &[0, 1, 2]);
+    let machines = deployment.machines_of("j-000001");
+    deployment.partition(&machines[0], &[0, 1, 2]);
     deployment.kill_node(old);
     let other = (old + 1) % 3;
-    let told = deployment.cancel(other, "j-000001").await;
-    assert_eq!(state(&told), Some(JobState::Cancelled));
+    let reply = deployment.cancel(other, "j-000001").await;
+    assert_eq!(state(&reply), Some(JobState::Cancelled));
     deployment.until("another leads", || deployment.leader().is_some_and(|l| l != old)).await;
-    // The task on the machine that is away counts until proof that it is gone.
-    let limit = Instant::now() + Duration::from_secs(8);
-    while Instant::now() < limit {
-        let held =
+    // The task on the unreachable machine counts until its end is proven.
+    let deadline = Instant::now() + Duration::from_secs(8);
+    while Instant::now() < deadline {
+        let running =
             deployment.machines_of("j-000001").len() + deployment.machines_of("j-000003").len();
-        assert!(held <= 2, "room for two tasks");
+        assert!(running <= 2, "the team's limit allows two tasks");
         sleep(Duration::from_millis(500)).await;
     }
     deployment.start_node(old);
-    deployment.until("both its tasks run", || deployment.starts() == 4).await;
+    deployment.until("both tasks of the second job run", || deployment.starts() == 4).await;
     assert_no_violation(&deployment);
 }
 
 #[tokio::test(start_paused = true)]
-async fn leaders_change_ten_times_in_two_minutes_and_within_an_outage() {
+async fn ten_failovers_in_two_minutes_and_an_outage_lose_no_job_and_no_cancellation() {
     let deployment = TestDeployment::new(4).await;
     deployment.runs_for("j-000003", 20);
     for id in ["j-000001", "j-000002"] {
@@ -62,7 +67,7 @@
     }
     deployment.until("both run", || deployment.starts() == 4).await;
     for change in 0..10 {
-        let Some(old) = deployment.leader() else { panic!("nobody leads before change {change}") };
+        let Some(old) = deployment.leader() else { panic!("no leader before change {change}") };
         if change == 4 {
             deployment.state.set_outage(true);
         }
@@ -83,7 +88,7 @@
             seconds(8).await;
             deployment.state.set_outage(false);
         }
-        deployment.until("somebody leads", || deployment.leader().is_some()).await;
+        deployment.until("there is a leader", || deployment.leader().is_some()).await;
         seconds(6).await;
     }
     deployment.until_state(0, "j-000003", JobState::Done).await;
@@ -96,45 +101,47 @@
     assert_no_violation(&deployment);
 }
 
+/// Copies of heartbeats sent before a task started, or in the term of the former leader, must
+/// not make the new leader conclude that the task is gone and start it again.
 #[tokio::test(start_paused = true)]
-async fn a_heartbeat_delayed_until_a_new_leader_acted_proves_nothing() {
+async fn delayed_heartbeats_that_reach_a_new_leader_restart_no_task() {
     let deployment = TestDeployment::new(2).await;
     let service = json!({"Shape": "service", "Spokes": 1, "Gpus": 8.0});
-    // Several from before the task, from each machine.
+    // Three heartbeats of each machine from before the task's submission.
     let mut before = Vec::new();
     for _ in 0..3 {
         before.extend(deployment.machines().into_iter().map(|m| deployment.last_heartbeat(&m)));
         seconds(1).await;
     }
     assert!(state(&deployment.submit(0, "j-000001", service).await).is_some());
-    deployment.until("it runs", || deployment.starts() == 1).await;
+    deployment.until("the task runs", || deployment.starts() == 1).await;
     seconds(12).await;
     let old = deployment.leader().expect("a leader");
     let with_task = deployment.machines_of("j-000001").pop().expect("its machine");
     let during = deployment.last_heartbeat(&with_task);
     deployment.kill_node(old);
-    // The copies come before the machine itself is heard, and again later.
+    // The copies reach the new leader before the machine's own heartbeats, and again later.
     deployment.partition(&with_task, &[0, 1, 2]);
     deployment.until("another leads", || deployment.leader().is_some_and(|l| l != old)).await;
     let new = deployment.leader().expect("a leader");
     sleep(Duration::from_millis(300)).await;
     for round in 0..4 {
-        for late in before.iter().chain([&during]) {
-            deployment.node(new).answer_heartbeat_now(late);
+        for delayed in before.iter().chain([&during]) {
+            deployment.node(new).answer_heartbeat_now(delayed);
             sleep(Duration::from_millis(100)).await;
         }
         seconds(2).await;
         deployment.partition(&with_task, &[]);
         seconds(round * 4).await;
     }
-    assert_eq!(deployment.starts(), 1, "nothing was started again");
+    assert_eq!(deployment.starts(), 1, "the task was not started again");
     assert_eq!(state(&deployment.status(new, "j-000001").await), Some(JobState::Running));
     assert_no_violation(&deployment);
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_controllers_are_away_for_longer_than_a_lease() {
-    let (deployment, _, other) = two_services().await;
+async fn tasks_restart_once_after_all_controllers_were_down_for_longer_than_a_worker_lease() {
+    let (deployment, _, other) = deployment_with_two_services().await;
     assert_eq!(state(&deployment.cancel(other, "j-000001").await), Some(JobState::Cancelled));
     for node in 0..3 {
         deployment.kill_node(node);
@@ -143,9 +150,9 @@
     for node in 0..3 {
         deployment.start_node(node);
     }
-    deployment.until("it runs again", || deployment.starts() >= 6).await;
+    deployment.until("the remaining service runs again", || deployment.starts() >= 6).await;
     seconds(30).await;
-    assert_eq!(deployment.starts(), 6, "each task once");
+    assert_eq!(deployment.starts(), 6, "each task of the remaining service restarts once");
     assert!(deployment.machines_of("j-000001").is_empty());
     for node in 0..3 {
         assert_eq!(state(&deployment.status(node, "j-000001").await), Some(JobState::Cancelled));
@@ -155,55 +162,55 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_without_store_and_peers_is_left_though_users_and_workers_reach_it() {
-    let (deployment, leader, other) = two_services().await;
+async fn leader_without_state_service_and_peers_is_replaced_although_users_and_workers_reach_it() {
+    let (deployment, leader, other) = deployment_with_two_services().await;
     deployment.state.refuse(&format!("m-{leader}"), true);
     deployment.disconnect(leader);
     deployment.until("another leads", || deployment.leader().is_some_and(|l| l != leader)).await;
     assert_eq!(state(&deployment.cancel(other, "j-000001").await), Some(JobState::Cancelled));
     seconds(15).await;
     assert!(deployment.machines_of("j-000001").is_empty());
-    // The old leader doesn't know, and says so.
+    // The old leader can't know the current state and answers that it is unavailable.
     assert_eq!(deployment.status(leader, "j-000002").await, Err(Unavailable::State));
     assert_eq!(deployment.cancel(leader, "j-000002").await, Err(Unavailable::State));
-    assert_eq!(deployment.starts(), 4, "the other service went on");
+    assert_eq!(deployment.starts(), 4, "the other service was not restarted");
     assert_no_violation(&deployment);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
-    let (deployment, old, other) = two_services().await;
-    let away = deployment.machines_of("j-000002").pop().expect("its machine");
-    deployment.partition(&away, &[0, 1, 2]);
+async fn failover_with_an_unreachable_machine_restarts_its_tasks_once() {
+    let (deployment, old, other) = deployment_with_two_services().await;
+    let unreachable = deployment.machines_of("j-000002").pop().expect("its machine");
+    deployment.partition(&unreachable, &[0, 1, 2]);
     seconds(2).await;
     deployment.kill_node(old);
     seconds(5).await;
     deployment.start_node(old);
     deployment.until_state(other, "j-000002", JobState::Running).await;
     seconds(60).await;
-    deployment.partition_if_present(&away, &[]);
+    deployment.partition_if_present(&unreachable, &[]);
     seconds(20).await;
     assert_eq!(state(&deployment.status(other, "j-000002").await), Some(JobState::Running));
-    assert_eq!(deployment.starts(), 6, "each of its tasks once more");
+    assert_eq!(deployment.starts(), 6, "each task of the unreachable machine restarts once");
     assert_no_violation(&deployment);
 }
 
 #[tokio::test(start_paused = true)]
-async fn tasks_that_end_far_apart_across_a_failover_are_done_once() {
+async fn tasks_that_end_in_different_leader_terms_run_once() {
     let deployment = TestDeployment::new(2).await;
-    // Task 0 ends early, the last one long after the next leader came.
+    // Task 0 ends before the first failover, the last task long after it.
     deployment.runs_for("j-000001/0", 4);
     deployment.runs_for("j-000001/1", 30);
     deployment.runs_for("j-000001/2", 60);
     assert!(state(&deployment.submit(0, "j-000001", json!({"Spokes": 3})).await).is_some());
     deployment.until("all run", || deployment.starts() == 3).await;
-    for wait in [5, 25, 10] {
-        seconds(wait).await;
+    for wait_s in [5, 25, 10] {
+        seconds(wait_s).await;
         let old = deployment.leader().expect("a leader");
         deployment.kill_node(old);
         seconds(1).await;
         deployment.start_node(old);
-        deployment.until("somebody leads", || deployment.leader().is_some()).await;
+        deployment.until("there is a leader", || deployment.leader().is_some()).await;
     }
     deployment.until_state(1, "j-000001", JobState::Done).await;
     assert_eq!(deployment.starts(), 3, "no task ran twice");
@@ -213,31 +220,33 @@
     assert_no_violation(&deployment);
 }
 
+/// A write of a killed process may still be in flight when the next process of the same
+/// controller starts. It must be rejected when it is carried out late.
 #[tokio::test(start_paused = true)]
-async fn controllers_hand_over_and_back_and_return_within_a_second() {
-    let (deployment, _, _) = two_services().await;
+async fn restart_of_all_controllers_within_a_second_rejects_late_writes_of_former_processes() {
+    let (deployment, _, _) = deployment_with_two_services().await;
     for round in 0..4_u64 {
         let leader = deployment.leader().expect("a leader");
-        // A placement of the former process is still on its way.
+        // A placement of the process that is killed below stays in flight.
         deployment.state.hold(&format!("m-{leader}"));
         let id = format!("j-00001{round}");
         let service = json!({"Shape": "service", "Spokes": 1, "Gpus": 1.0});
         assert!(state(&deployment.submit((leader + 1) % 3, &id, service).await).is_some());
-        deployment.until("it is under way", || deployment.state.held_count() > 0).await;
+        deployment.until("the placement is in flight", || deployment.state.held_count() > 0).await;
         let late = deployment.state.release_held();
         for node in 0..3 {
             deployment.kill_node(node);
         }
-        // The leader's next process is there before its lease ends.
+        // The leader's next process starts before the leader lease expires.
         sleep(Duration::from_millis(200 + 250 * round)).await;
         deployment.start_node(leader);
         seconds(2).await;
         for node in (0..3).filter(|n| *n != leader) {
             deployment.start_node(node);
         }
-        deployment.until("somebody leads", || deployment.leader().is_some()).await;
+        deployment.until("there is a leader", || deployment.leader().is_some()).await;
         for outcome in deployment.state.execute(late) {
-            assert!(outcome.is_err(), "a former process's write was taken: {outcome:?}");
+            assert!(outcome.is_err(), "a write of a former process was accepted: {outcome:?}");
         }
         seconds(12).await;
     }
--- a/tests/fault_scenarios/machines.rs
+++ b/tests/fault_scenarios/machines.rs
@@ -1,26 +1,26 @@
-//! Partitioned, silent and hanging machines; delayed commands and heartbeats.
+//! Machines that are partitioned, silent, hung or removed, and delayed commands and heartbeats.
 
 use crate::common::{TestDeployment, assert_no_violation, seconds, state};
-use crate::state_outages::two_services;
+use crate::state_outages::deployment_with_two_services;
 use serde_json::json;
 use stonewheel::protocol::JobState;
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_with_its_controller_is_partitioned_for_longer_than_a_lease() {
-    // The zone keeps working inside, under the leader that it holds; outside,
-    // another leads and cancels.
-    let (deployment, leader, other) = two_services().await;
-    let (inside, name) = (deployment.machines_of("j-000001"), format!("m-{leader}"));
+async fn machines_partitioned_with_the_old_leader_stop_cancelled_tasks_within_cancel_s() {
+    // The partitioned machines reach only the old leader. Outside the partition another
+    // controller becomes leader and confirms a cancellation.
+    let (deployment, leader, other) = deployment_with_two_services().await;
+    let (partitioned, name) = (deployment.machines_of("j-000001"), format!("m-{leader}"));
     let outside: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     deployment.state.refuse(&name, true);
     deployment.disconnect(leader);
-    for machine in &inside {
+    for machine in &partitioned {
         deployment.partition(machine, &outside);
     }
     deployment.until("another leads", || deployment.leader().is_some_and(|l| l != leader)).await;
     assert_eq!(state(&deployment.cancel(other, "j-000001").await), Some(JobState::Cancelled));
     seconds(60).await;
-    assert!(deployment.machines_of("j-000001").is_empty(), "gone within cancel_s");
+    assert!(deployment.machines_of("j-000001").is_empty(), "stopped within cancel_s");
     deployment.state.refuse(&name, false);
     deployment.reconnect(leader);
     for machine in deployment.machines() {
@@ -32,20 +32,22 @@
     assert_no_violation(&deployment);
 }
 
+/// A worker's heartbeat from before its lease expired, and an altered copy that reports the
+/// task as exited, must not end or restart the task's current attempt.
 #[tokio::test(start_paused = true)]
-async fn copies_from_earlier_incarnations_and_attempts_change_nothing() {
+async fn heartbeat_copies_from_earlier_incarnations_and_attempts_are_ignored() {
     let deployment = TestDeployment::new(1).await;
     let service = json!({"Shape": "service", "Spokes": 1, "Gpus": 8.0});
     assert!(state(&deployment.submit(0, "j-000001", service).await).is_some());
-    deployment.until("it runs", || deployment.starts() == 1).await;
+    deployment.until("the task runs", || deployment.starts() == 1).await;
     seconds(5).await;
     let machine = deployment.machines_of("j-000001").pop().expect("its machine");
     let first = deployment.last_heartbeat(&machine);
-    // Its lease runs out, and the task starts again, on any machine.
+    // The worker's lease expires, and the task is started again on any machine.
     deployment.partition(&machine, &[0, 1, 2]);
     seconds(20).await;
     deployment.partition(&machine, &[]);
-    deployment.until("it runs again", || deployment.starts() == 2).await;
+    deployment.until("the task runs again", || deployment.starts() == 2).await;
     seconds(3).await;
     for node in 0..3 {
         deployment.node(node).answer_heartbeat_now(&first);
@@ -64,8 +66,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn commands_delayed_at_a_machine_that_hangs_and_resumes() {
-    for long in [4, 9, 14] {
+async fn commands_delayed_at_hung_machines_leave_no_cancelled_task_running() {
+    for hang_s in [4, 9, 14] {
         let deployment = TestDeployment::new(2).await;
         let machines = deployment.machines();
         for machine in &machines {
@@ -74,21 +76,21 @@
         let service = json!({"Shape": "service", "Spokes": 1, "Gpus": 8.0});
         assert!(state(&deployment.submit(0, "j-000001", service.clone()).await).is_some());
         assert!(state(&deployment.submit(0, "j-000002", service).await).is_some());
-        seconds(long).await;
+        seconds(hang_s).await;
         assert_eq!(state(&deployment.cancel(1, "j-000001").await), Some(JobState::Cancelled));
         for machine in &machines {
             deployment.set_hung(machine, false);
         }
         deployment.until_state(0, "j-000002", JobState::Running).await;
         seconds(45).await;
-        assert!(deployment.machines_of("j-000001").is_empty(), "after {long} s");
+        assert!(deployment.machines_of("j-000001").is_empty(), "after a hang of {hang_s} s");
         assert_no_violation(&deployment);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_whose_heartbeats_are_lost_takes_direct_stops_before_its_lease_expires() {
-    let (deployment, _, other) = two_services().await;
+async fn machine_whose_heartbeats_are_lost_is_stopped_directly_before_its_lease_expires() {
+    let (deployment, _, other) = deployment_with_two_services().await;
     let machine = deployment.machines_of("j-000001").pop().expect("its machine");
     deployment.set_drops_heartbeats(&machine, true);
     seconds(5).await;
@@ -100,30 +102,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_leader_stops_cancelled_work_on_machines_it_never_heard() {
-    let (deployment, old, other) = two_services().await;
+async fn new_leader_directly_stops_cancelled_tasks_on_machines_it_had_no_heartbeat_from() {
+    let (deployment, old, other) = deployment_with_two_services().await;
     let machine = deployment.machines_of("j-000001").pop().expect("its machine");
     deployment.set_drops_heartbeats(&machine, true);
     deployment.kill_node(old);
-    let told = deployment.cancel(other, "j-000001").await;
-    assert_eq!(state(&told), Some(JobState::Cancelled));
+    let reply = deployment.cancel(other, "j-000001").await;
+    assert_eq!(state(&reply), Some(JobState::Cancelled));
     seconds(9).await;
     assert!(deployment.machines_of("j-000001").is_empty(), "stopped directly");
     assert_eq!(deployment.incarnation(&machine), 1, "within its lease");
     assert_no_violation(&deployment);
 }
 
+/// A worker that receives no responses loses its lease although its heartbeats arrive. The
+/// leader must not start its tasks elsewhere before that, and must start them afterwards.
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_loses_responses_neither_counts_as_alive_nor_runs_elsewhere_early() {
+async fn tasks_of_a_machine_that_loses_responses_move_only_after_its_lease_expired() {
     for takeover in [false, true] {
-        let (deployment, old, _) = two_services().await;
+        let (deployment, old, _) = deployment_with_two_services().await;
         let machine = deployment.machines_of("j-000002").pop().expect("its machine");
         deployment.set_drops_responses(&machine, true);
         if takeover {
             deployment.kill_node(old);
         }
         deployment
-            .until("it runs elsewhere", || {
+            .until("the service runs elsewhere", || {
                 deployment.machines_of("j-000002").iter().any(|m| *m != machine)
             })
             .await;
@@ -137,7 +141,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn work_bound_to_a_zone_stays_there_when_it_loses_machines() {
+async fn jobs_bound_to_a_zone_stay_in_it_after_machine_loss_and_failover() {
     let deployment = TestDeployment::new(2).await;
     for _ in 0..2 {
         deployment.add_machine("b");
@@ -152,7 +156,7 @@
     }
     deployment.until("the service runs", || deployment.machines_of("j-000001").len() == 2).await;
     seconds(10).await;
-    // One machine of each zone dies with all that is on it.
+    // One machine of each zone is removed with all its tasks.
     let lost = [
         deployment.machines_of("j-000001")[0].clone(),
         deployment.machines_of("j-000002")[0].clone(),
@@ -167,7 +171,7 @@
     deployment.until_state(old, "j-000002", JobState::Done).await;
     deployment.until_state(old, "j-000003", JobState::Done).await;
     deployment
-        .until("the service is whole", || deployment.machines_of("j-000001").len() == 2)
+        .until("both tasks of the service run", || deployment.machines_of("j-000001").len() == 2)
         .await;
     assert_no_violation(&deployment);
 }
--- a/tests/fault_scenarios/main.rs
+++ b/tests/fault_scenarios/main.rs
@@ -1,5 +1,6 @@
-//! Fault scenarios, as in the table of `docs/design.md`: two faults that are harmless alone,
-//! together. The simulated deployment checks the rules by itself (`TestDeployment::broken`).
+//! Fault scenarios from the table of `docs/design.md`: combinations of faults that are harmless
+//! alone. The simulated deployment checks the scheduler's rules throughout
+//! (`TestDeployment::violations`).
 
 #[allow(dead_code)] // Each test binary uses its own part.
 #[path = "../common/mod.rs"]
--- a/tests/fault_scenarios/state_outages.rs
+++ b/tests/fault_scenarios/state_outages.rs
@@ -1,4 +1,4 @@
-//! The state service refuses the leader, everybody, or answers slowly, while jobs are cancelled.
+//! Cancellations while the state service refuses the leader or all controllers, or answers slowly.
 
 use crate::common::{TestDeployment, assert_no_violation, seconds, state};
 use serde_json::json;
@@ -6,8 +6,8 @@
 use stonewheel::protocol::JobState;
 use tokio::time::Instant;
 
-/// Two services on their machines; the leader, and another controller.
-pub(crate) async fn two_services() -> (TestDeployment, usize, usize) {
+/// Starts two services. Returns the deployment, the leader and another controller.
+pub(crate) async fn deployment_with_two_services() -> (TestDeployment, usize, usize) {
     let deployment = TestDeployment::new(4).await;
     for id in ["j-000001", "j-000002"] {
         let service = json!({"Shape": "service", "Spokes": 2, "Gpus": 4.0});
@@ -19,23 +19,25 @@
     (deployment, leader, (leader + 1) % 3)
 }
 
-/// The leader_refused_then_outage: the leader alone is refused, another controller confirms a
-/// cancellation, and then nobody reaches the state service for `outage`.
-pub(crate) async fn leader_refused_then_outage(
+/// Makes the state service refuse the leader, cancels `j-000001` through another controller and
+/// then lets `outage_s` seconds of an outage pass. So the leader can't read the cancellation from
+/// the state service.
+pub(crate) async fn cancel_while_leader_is_refused_then_outage(
     deployment: &TestDeployment,
     leader: usize,
     other: usize,
-    outage: u64,
+    outage_s: u64,
 ) {
     deployment.state.refuse(&format!("m-{leader}"), true);
     seconds(1).await;
-    let told = deployment.cancel(other, "j-000001").await;
-    assert_eq!(state(&told), Some(JobState::Cancelled));
+    let reply = deployment.cancel(other, "j-000001").await;
+    assert_eq!(state(&reply), Some(JobState::Cancelled));
     deployment.state.set_outage(true);
-    seconds(outage).await;
+    seconds(outage_s).await;
 }
 
-pub(crate) async fn outage_ends(deployment: &TestDeployment, leader: usize) {
+/// Ends the outage and checks that all controllers agree on the cancellation.
+pub(crate) async fn end_outage_and_check_states(deployment: &TestDeployment, leader: usize) {
     deployment.state.refuse(&format!("m-{leader}"), false);
     deployment.state.set_outage(false);
     seconds(40).await;
@@ -47,48 +49,48 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refused_leader_stops_what_others_cancelled_before_an_outage() {
-    // Just under and over cancel_s, and far over it.
-    for outage in [30, 35, 37, 60] {
-        let (deployment, leader, other) = two_services().await;
-        leader_refused_then_outage(&deployment, leader, other, outage).await;
+async fn leader_refused_by_the_state_service_stops_jobs_cancelled_elsewhere_before_an_outage() {
+    // A little below and above cancel_s, and far above it.
+    for outage_s in [30, 35, 37, 60] {
+        let (deployment, leader, other) = deployment_with_two_services().await;
+        cancel_while_leader_is_refused_then_outage(&deployment, leader, other, outage_s).await;
         assert!(deployment.machines_of("j-000001").is_empty());
-        assert!(!deployment.machines_of("j-000002").is_empty(), "the rest went on");
-        outage_ends(&deployment, leader).await;
+        assert!(!deployment.machines_of("j-000002").is_empty(), "the other service runs on");
+        end_outage_and_check_states(&deployment, leader).await;
         assert_eq!(deployment.starts(), 4, "nothing was restarted");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_controller_that_confirmed_a_cancellation_ends_at_once() {
-    let (deployment, leader, other) = two_services().await;
+async fn cancellation_holds_when_its_confirming_controller_is_killed_before_an_outage() {
+    let (deployment, leader, other) = deployment_with_two_services().await;
     deployment.state.refuse(&format!("m-{leader}"), true);
     seconds(1).await;
-    let told = deployment.cancel(other, "j-000001").await;
-    assert_eq!(state(&told), Some(JobState::Cancelled));
+    let reply = deployment.cancel(other, "j-000001").await;
+    assert_eq!(state(&reply), Some(JobState::Cancelled));
     deployment.kill_node(other);
     deployment.state.set_outage(true);
     seconds(4).await;
     deployment.start_node(other);
     seconds(56).await;
-    outage_ends(&deployment, leader).await;
+    end_outage_and_check_states(&deployment, leader).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_leaders_own_cut_ends_within_the_outage() {
-    let (deployment, leader, other) = two_services().await;
-    leader_refused_then_outage(&deployment, leader, other, 10).await;
+async fn leader_whose_refusal_ends_during_an_outage_keeps_the_cancellation() {
+    let (deployment, leader, other) = deployment_with_two_services().await;
+    cancel_while_leader_is_refused_then_outage(&deployment, leader, other, 10).await;
     deployment.state.refuse(&format!("m-{leader}"), false);
     seconds(50).await;
     assert!(deployment.machines_of("j-000001").is_empty());
-    outage_ends(&deployment, leader).await;
+    end_outage_and_check_states(&deployment, leader).await;
     assert_eq!(deployment.starts(), 4, "nothing was restarted");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refused_leader_and_an_outage_with_machines_that_lose_responses_or_heartbeats_or_hang() {
+async fn cancellation_holds_with_a_refused_leader_an_outage_and_a_faulty_machine() {
     for fault in 0..3 {
-        let (deployment, leader, other) = two_services().await;
+        let (deployment, leader, other) = deployment_with_two_services().await;
         let machine = deployment.machines_of("j-000001").pop().expect("its machine");
         let set = |on: bool| match fault {
             0 => deployment.set_drops_responses(&machine, on),
@@ -96,21 +98,21 @@
             _ => deployment.set_hung(&machine, on),
         };
         set(true);
-        leader_refused_then_outage(&deployment, leader, other, 8).await;
+        cancel_while_leader_is_refused_then_outage(&deployment, leader, other, 8).await;
         set(false);
         seconds(50).await;
-        outage_ends(&deployment, leader).await;
+        end_outage_and_check_states(&deployment, leader).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_state_service_stops_neither_cancellations_nor_tasks() {
-    let (deployment, leader, other) = two_services().await;
-    // Slower than any call waits for.
+async fn slow_state_service_prevents_no_cancellation_and_stops_no_other_task() {
+    let (deployment, leader, other) = deployment_with_two_services().await;
+    // Slower than the time-out of any call.
     deployment.state.set_slow(Duration::from_millis(900));
-    let limit = Instant::now() + Duration::from_secs(30);
+    let deadline = Instant::now() + Duration::from_secs(30);
     while state(&deployment.cancel(other, "j-000001").await) != Some(JobState::Cancelled) {
-        assert!(Instant::now() < limit, "never cancelled");
+        assert!(Instant::now() < deadline, "the cancellation was not confirmed");
         seconds(1).await;
     }
     deployment.state.refuse(&format!("m-{leader}"), true);
@@ -119,15 +121,16 @@
     seconds(40).await;
     deployment.state.set_slow(Duration::ZERO);
     assert!(deployment.machines_of("j-000001").is_empty());
-    outage_ends(&deployment, leader).await;
+    end_outage_and_check_states(&deployment, leader).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn unanswered_transactions_carried_out_late_change_nothing() {
-    for (at, all) in [(0, false), (1, false), (0, true)] {
+async fn unanswered_transactions_carried_out_late_change_no_outcome() {
+    for (offset, all_nodes) in [(0, false), (1, false), (0, true)] {
         let deployment = TestDeployment::new(2).await;
         let leader = deployment.leader().expect("a leader");
-        let held: Vec<usize> = if all { (0..3).collect() } else { vec![(leader + at) % 3] };
+        let held_nodes: Vec<usize> =
+            if all_nodes { (0..3).collect() } else { vec![(leader + offset) % 3] };
         for id in ["j-000001", "j-000002", "j-000003"] {
             deployment.runs_for(id, 6);
         }
@@ -135,28 +138,29 @@
             state(&deployment.submit(leader, "j-000001", json!({"Spokes": 6})).await).is_some()
         );
         seconds(2).await;
-        for node in &held {
+        for node in &held_nodes {
             deployment.state.hold(&format!("m-{node}"));
         }
-        // Submissions, a cancellation, pages and ends hang; nobody is told.
-        let on = held[0];
+        // The transactions of submissions, a cancellation, pages and ends get no answer, and so
+        // the users' requests fail.
+        let held_node = held_nodes[0];
         deployment.runs_for("j-000004", 6);
-        let _ = deployment.submit((on + 1) % 3, "j-000004", json!({})).await;
+        let _ = deployment.submit((held_node + 1) % 3, "j-000004", json!({})).await;
         let (submitted, cancelled) = tokio::join!(
-            deployment.submit(on, "j-000002", json!({})),
-            deployment.cancel(on, "j-000001")
+            deployment.submit(held_node, "j-000002", json!({})),
+            deployment.cancel(held_node, "j-000001")
         );
         assert!(submitted.is_err() && cancelled.is_err());
         seconds(6).await;
         let late = deployment.state.release_held();
-        let _ = deployment.submit(on, "j-000002", json!({})).await;
-        let _ = deployment.submit(on, "j-000003", json!({})).await;
-        deployment.until_state(on, "j-000003", JobState::Done).await;
-        deployment.until_state(on, "j-000002", JobState::Done).await;
-        if !all {
-            deployment.until_state(on, "j-000004", JobState::Done).await;
+        let _ = deployment.submit(held_node, "j-000002", json!({})).await;
+        let _ = deployment.submit(held_node, "j-000003", json!({})).await;
+        deployment.until_state(held_node, "j-000003", JobState::Done).await;
+        deployment.until_state(held_node, "j-000002", JobState::Done).await;
+        if !all_nodes {
+            deployment.until_state(held_node, "j-000004", JobState::Done).await;
         }
-        // Well after all that replaced them.
+        // The held transactions are carried out well after those that replaced them.
         seconds(20).await;
         deployment.state.execute(late);
         seconds(20).await;
@@ -165,11 +169,7 @@
             assert!(deployment.status(node, "j-000001").await.is_ok());
         }
         assert!(deployment.leader().is_some());
-        assert_eq!(
-            deployment.state.keys("sw/p/"),
-            Vec::<String>::new(),
-            "no page of a job that is over"
-        );
+        assert_eq!(deployment.state.keys("sw/p/"), Vec::<String>::new(), "no page of an ended job");
         assert_no_violation(&deployment);
     }
 }
