--- a/tests/guest_array.rs
+++ b/tests/guest_array.rs
@@ -1,6 +1,6 @@
-//! One array of tens of thousands of short tasks, and a swarm of one-task jobs
-//! beside it: what they cost a leader. The first test looks at its process's
-//! memory, so both run in this file, one after the other.
+//! The cost for a leader of one array of tens of thousands of short tasks, alone and beside many
+//! jobs of one task. The first test measures the memory of its process, so the tests of this file
+//! run one at a time.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
@@ -15,7 +15,7 @@
 
 const KIB: usize = 1024;
 
-/// The most memory that this process held so far, in bytes.
+/// Returns the peak resident memory of this process in bytes.
 fn peak_bytes() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").expect("a Linux system");
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("the peak");
@@ -23,16 +23,16 @@
     number.parse::<usize>().expect("a number") * KIB
 }
 
-/// A fleet of 100 machines, an array of 25,000 small tasks and 800 jobs of one
-/// task; whether the cloud has more machines decides how much room there is.
-fn swarm_beside_a_huge_array(no_capacity: bool) -> LeaderHarness {
+/// Returns a leader after a few passes over 100 machines, an array of 25,000 small tasks and 800
+/// jobs of one task. With `no_capacity` the cloud provides no further machines.
+fn large_array_beside_small_jobs(no_capacity: bool) -> LeaderHarness {
     let mut harness = LeaderHarness::new(5);
-    let report_all = |harness: &mut LeaderHarness| {
+    let send_heartbeats = |harness: &mut LeaderHarness| {
         for number in 0..100 {
             harness.heartbeat(&format!("n-{number:03}"), 1, &[]);
         }
     };
-    report_all(&mut harness);
+    send_heartbeats(&mut harness);
     harness.submit(
         "j-900000",
         json!({"Spokes": 25_000, "Cores": 0.25, "Gpus": 0.0, "MemoryGb": 1.0, "Rank": "best_effort"}),
@@ -41,37 +41,37 @@
         harness.submit(&format!("j-{number:06}"), json!({"Spokes": 1}));
     }
     for _ in 0..3 {
-        for rental in harness.leader.take_provision_requests() {
-            let rented = (!no_capacity).then(Vec::new);
-            harness.leader.on_provisioned(&rental, rented, harness.now);
+        for request in harness.leader.take_provision_requests() {
+            let provisioned = (!no_capacity).then(Vec::new);
+            harness.leader.on_provisioned(&request, provisioned, harness.now);
         }
         harness.pass(5.0);
-        report_all(&mut harness);
+        send_heartbeats(&mut harness);
     }
     harness
 }
 
-/// The program's tables held a row of 26,000 entries for each of 800 jobs: 80 MB,
-/// and controllers of 40 MB ended one after the other until the day was over
-/// (`docs/incidents/guest-arrays.md`).
+/// The tables of the dynamic program had a row of 26,000 entries for each of 800 jobs, 80 MB in
+/// total. Controllers with a quota of 40 MB were terminated one after the other for the rest of
+/// the day (`docs/incidents/guest-arrays.md`).
 #[test]
-fn a_huge_array_beside_a_swarm_fits_a_small_machine() {
-    let _alone = ONE_AT_A_TIME.lock();
+fn large_array_beside_small_jobs_stays_within_the_memory_limit() {
+    let _guard = ONE_AT_A_TIME.lock();
     const LIMIT: usize = 24 << 20;
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let before = peak_bytes();
     for no_capacity in [false, true] {
-        runtime.block_on(async { drop(swarm_beside_a_huge_array(no_capacity)) });
+        runtime.block_on(async { drop(large_array_beside_small_jobs(no_capacity)) });
     }
-    let held = peak_bytes().saturating_sub(before);
-    assert!(held < LIMIT, "{} KiB", held / KIB);
+    let growth = peak_bytes().saturating_sub(before);
+    assert!(growth < LIMIT, "{} KiB", growth / KIB);
 }
 
-/// Placed at once, the array took a pass so long that the leader lost its lease
-/// before any place was written down, and so did each of its successors.
+/// When one pass placed the whole array, the pass took so long that the leader lost its lease
+/// before any placement was recorded, and so did each of its successors.
 #[test]
-fn one_pass_places_no_more_tasks_of_an_array_than_a_transaction_records() {
-    let _alone = ONE_AT_A_TIME.lock();
+fn one_pass_places_at_most_the_array_tasks_that_one_transaction_records() {
+    let _guard = ONE_AT_A_TIME.lock();
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
         let mut harness = LeaderHarness::new(5);
@@ -82,14 +82,14 @@
         harness.pass(0.1);
         let pages = harness.commits().len();
         let limit = harness.settings.state_limits().transaction_writes;
-        // The first page is written for the width too.
+        // One more page is allowed, since the first one is also written for the array's width.
         assert!((2..=limit + 1).contains(&pages), "{pages} pages, {limit} in a transaction");
     });
 }
 
 #[test]
-fn an_array_of_twenty_thousand_tasks_ends_although_its_leader_ends_twice() {
-    let _alone = ONE_AT_A_TIME.lock();
+fn array_of_twenty_thousand_tasks_completes_across_two_failovers() {
+    let _guard = ONE_AT_A_TIME.lock();
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().expect("a runtime");
     runtime.block_on(async {
@@ -99,15 +99,15 @@
         deployment.runs_for("j-000001", 8);
         let fields = json!({"Spokes": TASKS, "Cores": 0.25, "Gpus": 0.0, "MemoryGb": 1.0});
         deployment.submit(0, "j-000001", fields).await.expect("accepted");
-        for share in [4, 2] {
-            deployment.until("part of it ran", || deployment.starts() > TASKS / share).await;
+        for divisor in [4, 2] {
+            deployment.until("a part has started", || deployment.starts() > TASKS / divisor).await;
             let leader = deployment.leader().expect("a leader");
             deployment.kill_node(leader);
             seconds(5).await;
             deployment.start_node(leader);
         }
-        let asked = deployment.leader().expect("a leader");
-        deployment.until_state(asked, "j-000001", JobState::Done).await;
+        let leader = deployment.leader().expect("a leader");
+        deployment.until_state(leader, "j-000001", JobState::Done).await;
         assert_eq!(deployment.starts(), TASKS, "each task started once");
         assert_no_violation(&deployment);
     });
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,7 +1,7 @@
-//! Four thousand workers over sockets on loopback, by hand: `cargo test --release --test
-//! large_fleet -- --ignored --nocapture`. A controller in a thread of its own, with the
-//! state service and the cloud in memory; each worker has a connection and reports once
-//! a second.
+//! A measurement of one controller with four thousand workers over loopback sockets, to be run by
+//! hand: `cargo test --release --test large_fleet -- --ignored --nocapture`. The controller runs
+//! in a separate thread, with the state service and the cloud in memory. Each worker has a
+//! connection and sends a heartbeat once a second.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
@@ -33,13 +33,13 @@
 use tokio_util::sync::CancellationToken;
 
 const MACHINES: usize = 4000;
-const REPORT: Duration = Duration::from_secs(1);
-/// How long a worker waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(4);
-const MEASURED: Duration = Duration::from_secs(20);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// A worker's time-out for connecting and for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
 const PAGE_BYTES: usize = 4096;
 
-/// A cloud that has machines of one type, none to rent, and lists none.
+/// A cloud with one machine type, no capacity, and no machines in its list.
 struct FullCloud;
 
 impl CloudApi for FullCloud {
@@ -60,22 +60,23 @@
     }
 }
 
-/// Processor time of a thread of this process.
+/// Returns the CPU time that a thread of this process has used.
 fn thread_time(id: &str) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/self/task/{id}/schedstat")).expect("linux");
     let nanoseconds = stat.split_whitespace().next().expect("a time on the processor");
     Duration::from_nanos(nanoseconds.parse().expect("a number"))
 }
 
+/// Returns the resident memory of this process in MiB.
 fn resident_mb() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").expect("linux");
     let pages: usize = statm.split_whitespace().nth(1).expect("pages").parse().expect("a number");
     (pages * PAGE_BYTES) >> 20
 }
 
-/// Starts a controller on a thread of its own; tells its address and thread.
+/// Starts a controller on a separate thread. Returns its public address and its thread id.
 fn start_controller() -> (SocketAddr, String) {
-    let (tell, told) = mpsc::channel();
+    let (ready_sender, ready_receiver) = mpsc::channel();
     std::thread::spawn(move || {
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runs");
@@ -83,7 +84,7 @@
             let mut settings = settings("m-0");
             scale_settings(&mut settings, 15.0);
             settings.cluster.size = 1;
-            // Machines that idle stay.
+            // Idle machines are not returned to the cloud.
             settings.operator.idle_boots = 1e3;
             let backlog = settings.listen_backlog();
             let any_port = "127.0.0.1:0".parse().expect("an address");
@@ -94,24 +95,25 @@
             let address = public.local_addr().expect("an address");
             let thread = std::fs::read_link("/proc/thread-self").expect("linux");
             let thread = thread.file_name().expect("an id").to_string_lossy().into_owned();
-            tell.send((address, thread)).expect("somebody waits");
+            ready_sender.send((address, thread)).expect("the receiver exists");
             let node = Node::new(settings, state, Arc::new(FullCloud), workers, 1);
             node.run(public, internal, CancellationToken::new()).await;
         });
     });
-    told.recv().expect("it listens")
+    ready_receiver.recv().expect("the controller listens")
 }
 
+/// The results of all workers' heartbeats.
 #[derive(Default)]
-struct Heard {
-    answers: AtomicUsize,
+struct HeartbeatResults {
+    responses: AtomicUsize,
     failures: AtomicUsize,
-    times: Mutex<Vec<Duration>>,
+    latencies: Mutex<Vec<Duration>>,
     highest_token: AtomicUsize,
 }
 
-/// Reads one answer: its status and body.
-async fn answer(stream: &mut BufReader<TcpStream>) -> std::io::Result<(u16, Vec<u8>)> {
+/// Reads one HTTP response. Returns its status code and body.
+async fn read_response(stream: &mut BufReader<TcpStream>) -> std::io::Result<(u16, Vec<u8>)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await?);
@@ -124,15 +126,21 @@
     Ok((status, body))
 }
 
-/// A worker's life: connect, report, wait; connect anew when told to.
-async fn work(number: usize, address: SocketAddr, heard: Arc<Heard>, mut restart: Restart) {
+/// Runs one worker: connects, sends heartbeats, and reconnects after a failure or when `reconnect`
+/// changes.
+async fn run_worker(
+    number: usize,
+    address: SocketAddr,
+    results: Arc<HeartbeatResults>,
+    mut reconnect: ReconnectSignal,
+) {
     let name = format!("n-{number:06}");
     let (mut sequence, mut token) = (0_u64, 0_u64);
-    sleep(REPORT * (number as u32 % 1000) / 1000).await;
+    sleep(HEARTBEAT_INTERVAL * (number as u32 % 1000) / 1000).await;
     loop {
-        let Ok(Ok(stream)) = timeout(PATIENCE, TcpStream::connect(address)).await else {
-            heard.failures.fetch_add(1, Ordering::Relaxed);
-            sleep(REPORT).await;
+        let Ok(Ok(stream)) = timeout(RESPONSE_TIMEOUT, TcpStream::connect(address)).await else {
+            results.failures.fetch_add(1, Ordering::Relaxed);
+            sleep(HEARTBEAT_INTERVAL).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -150,30 +158,33 @@
                  Content-Length: {}\r\n\r\n{body}",
                 body.len()
             );
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let exchange = async {
                 stream.get_mut().write_all(request.as_bytes()).await?;
-                answer(&mut stream).await
+                read_response(&mut stream).await
             };
-            let Ok(Ok((200, body))) = timeout(PATIENCE, exchange).await else {
-                heard.failures.fetch_add(1, Ordering::Relaxed);
-                sleep(REPORT).await;
+            let Ok(Ok((200, body))) = timeout(RESPONSE_TIMEOUT, exchange).await else {
+                results.failures.fetch_add(1, Ordering::Relaxed);
+                sleep(HEARTBEAT_INTERVAL).await;
                 break;
             };
-            let answer: serde_json::Value = serde_json::from_slice(&body).expect("json");
-            token = answer["Warrant"].as_u64().expect("a token");
-            heard.highest_token.fetch_max(token as usize, Ordering::Relaxed);
-            heard.answers.fetch_add(1, Ordering::Relaxed);
-            heard.times.lock().expect("not poisoned").push(asked.elapsed());
-            let told = timeout(REPORT.saturating_sub(asked.elapsed()), restart.changed()).await;
-            if told.is_ok() {
+            let response: serde_json::Value = serde_json::from_slice(&body).expect("json");
+            token = response["Warrant"].as_u64().expect("a token");
+            results.highest_token.fetch_max(token as usize, Ordering::Relaxed);
+            results.responses.fetch_add(1, Ordering::Relaxed);
+            results.latencies.lock().expect("not poisoned").push(sent_at.elapsed());
+            let signalled =
+                timeout(HEARTBEAT_INTERVAL.saturating_sub(sent_at.elapsed()), reconnect.changed())
+                    .await;
+            if signalled.is_ok() {
                 break;
             }
         }
     }
 }
 
-type Restart = tokio::sync::watch::Receiver<u32>;
+/// Tells the workers to reconnect.
+type ReconnectSignal = tokio::sync::watch::Receiver<u32>;
 
 #[test]
 #[ignore = "a measurement: 4,000 connections"]
@@ -182,47 +193,48 @@
     let empty_mb = resident_mb();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runs");
     runtime.block_on(async move {
-        let heard = Arc::new(Heard::default());
-        let (tell, restart) = tokio::sync::watch::channel(0);
+        let results = Arc::new(HeartbeatResults::default());
+        let (reconnect_sender, reconnect) = tokio::sync::watch::channel(0);
         sleep(Duration::from_secs(3)).await;
         for number in 0..MACHINES {
-            tokio::spawn(work(number, address, heard.clone(), restart.clone()));
+            tokio::spawn(run_worker(number, address, results.clone(), reconnect.clone()));
         }
         sleep(Duration::from_secs(10)).await;
-        heard.times.lock().expect("not poisoned").clear();
-        let (answers, failures) =
-            (heard.answers.load(Ordering::Relaxed), heard.failures.load(Ordering::Relaxed));
+        results.latencies.lock().expect("not poisoned").clear();
+        let (responses_before, failures_before) =
+            (results.responses.load(Ordering::Relaxed), results.failures.load(Ordering::Relaxed));
         let cpu = thread_time(&thread);
-        sleep(MEASURED).await;
-        let share = (thread_time(&thread) - cpu).as_secs_f64() / MEASURED.as_secs_f64();
-        let answered = heard.answers.load(Ordering::Relaxed) - answers;
-        let failed = heard.failures.load(Ordering::Relaxed) - failures;
-        let mut times = std::mem::take(&mut *heard.times.lock().expect("not poisoned"));
-        times.sort_unstable();
+        sleep(MEASUREMENT_TIME).await;
+        let core_share =
+            (thread_time(&thread) - cpu).as_secs_f64() / MEASUREMENT_TIME.as_secs_f64();
+        let responses = results.responses.load(Ordering::Relaxed) - responses_before;
+        let failed = results.failures.load(Ordering::Relaxed) - failures_before;
+        let mut latencies = std::mem::take(&mut *results.latencies.lock().expect("not poisoned"));
+        latencies.sort_unstable();
         println!(
             "{MACHINES} workers: {:.0} reports a second, {failed} failed, median {:?}, 99% within \
-             {:?}; the controller took {share:.2} of a core; {} MB with both sides of the \
+             {:?}; the controller took {core_share:.2} of a core; {} MB with both sides of the \
              connections, {empty_mb} MB before",
-            answered as f64 / MEASURED.as_secs_f64(),
-            times[times.len() / 2],
-            times[times.len() * 99 / 100],
+            responses as f64 / MEASUREMENT_TIME.as_secs_f64(),
+            latencies[latencies.len() / 2],
+            latencies[latencies.len() * 99 / 100],
             resident_mb(),
         );
-        // All come anew within one instant, as after a change of leader.
-        let before = heard.answers.load(Ordering::Relaxed);
-        let failures = heard.failures.load(Ordering::Relaxed);
-        let began = Instant::now();
-        tell.send_modify(|round| *round += 1);
-        while heard.answers.load(Ordering::Relaxed) < before + MACHINES {
-            assert!(began.elapsed() < Duration::from_secs(30), "they never all came back");
+        // All workers reconnect at the same instant, as after a failover.
+        let responses_before = results.responses.load(Ordering::Relaxed);
+        let failures_before = results.failures.load(Ordering::Relaxed);
+        let started_at = Instant::now();
+        reconnect_sender.send_modify(|round| *round += 1);
+        while results.responses.load(Ordering::Relaxed) < responses_before + MACHINES {
+            assert!(started_at.elapsed() < Duration::from_secs(30), "not all workers reconnected");
             sleep(Duration::from_millis(5)).await;
         }
         println!(
             "all connected anew and answered after {:?}, {} failures",
-            began.elapsed(),
-            heard.failures.load(Ordering::Relaxed) - failures
+            started_at.elapsed(),
+            results.failures.load(Ordering::Relaxed) - failures_before
         );
         assert_eq!(failed, 0);
-        assert!(answered > MACHINES * 15, "{answered} answers");
+        assert!(responses > MACHINES * 15, "{responses} responses");
     });
 }
--- a/tests/production_size.rs
+++ b/tests/production_size.rs
@@ -1,9 +1,9 @@
-//! A thousand machines and ten thousand short tasks in pipelines, and four thousand
-//! with four times as many, with seeded faults of many kinds at once. What workers
-//! run is judged by `invariants`.
+//! Pipelines of about ten thousand short tasks on a thousand machines, and four times as many on
+//! four thousand machines, under many kinds of seeded faults at the same time. The simulated
+//! deployment checks every task that a worker starts (`common::invariants`).
 //!
-//! `PRODUCTION_SIZE_SEED=7 cargo test --test production_size -- --ignored` plays
-//! one seed of either size, and without the variable many of them.
+//! `PRODUCTION_SIZE_SEED=7 cargo test --test production_size -- --ignored` runs one seed with both
+//! sizes. Without the variable it runs several seeds.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
@@ -20,50 +20,50 @@
 use stonewheel_testing::LateTransactions;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How much is played, and with what.
+/// The size of the fleet and of the load.
 #[derive(Clone, Copy)]
 struct Size {
     machines: u32,
     pipelines: u32,
-    /// How many times the usual settings' rates and sockets there are.
+    /// The factor on the rates and sockets of the usual settings.
     scale: f64,
 }
 
 const THOUSAND: Size = Size { machines: 1000, pipelines: 45, scale: 1.0 };
 const FOUR_THOUSAND: Size = Size { machines: 4000, pipelines: 180, scale: 4.0 };
-/// Submissions and faults are spread over this time.
-const BUSY_S: f64 = 90.0;
-/// By then every job has to be over.
-const END_S: f64 = 300.0;
-/// `cancel_s` of the settings.
+/// The time over which submissions and faults are spread.
+const FAULT_PERIOD_S: f64 = 90.0;
+/// The time by which every job must have ended.
+const DEADLINE_S: f64 = 300.0;
+/// The value of `cancel_s` in the settings.
 const CANCEL_S: f64 = 36.0;
 
-/// How long users wait for an answer: a controller that ends gives none.
-const USER_PATIENCE: Duration = Duration::from_secs(2);
+/// The time-out of a user's request, since a killed controller sends no response.
+const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One job of the plan.
-struct Planned {
+/// A job to submit during the test.
+struct PlannedJob {
     id: String,
     fields: serde_json::Value,
-    needs: Vec<String>,
-    at_s: f64,
+    dependencies: Vec<String>,
+    submit_at_s: f64,
     run_s: u64,
-    /// When its user calls it off, if so.
+    /// When the user cancels the job, if at all.
     cancel_at_s: Option<f64>,
 }
 
-/// Pipelines of four stages: two arrays, a gang, and a short array at the end.
-fn plan(rng: &mut StdRng, pipelines: u32) -> Vec<Planned> {
-    let mut jobs: Vec<Planned> = Vec::new();
+/// Plans pipelines of four stages: two arrays, a gang, and a short array at the end.
+fn plan(rng: &mut StdRng, pipelines: u32) -> Vec<PlannedJob> {
+    let mut jobs: Vec<PlannedJob> = Vec::new();
     let mut numbers: Vec<u32> = (1..=pipelines * 4).collect();
-    // Ids come in no order.
-    for at in (1..numbers.len()).rev() {
-        numbers.swap(at, rng.random_range(0..=at));
+    // Shuffles the ids.
+    for index in (1..numbers.len()).rev() {
+        numbers.swap(index, rng.random_range(0..=index));
     }
     for pipeline in 0..pipelines {
-        let start_s = rng.random_range(0.0..BUSY_S * 0.6);
-        let cancelled = rng.random_bool(0.3).then(|| rng.random_range(0..4_usize));
-        let mut needs: Vec<String> = Vec::new();
+        let start_s = rng.random_range(0.0..FAULT_PERIOD_S * 0.6);
+        let cancelled_stage = rng.random_bool(0.3).then(|| rng.random_range(0..4_usize));
+        let mut dependencies: Vec<String> = Vec::new();
         for stage in 0..4 {
             let id = format!("j-{:06}", numbers[(pipeline * 4 + stage) as usize]);
             let large = rng.random_bool(0.1);
@@ -78,41 +78,48 @@
                 }
                 _ => (json!({"Spokes": rng.random_range(1..11), "Rank": "high"}), 8),
             };
-            let at_s = start_s + f64::from(stage) * rng.random_range(0.1..1.0);
-            let cancel_at_s = (cancelled == Some(stage as usize))
-                .then(|| at_s + rng.random_range(0.5..BUSY_S * 0.5));
-            jobs.push(Planned { id: id.clone(), fields, needs, at_s, run_s, cancel_at_s });
-            needs = vec![id];
+            let submit_at_s = start_s + f64::from(stage) * rng.random_range(0.1..1.0);
+            let cancel_at_s = (cancelled_stage == Some(stage as usize))
+                .then(|| submit_at_s + rng.random_range(0.5..FAULT_PERIOD_S * 0.5));
+            jobs.push(PlannedJob {
+                id: id.clone(),
+                fields,
+                dependencies,
+                submit_at_s,
+                run_s,
+                cancel_at_s,
+            });
+            dependencies = vec![id];
             if stage == 1 {
-                // The gang needs both arrays.
-                needs.push(jobs[jobs.len() - 2].id.clone());
+                // The gang depends on both arrays.
+                dependencies.push(jobs[jobs.len() - 2].id.clone());
             }
         }
     }
     jobs
 }
 
-/// A number of a node.
+/// Draws the index of a controller.
 fn any_node(rng: &mut StdRng) -> usize {
     rng.random_range(0..3)
 }
 
-/// Submits a job at its time, again and again until it is accepted, and cancels
-/// it likewise.
-async fn play(deployment: TestDeployment, job: Planned, begin: Instant, seed: u64) {
+/// Submits a job at its planned time, with retries until it is accepted, and cancels it in the same
+/// way if that is planned.
+async fn submit_and_cancel(deployment: TestDeployment, job: PlannedJob, begin: Instant, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let at = |s: f64| begin + Duration::from_secs_f64(s);
-    sleep_until(at(job.at_s)).await;
+    let instant_at = |s: f64| begin + Duration::from_secs_f64(s);
+    sleep_until(instant_at(job.submit_at_s)).await;
     deployment.runs_for(&job.id, job.run_s);
     let mut fields = job.fields;
     fields["Cores"] = json!(1.0);
     fields["Gpus"] = json!(0.0);
     fields["MemoryGb"] = json!(1.0);
-    fields["Awaits"] = json!(job.needs);
+    fields["Awaits"] = json!(job.dependencies);
     loop {
         if let Some(node) = deployment.running_node(any_node(&mut rng)) {
             let reply =
-                timeout(USER_PATIENCE, deployment.submit(node, &job.id, fields.clone())).await;
+                timeout(USER_TIMEOUT, deployment.submit(node, &job.id, fields.clone())).await;
             if reply.is_ok_and(|reply| state(&reply).is_some()) {
                 break;
             }
@@ -120,10 +127,10 @@
         sleep(Duration::from_secs(1)).await;
     }
     let Some(cancel_at_s) = job.cancel_at_s else { return };
-    sleep_until(at(cancel_at_s)).await;
+    sleep_until(instant_at(cancel_at_s)).await;
     loop {
         if let Some(node) = deployment.running_node(any_node(&mut rng)) {
-            let reply = timeout(USER_PATIENCE, deployment.cancel(node, &job.id)).await;
+            let reply = timeout(USER_TIMEOUT, deployment.cancel(node, &job.id)).await;
             if reply.is_ok_and(|reply| state(&reply).is_some()) {
                 return;
             }
@@ -132,16 +139,17 @@
     }
 }
 
-/// Faults until the busy time is over, all of them at once.
-async fn faults(deployment: TestDeployment, begin: Instant, seed: u64) {
+/// Injects faults until the fault period is over: random ones one after another, and late commands
+/// and transactions all the time.
+async fn inject_faults(deployment: TestDeployment, begin: Instant, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let end = begin + Duration::from_secs_f64(BUSY_S);
-    // Minutes may pass on a network that is interrupted.
-    let latest_s = if seed.is_multiple_of(2) { 16.0 } else { 60.0 };
-    deployment.set_late_commands(Some(LateCommands::new(seed, 0.35, 2.0..latest_s)));
+    let end = begin + Duration::from_secs_f64(FAULT_PERIOD_S);
+    // An interrupted network may delay a command by up to a minute.
+    let max_delay_s = if seed.is_multiple_of(2) { 16.0 } else { 60.0 };
+    deployment.set_late_commands(Some(LateCommands::new(seed, 0.35, 2.0..max_delay_s)));
     deployment.state.set_late(Some(LateTransactions::new(seed, 0.04, 0.5)));
     deployment.state.set_window(40);
-    let mut old_reports: Vec<WorkerHeartbeat> = Vec::new();
+    let mut old_heartbeats: Vec<WorkerHeartbeat> = Vec::new();
     while Instant::now() < end {
         sleep(Duration::from_secs_f64(rng.random_range(4.0..10.0))).await;
         let Some(leader) = deployment.leader().and_then(|l| deployment.running_node(l)) else {
@@ -150,13 +158,13 @@
         match rng.random_range(0..9) {
             0 => deployment.freeze(leader, rng.random_range(1.0..8.0)),
             1 => {
-                old_reports = deployment.last_heartbeats();
+                old_heartbeats = deployment.last_heartbeats();
                 deployment.kill_node(leader);
                 sleep(Duration::from_secs_f64(rng.random_range(1.0..5.0))).await;
                 deployment.start_node(leader);
             }
             2 => {
-                // Long enough for the watch's window to pass.
+                // Long enough for the node's watch to fall behind the window of changes.
                 let node = any_node(&mut rng);
                 deployment.state.refuse(&format!("m-{node}"), true);
                 sleep(Duration::from_secs_f64(rng.random_range(2.0..9.0))).await;
@@ -170,7 +178,7 @@
                 }
             }
             4 => {
-                // Their reports arrive, but nothing reaches them.
+                // Heartbeats of these machines arrive, but nothing reaches the machines.
                 let machines = deployment.machines();
                 let unreachable: Vec<_> = (0..15)
                     .map(|_| machines[rng.random_range(0..machines.len())].clone())
@@ -196,8 +204,8 @@
                 }
             }
             _ => {
-                // Held back until a new leader acts.
-                for heartbeat in std::mem::take(&mut old_reports) {
+                // Delivers heartbeats from before an earlier failover.
+                for heartbeat in std::mem::take(&mut old_heartbeats) {
                     let _ = deployment
                         .running_node(leader)
                         .map(|n| deployment.node(n).answer_heartbeat_now(&heartbeat));
@@ -209,41 +217,44 @@
     deployment.state.set_late(None);
 }
 
-/// Jobs that are neither done nor cancelled, as a user hears it.
-async fn unfinished(deployment: &TestDeployment, ids: &[String]) -> Vec<String> {
-    let mut left = Vec::new();
+/// Returns the jobs that are neither done nor cancelled according to the answers to a user.
+async fn unfinished_jobs(deployment: &TestDeployment, ids: &[String]) -> Vec<String> {
+    let mut unfinished = Vec::new();
     for id in ids {
         let Some(node) = deployment.running_node(0) else { return ids.to_vec() };
-        let reply = timeout(USER_PATIENCE, deployment.status(node, id)).await;
-        let heard = reply.as_ref().ok().and_then(state);
-        if !matches!(heard, Some(JobState::Done | JobState::Cancelled)) {
-            left.push(format!("{id}: {reply:?}"));
+        let reply = timeout(USER_TIMEOUT, deployment.status(node, id)).await;
+        let answered_state = reply.as_ref().ok().and_then(state);
+        if !matches!(answered_state, Some(JobState::Done | JobState::Cancelled)) {
+            unfinished.push(format!("{id}: {reply:?}"));
         }
     }
-    left
+    unfinished
 }
 
-/// Asks again and again about the dependants of cancelled jobs: `cancel_s` after
-/// their user was told, none may be called pending or running.
-async fn watch_dependants(deployment: TestDeployment, needs: BTreeMap<String, Vec<String>>) {
-    let mut told: BTreeMap<String, Instant> = BTreeMap::new();
+/// Polls the dependent jobs of cancelled jobs. `cancel_s` after the cancellation was confirmed to
+/// the user, none of them may be reported as pending or running.
+async fn check_dependent_jobs(
+    deployment: TestDeployment,
+    dependencies: BTreeMap<String, Vec<String>>,
+) {
+    let mut cancelled_since: BTreeMap<String, Instant> = BTreeMap::new();
     loop {
         sleep(Duration::from_secs(2)).await;
-        for (id, needs) in &needs {
-            let cancelled = |need: &String| {
-                told.contains_key(need)
-                    || deployment.final_answer(need) == Some(JobState::Cancelled)
+        for (id, dependencies) in &dependencies {
+            let cancelled = |dependency: &String| {
+                cancelled_since.contains_key(dependency)
+                    || deployment.final_answer(dependency) == Some(JobState::Cancelled)
             };
-            if !told.contains_key(id) && needs.iter().any(cancelled) {
-                told.insert(id.clone(), Instant::now());
+            if !cancelled_since.contains_key(id) && dependencies.iter().any(cancelled) {
+                cancelled_since.insert(id.clone(), Instant::now());
             }
         }
-        for (id, since) in &told {
+        for (id, since) in &cancelled_since {
             if since.elapsed().as_secs_f64() < CANCEL_S || deployment.final_answer(id).is_some() {
                 continue;
             }
             let Some(node) = deployment.running_node(1) else { continue };
-            let reply = timeout(USER_PATIENCE, deployment.status(node, id)).await;
+            let reply = timeout(USER_TIMEOUT, deployment.status(node, id)).await;
             if let Ok(Ok(UserReply::Known(status))) = &reply
                 && status.state != JobState::Cancelled
             {
@@ -253,33 +264,39 @@
     }
 }
 
-/// Plays one seed and tells what broke.
-async fn broken_by(seed: u64, size: Size) -> Vec<String> {
+/// Runs one seed and returns the violations.
+async fn run_seed(seed: u64, size: Size) -> Vec<String> {
     let deployment = TestDeployment::in_two_zones_scaled(size.machines, size.scale).await;
     let mut rng = StdRng::seed_from_u64(seed);
     let jobs = plan(&mut rng, size.pipelines);
     let ids: Vec<String> = jobs.iter().map(|job| job.id.clone()).collect();
-    let needs = jobs.iter().map(|job| (job.id.clone(), job.needs.clone())).collect();
+    let dependencies = jobs.iter().map(|job| (job.id.clone(), job.dependencies.clone())).collect();
     let begin = Instant::now();
-    tokio::spawn(watch_dependants(deployment.clone(), needs));
-    tokio::spawn(faults(deployment.clone(), begin, seed));
+    tokio::spawn(check_dependent_jobs(deployment.clone(), dependencies));
+    tokio::spawn(inject_faults(deployment.clone(), begin, seed));
     for (number, job) in jobs.into_iter().enumerate() {
-        // The stages of a pipeline come one after another, each once the ones
-        // that it needs are accepted: a refusal is tried again.
-        tokio::spawn(play(deployment.clone(), job, begin, seed ^ (number as u64 + 1) << 20));
+        // A stage is accepted only after the stages that it depends on: until then its
+        // submission is retried.
+        tokio::spawn(submit_and_cancel(
+            deployment.clone(),
+            job,
+            begin,
+            seed ^ (number as u64 + 1) << 20,
+        ));
     }
-    let end = begin + Duration::from_secs_f64(END_S);
-    sleep_until(begin + Duration::from_secs_f64(BUSY_S)).await;
-    let mut left = unfinished(&deployment, &ids).await;
-    while !left.is_empty() && Instant::now() < end {
+    let end = begin + Duration::from_secs_f64(DEADLINE_S);
+    sleep_until(begin + Duration::from_secs_f64(FAULT_PERIOD_S)).await;
+    let mut unfinished = unfinished_jobs(&deployment, &ids).await;
+    while !unfinished.is_empty() && Instant::now() < end {
         sleep(Duration::from_secs(5)).await;
-        left = unfinished(&deployment, &ids).await;
+        unfinished = unfinished_jobs(&deployment, &ids).await;
     }
-    let mut broken = deployment.violations();
-    broken.extend(left.into_iter().map(|job| format!("stuck or forgotten: {job}")));
+    let mut violations = deployment.violations();
+    violations.extend(unfinished.into_iter().map(|job| format!("stuck or forgotten: {job}")));
+    // The text up to the first colon is the violated rule.
     let mut kinds: BTreeMap<&str, u32> = BTreeMap::new();
-    for what in &broken {
-        *kinds.entry(what.split(':').next().unwrap_or_default()).or_default() += 1;
+    for violation in &violations {
+        *kinds.entry(violation.split(':').next().unwrap_or_default()).or_default() += 1;
     }
     println!(
         "seed {seed}, {} machines: {} starts, {} watches passed, broken: {kinds:?}, {:.0} s",
@@ -288,37 +305,37 @@
         deployment.state.too_old(),
         begin.elapsed().as_secs_f64()
     );
-    broken
+    violations
 }
 
-async fn keeps_the_rules(seed: u64, size: Size) {
-    let broken = broken_by(seed, size).await;
-    let first: Vec<&String> = broken.iter().take(12).collect();
-    assert!(broken.is_empty(), "seed {seed}: {} broken, first {first:#?}", broken.len());
+async fn assert_no_violations(seed: u64, size: Size) {
+    let violations = run_seed(seed, size).await;
+    let first: Vec<&String> = violations.iter().take(12).collect();
+    assert!(violations.is_empty(), "seed {seed}: {} broken, first {first:#?}", violations.len());
 }
 
 #[tokio::test(start_paused = true)]
 async fn short_tasks_keep_the_rules_under_faults_seed_1() {
-    keeps_the_rules(1, THOUSAND).await;
+    assert_no_violations(1, THOUSAND).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn short_tasks_keep_the_rules_under_faults_seed_2() {
-    keeps_the_rules(2, THOUSAND).await;
+    assert_no_violations(2, THOUSAND).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn four_thousand_machines_keep_the_rules_under_faults_seed_1() {
-    keeps_the_rules(1, FOUR_THOUSAND).await;
+    assert_no_violations(1, FOUR_THOUSAND).await;
 }
 
 #[tokio::test(start_paused = true)]
 #[ignore = "takes long: many seeds, or the one of PRODUCTION_SIZE_SEED"]
 async fn short_tasks_keep_the_rules_under_faults_many_seeds() {
-    let one = std::env::var("PRODUCTION_SIZE_SEED").ok().and_then(|seed| seed.parse().ok());
-    let seeds = one.map_or(3..=12, |seed| seed..=seed);
+    let only_seed = std::env::var("PRODUCTION_SIZE_SEED").ok().and_then(|seed| seed.parse().ok());
+    let seeds = only_seed.map_or(3..=12, |seed| seed..=seed);
     for seed in seeds {
-        keeps_the_rules(seed, THOUSAND).await;
-        keeps_the_rules(seed, FOUR_THOUSAND).await;
+        assert_no_violations(seed, THOUSAND).await;
+        assert_no_violations(seed, FOUR_THOUSAND).await;
     }
 }
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! Stepped rollout onto the scheduler: replicas as service jobs, over three controllers
-//! and machines of which one is lost, while the leader ends.
+//! A stepped rollout whose replicas are service jobs of the scheduler, with three controllers,
+//! a failover and the loss of a machine.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
@@ -35,7 +35,7 @@
     parse_sections(sections.into_iter()).expect("valid").expect("switched on")
 }
 
-/// A replica answers while a task of its job runs on its machine.
+/// A health probe that a replica answers while a task of its job runs on the replica's machine.
 struct MemProbe(TestDeployment);
 
 impl ReplicaProbe for MemProbe {
@@ -50,45 +50,52 @@
     }
 }
 
-fn start(cluster: &TestDeployment, at: usize) -> Arc<Executor> {
-    let node = cluster.node(at);
+/// Starts the rollout executor of a running controller.
+fn start_executor(deployment: &TestDeployment, node_index: usize) -> Arc<Executor> {
+    let node = deployment.node(node_index);
     let coordinator = coordinator(&node);
-    let stop = cluster.stop_token(at);
+    let stop = deployment.stop_token(node_index);
     tokio::spawn(coordinator.clone().run(stop.clone()));
-    let probe = Arc::new(MemProbe(cluster.clone()));
-    let executor = executor(&node, coordinator, probe, at as u64).expect("switched on");
+    let probe = Arc::new(MemProbe(deployment.clone()));
+    let executor = executor(&node, coordinator, probe, node_index as u64).expect("switched on");
     tokio::spawn(executor.clone().run(stop));
     executor
 }
 
-fn record(cluster: &TestDeployment) -> ServiceRecord {
-    let text = cluster.state.value(&service_key(SERVICE)).expect("a service");
+/// Returns the stored record of the service.
+fn service_record(deployment: &TestDeployment) -> ServiceRecord {
+    let text = deployment.state.value(&service_key(SERVICE)).expect("a service");
     serde_json::from_str(&text).expect("a record")
 }
 
-fn capacity(cluster: &TestDeployment) -> usize {
-    let record = record(cluster);
+/// Returns how many replicas in the serving stage run on a machine.
+fn serving_replicas(deployment: &TestDeployment) -> usize {
+    let record = service_record(deployment);
     let serving = record.replicas.iter().filter(|r| r.stage == ReplicaStage::Serving);
-    let machines = cluster.machines();
-    serving.filter(|r| machines.iter().any(|machine| cluster.runs_on(&r.job, machine))).count()
+    let machines = deployment.machines();
+    serving.filter(|r| machines.iter().any(|machine| deployment.runs_on(&r.job, machine))).count()
 }
 
+/// A failover and a lost machine during a rollout must not lower the number of serving replicas below
+/// the level.
 #[tokio::test(start_paused = true)]
-async fn a_rollout_through_the_scheduler_survives_its_leader_and_a_machine() {
-    let cluster = TestDeployment::new(8).await;
-    cluster.set_rollouts(Some(rollouts()));
+async fn rollout_keeps_its_level_across_a_failover_and_the_loss_of_a_machine() {
+    let deployment = TestDeployment::new(8).await;
+    deployment.set_rollouts(Some(rollouts()));
     let mut executors = Vec::new();
-    for at in 0..3 {
-        cluster.kill_node(at);
+    for node_index in 0..3 {
+        deployment.kill_node(node_index);
         sleep(Duration::from_secs(5)).await;
-        cluster.start_node(at);
-        executors.push(start(&cluster, at));
+        deployment.start_node(node_index);
+        executors.push(start_executor(&deployment, node_index));
     }
     sleep(Duration::from_secs(10)).await;
     executors[0].create(SERVICE, "img-1", LEVEL).await.expect("deployed");
     let again = executors[1].create(SERVICE, "img-1", LEVEL).await;
     assert_eq!(again, Err(CommandFailure::Refused(CommandError::Deployed)));
-    cluster.until("it answers", || capacity(&cluster) == LEVEL as usize).await;
+    deployment
+        .until("the level is reached", || serving_replicas(&deployment) == LEVEL as usize)
+        .await;
     sleep(Duration::from_secs(10)).await;
     assert_eq!(executors[2].endpoints(SERVICE).await.map(|e| e.len()), Some(LEVEL as usize));
     let command = Command {
@@ -96,28 +103,28 @@
         kind: CommandKind::Start { to: "img-2".into(), steps: vec![50, 100], surge: 3 },
     };
     executors[1].command(SERVICE, &command).await.expect("accepted");
-    let leader = cluster.leader().expect("a leader");
+    let leader = deployment.leader().expect("a leader");
     sleep(Duration::from_secs(12)).await;
-    cluster.kill_node(leader);
-    // The level without the loss; the machine takes what it holds until that moved.
-    let mut least = usize::MAX;
+    deployment.kill_node(leader);
+    // Includes the time from the loss of the machine until its replicas are replaced.
+    let mut min_serving = usize::MAX;
     for tick in 0..2000 {
         if tick == 100 {
-            let job = record(&cluster).replicas[0].job.clone();
-            let machine = cluster.machines().into_iter().find(|m| cluster.runs_on(&job, m));
-            cluster.remove_machine(&machine.expect("it runs"));
+            let job = service_record(&deployment).replicas[0].job.clone();
+            let machine = deployment.machines().into_iter().find(|m| deployment.runs_on(&job, m));
+            deployment.remove_machine(&machine.expect("the replica runs"));
         }
-        least = least.min(capacity(&cluster));
-        if record(&cluster).rollout.is_some_and(|rollout| rollout.phase.is_over()) {
+        min_serving = min_serving.min(serving_replicas(&deployment));
+        if service_record(&deployment).rollout.is_some_and(|rollout| rollout.phase.is_over()) {
             break;
         }
         sleep(Duration::from_millis(100)).await;
     }
-    let record = record(&cluster);
+    let record = service_record(&deployment);
     assert_eq!(record.rollout.map(|rollout| rollout.phase), Some(Phase::Done));
     assert!(record.replicas.iter().all(|replica| replica.version == "img-2"));
-    assert!(least >= LEVEL as usize, "{least} replicas answered");
-    let live: Vec<String> = cluster.state.keys("sp/r/j/");
-    assert_eq!(live.len(), LEVEL as usize, "all others were withdrawn: {live:?}");
-    assert_no_violation(&cluster);
+    assert!(min_serving >= LEVEL as usize, "{min_serving} replicas served");
+    let remaining: Vec<String> = deployment.state.keys("sp/r/j/");
+    assert_eq!(remaining.len(), LEVEL as usize, "all others were withdrawn: {remaining:?}");
+    assert_no_violation(&deployment);
 }
