--- a/tests/link_samples.rs
+++ b/tests/link_samples.rs
@@ -1,5 +1,5 @@
-//! Pins one whole frame of the links between controllers, with every section: changes here
-//! break compatibility with controllers of another version in the same set.
+//! Pins one complete frame of the links between controllers, with every section. Changes here break
+//! compatibility between controllers of different versions in one cluster.
 
 use stonewheel::{
     peers::{MIN_FRAME_LIMIT, Message, decode, encode},
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_frame_with_every_section() {
+fn frame_with_every_section_keeps_its_bytes() {
     assert_eq!(MIN_FRAME_LIMIT, 65_536);
     assert_eq!(encode(message()), FRAME);
     assert_eq!(decode(&FRAME), Some(message()));
--- a/tests/settings_samples.rs
+++ b/tests/settings_samples.rs
@@ -1,5 +1,5 @@
-//! Pins the names of all settings, the messages for mistakes in them and what `--check` prints:
-//! changes here break compatibility with deployed settings files and operators' scripts.
+//! Pins the names of all settings, the error messages for invalid ones and the output of `--check`.
+//! Changes here break compatibility with deployed settings files and operators' scripts.
 
 use std::{
     path::{Path, PathBuf},
@@ -8,7 +8,7 @@
 
 use stonewheel::settings::{OperatorSettings, Settings};
 
-/// A section's name and its keys, in the file's order.
+/// A section's name and its keys, in their order in the file.
 type Section = (&'static str, &'static [&'static str]);
 
 const ACTIVATION: &[Section] = &[
@@ -68,7 +68,8 @@
 const BUILD: &str = r#"build = "cargo build --release""#;
 const RUN: &str = r#"run = "target/release/stonewheel --config""#;
 
-/// Every key that operators may set. Unknown ones are mistakes, so each is known.
+/// Every key that operators may set. An unknown key is an error, so a valid sample shows that every
+/// key is known.
 const OPERATOR: &str = "\
 [scheduler]
 round_s = 5
@@ -140,7 +141,7 @@
 ceiling = 3
 ";
 
-/// Every key of the platform's file.
+/// Every key of the platform's settings file.
 const PLATFORM: &str = r#"member = "m-0"
 zone = "a"
 public_addr = "127.0.0.1:7001"
@@ -196,7 +197,7 @@
 fd_limit = 600
 "#;
 
-/// The teams of the deployed files, and the line that follows the teams.
+/// The teams that the files in `deploy/` name, and the line that follows the teams in `PLATFORM`.
 const DEPLOYED_TEAMS: &str = r#"[[cluster.teams]]
 name = "harbor-rx"
 [[cluster.teams]]
@@ -253,9 +254,9 @@
 }
 
 #[test]
-fn every_key_of_the_operators_is_known() {
+fn every_operator_setting_is_known() {
     let operator = OperatorSettings::parse("o.ini", OPERATOR).expect("valid");
-    let figures = [
+    let values = [
         operator.round_s,
         operator.resize_gain,
         operator.gang_slope,
@@ -263,11 +264,11 @@
         operator.headroom,
         operator.expected_machines,
     ];
-    assert_eq!(figures, [5.0, 0.06, 0.2, 0.3, 0.5, 4.0]);
+    assert_eq!(values, [5.0, 0.06, 0.2, 0.3, 0.5, 4.0]);
     let mut settings = Settings::parse("s.toml", PLATFORM).expect("valid");
     settings.operator = operator;
     assert_eq!(settings.check_parts("o.ini"), Ok(()));
-    let missing_key = |line: &str| {
+    let error_without = |line: &str| {
         let text = OPERATOR.replacen(line, "", 1);
         OperatorSettings::parse("o.ini", &text).expect_err(line).to_string()
     };
@@ -279,12 +280,12 @@
         ("ceiling = 3\n", "o.ini: lending-team blue.ceiling: is missing"),
         ("[lending]\n", "o.ini: service matcher.expected_machines: unknown key"),
     ] {
-        assert_eq!(missing_key(line), message);
+        assert_eq!(error_without(line), message);
     }
 }
 
 #[test]
-fn every_key_of_the_platform_is_read() {
+fn every_platform_setting_is_read() {
     let settings = Settings::parse("s.toml", PLATFORM).expect("valid");
     let cluster = &settings.cluster;
     assert_eq!((settings.member.as_str(), settings.zone.as_str()), ("m-0", "a"));
@@ -306,12 +307,12 @@
     };
     assert_eq!(team("blue"), [100.0, 200.0, 16.0, 32.0]);
     assert_eq!(team("red"), [0.0; 4]);
-    let aims: Vec<_> = cluster
+    let objectives: Vec<_> = cluster
         .objectives
         .iter()
-        .map(|aim| (aim.kind.as_str(), aim.class.as_deref(), aim.within_s))
+        .map(|objective| (objective.kind.as_str(), objective.class.as_deref(), objective.within_s))
         .collect();
-    assert_eq!(aims, [("wait", Some("chat"), Some(45.0)), ("cost", None, None)]);
+    assert_eq!(objectives, [("wait", Some("chat"), Some(45.0)), ("cost", None, None)]);
     let workers = &cluster.workers;
     let times = [
         workers.report_s,
@@ -330,14 +331,14 @@
     assert_eq!((quota.core_share, quota.mem_mb, quota.fd_limit), (0.08, 48.0, 600));
 }
 
-/// What is said of the sample once a text in it is replaced by another.
-fn mistake(from: &str, to: &str) -> String {
+/// Returns the error of parsing `PLATFORM` with the first `from` replaced by `to`.
+fn parse_error(from: &str, to: &str) -> String {
     let text = PLATFORM.replacen(from, to, 1);
     Settings::parse("s.toml", &text).expect_err(from).to_string()
 }
 
 #[test]
-fn mistakes_of_the_platforms_file() {
+fn error_messages_for_the_platform_settings() {
     for (from, to, message) in [
         ("member = \"m-0\"\n", "", ".: missing field `member`"),
         ("\"m-0\"", "\"\"", "member: must not be empty"),
@@ -356,12 +357,12 @@
         ("fd_limit = 600", "fd_limit = 31", "cluster.quota.fd_limit: must be at least 32"),
         ("[services]", "[services", "syntax: unclosed table, expected `]`"),
     ] {
-        assert_eq!(mistake(from, to), format!("s.toml: {message}"));
+        assert_eq!(parse_error(from, to), format!("s.toml: {message}"));
     }
 }
 
 #[test]
-fn figures_that_must_be_more_than_0() {
+fn platform_settings_that_must_be_more_than_0() {
     for (from, to, field) in [
         ("report_s = 1.0", "report_s = 0", "cluster.workers.report_s"),
         ("lease_s = 11.0", "lease_s = 0", "cluster.workers.lease_s"),
@@ -377,11 +378,11 @@
         ("core_share = 0.08", "core_share = 0", "cluster.quota.core_share"),
         ("mem_mb = 48.0", "mem_mb = 0", "cluster.quota.mem_mb"),
     ] {
-        assert_eq!(mistake(from, to), format!("s.toml: {field}: must be more than 0"));
+        assert_eq!(parse_error(from, to), format!("s.toml: {field}: must be more than 0"));
     }
 }
 
-/// A file that is there for as long as this lives.
+/// A file that is removed when the value is dropped.
 struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
@@ -399,7 +400,8 @@
     }
 }
 
-/// Standard output, standard error with the files' paths replaced, and the exit code.
+/// Runs the program with `--check`. Returns its standard output, its standard error with the files'
+/// paths replaced, and its exit code.
 fn check(name: &str, platform: &str, operator: Option<&str>) -> (String, String, Option<i32>) {
     let platform = TemporaryFile::new(&format!("{name}.toml"), platform);
     let operator = operator.map(|text| TemporaryFile::new(&format!("{name}.ini"), text));
@@ -409,30 +411,30 @@
         command.arg("--operator").arg(&operator.0);
     }
     let output = command.output().expect("the program runs");
-    let printed = |bytes| String::from_utf8(bytes).expect("text");
-    let mut errors = printed(output.stderr).replace(&platform.0.display().to_string(), "PLATFORM");
+    let text_of = |bytes| String::from_utf8(bytes).expect("text");
+    let mut errors = text_of(output.stderr).replace(&platform.0.display().to_string(), "PLATFORM");
     if let Some(operator) = &operator {
         errors = errors.replace(&operator.0.display().to_string(), "OPERATOR");
     }
-    (printed(output.stdout), errors, output.status.code())
+    (text_of(output.stdout), errors, output.status.code())
 }
 
 #[test]
-fn the_program_checks_settings() {
+fn check_flag_validates_settings_files() {
     let valid = "the settings are valid\n";
-    let unlisted = PLATFORM.replacen("size = 3", "size = 4", 1);
-    let empty = PLATFORM.replacen("size = 3", "size = 0", 1);
+    let fourth_unlisted = PLATFORM.replacen("size = 3", "size = 4", 1);
+    let zero_size = PLATFORM.replacen("size = 3", "size = 0", 1);
     let cases = [
         (PLATFORM, None, valid, "", 0),
         (PLATFORM, Some(OPERATOR), valid, "", 0),
         (
-            &unlisted,
+            &fourth_unlisted,
             None,
             valid,
             "stonewheel: PLATFORM: warning: members: 2 others are listed for 4 controllers\n",
             0,
         ),
-        (&empty, None, "", "stonewheel: PLATFORM: cluster.size: must be at least 1\n", 2),
+        (&zero_size, None, "", "stonewheel: PLATFORM: cluster.size: must be at least 1\n", 2),
         (
             PLATFORM,
             Some("[fleet]\nround_s = 1\n"),
@@ -448,7 +450,7 @@
 }
 
 #[test]
-fn the_program_checks_the_operators_files_that_come_with_the_project() {
+fn check_flag_validates_the_operator_files_in_deploy() {
     for (file, team) in [
         ("deploy/activation.ini", "model rush-router.team: cluster.teams has no station-ops-00"),
         ("deploy/lending.ini", "lending-team station-ops-00: cluster.teams has no station-ops-00"),
--- a/tests/stored_samples.rs
+++ b/tests/stored_samples.rs
@@ -1,4 +1,4 @@
-//! Pins keys and values of the durable records beside those in `upgrade.rs`: changes here
+//! Pins keys and values of the durable records, in addition to those in `upgrade.rs`. Changes here
 //! break compatibility with stored data and with controllers of another version.
 
 #[allow(dead_code)] // Each test file uses its own part.
@@ -24,12 +24,12 @@
 };
 
 const JOB: &str = r#"{"Ref":"j-000007","Grain":"train","Crew":"blue","Shape":"batch","Rank":"high","Spokes":3,"Cores":2.0,"Gpus":1.0,"MemoryGb":8.0,"Mould":"img","ImageGb":1.5,"Together":false,"Scatter":false,"Driftwood":false,"ReckonS":20.0,"NotchS":10.0,"StashS":2.0}"#;
-const TOKEN_KEY: &str = "1048577";
-const STRAY: &str = r#""m-1""#;
-const MACHINE_TYPES_KEY: &str = r#"[{"Label":"g8","Cores":96.0,"Gpus":8.0,"MemoryGb":768.0,"LocalGb":900.0,"PullGbPerS":0.5,"Hourly":12.5,"LowPrice":4.25,"ReadyS":75.0,"Yards":["a","b"]}]"#;
-/// The types that the simulated cloud offers.
-const STORED_TYPES: &str = r#"[{"Label":"g8","Cores":64.0,"Gpus":8.0,"MemoryGb":256.0,"LocalGb":800.0,"PullGbPerS":2.0,"Hourly":20.0,"LowPrice":6.0,"ReadyS":20.0,"Yards":["a","b"]}]"#;
-const LEADER_KEY: &str = r#"{"member":"m-1","incarnation":77,"token":2,"lease":9}"#;
+const TOKEN: &str = "1048577";
+const REJECTED_HEARTBEATS: &str = r#""m-1""#;
+const MACHINE_TYPES: &str = r#"[{"Label":"g8","Cores":96.0,"Gpus":8.0,"MemoryGb":768.0,"LocalGb":900.0,"PullGbPerS":0.5,"Hourly":12.5,"LowPrice":4.25,"ReadyS":75.0,"Yards":["a","b"]}]"#;
+/// The machine types of the simulated cloud.
+const SIMULATED_MACHINE_TYPES: &str = r#"[{"Label":"g8","Cores":64.0,"Gpus":8.0,"MemoryGb":256.0,"LocalGb":800.0,"PullGbPerS":2.0,"Hourly":20.0,"LowPrice":6.0,"ReadyS":20.0,"Yards":["a","b"]}]"#;
+const LEADER: &str = r#"{"member":"m-1","incarnation":77,"token":2,"lease":9}"#;
 const PAGE: &str = r#"{"a":4,"b":[[0,4,"n-000231",1,0]],"d":[[1,2]]}"#;
 
 const SERVICE: &str = r#"{"epoch":3,"owner":{"member":"m-1","incarnation":7},"version":"v1","next_replica":5,"replicas":[{"number":1,"job":"j-101","version":"v1","stage":"starting"},{"number":2,"job":"j-102","version":"v1","stage":"serving"},{"number":3,"job":"j-103","version":"v2","stage":"draining"},{"number":4,"job":"j-104","version":"v2","stage":"stopping"}],"rollout":{"id":"r-1","from":"v1","to":"v2","size":4,"level":3,"surge":2,"steps":[25,100],"step":1,"phase":"soaking","paused":true,"history":[{"phase":"stepping","step":0,"why":"an operator started it"}]},"commands":[{"id":"r-1","kind":"start v2 [25, 100] 2"}]}"#;
@@ -39,13 +39,13 @@
     RawValue::from_string(text.into()).expect("json")
 }
 
-/// The value is stored as this text, and the text is read as the value.
-fn is_stored<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T, text: &str) {
+/// Checks that a value is stored as this text, and that the text is decoded as the value.
+fn assert_stored_as<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T, text: &str) {
     assert_eq!(store::to_raw_value(value).expect("json").get(), text);
     assert_eq!(serde_json::from_str::<T>(text).expect(text), *value, "{text}");
 }
 
-fn types() -> Vec<MachineType> {
+fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -90,14 +90,14 @@
 
 #[test]
 fn scheduler_records() {
-    is_stored(&1_048_577_u64, TOKEN_KEY);
-    is_stored(&"m-1".to_owned(), STRAY);
-    is_stored(&types(), MACHINE_TYPES_KEY);
+    assert_stored_as(&1_048_577_u64, TOKEN);
+    assert_stored_as(&"m-1".to_owned(), REJECTED_HEARTBEATS);
+    assert_stored_as(&machine_types(), MACHINE_TYPES);
     for (state, text) in [
         (JobState::Done, r#"{"s":"done","d":3}"#),
         (JobState::Cancelled, r#"{"s":"aborted","d":3}"#),
     ] {
-        is_stored(&JobEnd { state, done: 3 }, text);
+        assert_stored_as(&JobEnd { state, done: 3 }, text);
     }
 }
 
@@ -105,17 +105,20 @@
 fn scheduler_records_are_found_under_their_keys() {
     let mut watch_cache = WatchCache::default();
     let mut put = |key: &str, value: &str| watch_cache.put(key, raw(value), 5);
-    assert_eq!(put("sw/lead", LEADER_KEY), [Change::Leader]);
-    assert_eq!(put("sw/stray", STRAY), [Change::HeartbeatsRejected]);
-    assert_eq!(put("sw/token", TOKEN_KEY), []);
-    assert_eq!(put("sw/types", MACHINE_TYPES_KEY), []);
+    assert_eq!(put("sw/lead", LEADER), [Change::Leader]);
+    assert_eq!(put("sw/stray", REJECTED_HEARTBEATS), [Change::HeartbeatsRejected]);
+    assert_eq!(put("sw/token", TOKEN), []);
+    assert_eq!(put("sw/types", MACHINE_TYPES), []);
     assert_eq!(put("sw/j/j-000007", JOB), [Change::Arrived("j-000007".into())]);
     assert_eq!(put("sw/p/j-000007/12", PAGE), []);
     assert_eq!(put("sw/e/j-8", r#"{"s":"aborted","d":3}"#), [Change::Ended("j-8".into())]);
     let lead = LeaderRecord { member: "m-1".into(), incarnation: 77, token: 2, lease: 9 };
     assert_eq!(watch_cache.leader, Some(Versioned { version: 5, value: lead }));
     assert_eq!(watch_cache.token, Versioned { version: 5, value: 1_048_577 });
-    assert_eq!(watch_cache.machine_types.as_ref().map(|held| &*held.value), Some(&types()));
+    assert_eq!(
+        watch_cache.machine_types.as_ref().map(|types| &*types.value),
+        Some(&machine_types())
+    );
     let status = watch_cache.status("j-000007").expect("known");
     assert_eq!((status.done, status.running), (2, 1));
     assert_eq!(watch_cache.machines_of("j-000007"), ["n-000231".into()]);
@@ -126,7 +129,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_controllers_store_while_they_run() {
+async fn running_controllers_store_the_pinned_values() {
     let deployment = TestDeployment::new(1).await;
     let submitted = serde_json::from_str(JOB).expect("json");
     deployment.submit(0, "j-000007", submitted).await.expect("accepted");
@@ -137,7 +140,7 @@
     assert_eq!(reply, Ok(InternalJobReply::Done));
     for (key, text) in [
         ("sw/token", "1048576"),
-        ("sw/types", STORED_TYPES),
+        ("sw/types", SIMULATED_MACHINE_TYPES),
         ("sw/j/j-000007", JOB),
         ("sp/r/j/j-000008", r#""m-0""#),
     ] {
@@ -147,8 +150,8 @@
 
 #[test]
 fn coordination_records() {
-    is_stored(&Session { incarnation: 7 }, r#"{"incarnation":7}"#);
-    is_stored(&owner(), r#"{"member":"m-1","incarnation":7}"#);
+    assert_stored_as(&Session { incarnation: 7 }, r#"{"incarnation":7}"#);
+    assert_stored_as(&owner(), r#"{"member":"m-1","incarnation":7}"#);
 }
 
 #[test]
@@ -156,13 +159,16 @@
     use stonewheel_activation::record::{
         Activation, ActivationRecord, AfterStop, ModelState, Stage, UseMarker,
     };
-    is_stored(&UseMarker { lease: 9 }, r#"{"lease":9}"#);
+    assert_stored_as(&UseMarker { lease: 9 }, r#"{"lease":9}"#);
     let record = |state| ActivationRecord { generation: 4, epoch: 6, state };
     let asleep = r#"{"generation":4,"epoch":6,"state":"asleep"}"#;
-    is_stored(&record(ModelState::ScaledToZero), asleep);
-    is_stored(&ActivationRecord::default(), r#"{"generation":0,"epoch":0,"state":"asleep"}"#);
+    assert_stored_as(&record(ModelState::ScaledToZero), asleep);
+    assert_stored_as(
+        &ActivationRecord::default(),
+        r#"{"generation":0,"epoch":0,"state":"asleep"}"#,
+    );
     let failed = r#"{"generation":4,"epoch":6,"state":{"failed":{"reason":"no room"}}}"#;
-    is_stored(&record(ModelState::Failed { reason: "no room".into() }), failed);
+    assert_stored_as(&record(ModelState::Failed { reason: "no room".into() }), failed);
     let endpoints = || vec!["10.0.0.7:8000".to_owned(), "10.0.0.8:8000".to_owned()];
     for (stage, text) in [
         (Stage::Starting, r#""starting""#),
@@ -181,7 +187,7 @@
         let active = Activation { owner: owner(), attempt: 2, job: "j-91".into(), stage };
         let text = r#"{"generation":4,"epoch":6,"state":{"active":{"owner":{"member":"m-1","incarnation":7},"attempt":2,"job":"j-91","stage":STAGE}}}"#
             .replace("STAGE", text);
-        is_stored(&record(ModelState::Active(active)), &text);
+        assert_stored_as(&record(ModelState::Active(active)), &text);
     }
 }
 
@@ -237,19 +243,19 @@
 #[test]
 fn rollout_records() {
     use rollout::Phase;
-    is_stored(&service(), SERVICE);
-    is_stored(&idle_service(), IDLE_SERVICE);
-    is_stored(&Phase::Stepping, r#""stepping""#);
-    is_stored(&Phase::Soaking, r#""soaking""#);
-    is_stored(&Phase::Finishing, r#""finishing""#);
-    is_stored(&Phase::RollingBack, r#""rolling_back""#);
-    is_stored(&Phase::Done, r#""done""#);
-    is_stored(&Phase::RolledBack, r#""rolled_back""#);
-    is_stored(&Phase::Aborted, r#""aborted""#);
+    assert_stored_as(&service(), SERVICE);
+    assert_stored_as(&idle_service(), IDLE_SERVICE);
+    assert_stored_as(&Phase::Stepping, r#""stepping""#);
+    assert_stored_as(&Phase::Soaking, r#""soaking""#);
+    assert_stored_as(&Phase::Finishing, r#""finishing""#);
+    assert_stored_as(&Phase::RollingBack, r#""rolling_back""#);
+    assert_stored_as(&Phase::Done, r#""done""#);
+    assert_stored_as(&Phase::RolledBack, r#""rolled_back""#);
+    assert_stored_as(&Phase::Aborted, r#""aborted""#);
 }
 
 #[test]
-fn replicas_take_numbers_and_jobs_as_before() {
+fn new_replicas_get_consecutive_numbers_and_job_ids() {
     let mut record = idle_service();
     record.add_replica("v2", 1_000);
     record.add_replica("v2", 1_000);
@@ -259,27 +265,27 @@
 }
 
 #[test]
-fn rollout_commands_are_remembered_as_before() {
-    let seen = ReplicaObservation {
+fn rollout_commands_are_recorded_with_the_pinned_texts() {
+    let observation = ReplicaObservation {
         health: ReplicaHealth::Answering,
         machine: Some("n-000231".into()),
         ..ReplicaObservation::default()
     };
-    let observations = ReplicaObservations(BTreeMap::from([(2, seen)]));
+    let observations = ReplicaObservations(BTreeMap::from([(2, observation)]));
     let start = CommandKind::Start { to: "v2".into(), steps: vec![25, 100], surge: 2 };
-    let under_way = service();
-    let mut before = service();
-    before.rollout = None;
+    let with_rollout = service();
+    let mut without_rollout = service();
+    without_rollout.rollout = None;
     for (record, kind, text) in [
-        (&before, start, r#"{"id":"c-1","kind":"start v2 [25, 100] 2"}"#),
-        (&under_way, CommandKind::Pause, r#"{"id":"c-1","kind":"pause"}"#),
-        (&under_way, CommandKind::Resume, r#"{"id":"c-1","kind":"resume"}"#),
-        (&under_way, CommandKind::RollBack, r#"{"id":"c-1","kind":"roll back"}"#),
-        (&under_way, CommandKind::Abort, r#"{"id":"c-1","kind":"abort"}"#),
+        (&without_rollout, start, r#"{"id":"c-1","kind":"start v2 [25, 100] 2"}"#),
+        (&with_rollout, CommandKind::Pause, r#"{"id":"c-1","kind":"pause"}"#),
+        (&with_rollout, CommandKind::Resume, r#"{"id":"c-1","kind":"resume"}"#),
+        (&with_rollout, CommandKind::RollBack, r#"{"id":"c-1","kind":"roll back"}"#),
+        (&with_rollout, CommandKind::Abort, r#"{"id":"c-1","kind":"abort"}"#),
     ] {
         let command = Command { id: "c-1".into(), kind };
-        let after = apply(record, &command, &observations).expect("taken").expect("new");
-        let remembered = after.commands.last().expect("it is remembered");
-        is_stored(remembered, text);
+        let after = apply(record, &command, &observations).expect("accepted").expect("new");
+        let recorded = after.commands.last().expect("the command is recorded");
+        assert_stored_as(recorded, text);
     }
 }
--- a/tests/wire_samples.rs
+++ b/tests/wire_samples.rs
@@ -1,5 +1,5 @@
 //! Pins the JSON bodies that users, workers, the cloud and the state service exchange with
-//! controllers: changes here break compatibility with deployed workers and clients.
+//! controllers. Changes here break compatibility with deployed workers and clients.
 
 use std::fmt::Debug;
 
@@ -18,47 +18,49 @@
 const JOB_STATUS: &str = r#"{"Ref":"j-000007","Stance":"running","done":4,"running":2}"#;
 const ERROR: &str = r#"{"error":"Ref is not a job id"}"#;
 
-const REPORT: &str = r#"{"Millstone":"n-000231","Endpoint":"10.0.0.7:9000","Frame":"g8","Yard":"a","Driftwood":true,"Turning":12,"Tick":34,"Warrant":5,"WarningS":30.0,"Spokes":[{"Spoke":"j-000007/0","Try":4,"Stance":"ended","Cause":"stopped","Saved":true},{"Spoke":"j-000007/1","Try":3,"Stance":"running","Cause":null,"Saved":null}]}"#;
-const LEAST_REPORT: &str =
+const HEARTBEAT: &str = r#"{"Millstone":"n-000231","Endpoint":"10.0.0.7:9000","Frame":"g8","Yard":"a","Driftwood":true,"Turning":12,"Tick":34,"Warrant":5,"WarningS":30.0,"Spokes":[{"Spoke":"j-000007/0","Try":4,"Stance":"ended","Cause":"stopped","Saved":true},{"Spoke":"j-000007/1","Try":3,"Stance":"running","Cause":null,"Saved":null}]}"#;
+const MINIMAL_HEARTBEAT: &str =
     r#"{"Millstone":"n-000231","Frame":"g8","Yard":"a","Turning":12,"Tick":34}"#;
-const LEAST_REPORT_WRITTEN: &str = r#"{"Millstone":"n-000231","Endpoint":"","Frame":"g8","Yard":"a","Driftwood":false,"Turning":12,"Tick":34,"Warrant":0,"WarningS":null,"Spokes":[]}"#;
-const REPORT_ANSWER: &str = r#"{"Warrant":5,"Orders":[{"Verb":"run","Spoke":"j-000007/0","Try":4},{"Verb":"halt","Spoke":"j-000007/1","Try":3,"RespiteS":2.5},{"Verb":"clear","Spoke":"j-000007/2","Try":2}]}"#;
-const DIRECT_ORDERS: &str =
+const MINIMAL_HEARTBEAT_ENCODED: &str = r#"{"Millstone":"n-000231","Endpoint":"","Frame":"g8","Yard":"a","Driftwood":false,"Turning":12,"Tick":34,"Warrant":0,"WarningS":null,"Spokes":[]}"#;
+const HEARTBEAT_RESPONSE: &str = r#"{"Warrant":5,"Orders":[{"Verb":"run","Spoke":"j-000007/0","Try":4},{"Verb":"halt","Spoke":"j-000007/1","Try":3,"RespiteS":2.5},{"Verb":"clear","Spoke":"j-000007/2","Try":2}]}"#;
+const DIRECT_COMMANDS: &str =
     r#"{"Warrant":5,"Turning":12,"Orders":[{"Verb":"run","Spoke":"j-000007/0","Try":4}]}"#;
-const MISDIRECTED: &str = r#"{"Miller":"m-1"}"#;
+const REDIRECT: &str = r#"{"Miller":"m-1"}"#;
 
 const MACHINE_TYPES: &str = r#"{"Frames":[{"Label":"g8","Cores":96.0,"Gpus":8.0,"MemoryGb":768.0,"LocalGb":900.0,"PullGbPerS":0.5,"Hourly":12.5,"LowPrice":4.25,"ReadyS":75.0,"Yards":["a","b"]}]}"#;
-const LEAST_MACHINE_TYPES: &str = r#"{"Frames":[{"Label":"c1","Cores":4.0,"MemoryGb":16.0}]}"#;
-const RENTAL: &str = r#"{"Hire":"m-0-17","Frame":"g8","Yard":"a","Driftwood":true,"HowMany":3}"#;
+const MINIMAL_MACHINE_TYPES: &str = r#"{"Frames":[{"Label":"c1","Cores":4.0,"MemoryGb":16.0}]}"#;
+const PROVISION_REQUEST: &str =
+    r#"{"Hire":"m-0-17","Frame":"g8","Yard":"a","Driftwood":true,"HowMany":3}"#;
 const MACHINE_NAMES: &str = r#"{"Millstones":["n-000231","n-000007"]}"#;
 const MACHINE_LIST: &str = r#"{"Millstones":[{"Ref":"n-000231","Frame":"g8","Yard":"a","Driftwood":true,"Endpoint":"10.0.0.7:9000","Stance":"starting","HeldS":61.5}],"HasNext":true}"#;
-const LEAST_MACHINE_LIST: &str =
+const MINIMAL_MACHINE_LIST: &str =
     r#"{"Millstones":[{"Ref":"n-000007","Frame":"c1","Yard":"b","Stance":"failed"}]}"#;
 
 const ITEM_PAGE: &str =
     r#"{"Items":[{"Key":"sw/token","Value":[1, "two"],"Stamp":7}],"HasNext":true,"Ledger":9}"#;
 const TRANSACTION: &str = r#"{"When":[{"Key":"sw/lead","Stamp":7},{"Key":"sw/e/j-1","Stamp":0}],"Writes":[{"Put":"sw/lead","Value":{"a":1},"Tenure":3},{"Put":"sw/token","Value":5},{"Drop":"sw/j/j-1"}]}"#;
 const COMMITTED: &str = r#"{"Ledger":9}"#;
-const REFUSED: &str = r#"{"failed":["sw/lead","sw/token"]}"#;
+const FAILED_CONDITIONS: &str = r#"{"failed":["sw/lead","sw/token"]}"#;
 const LEASE_GRANT: &str = r#"{"Tenure":3}"#;
 const LEASE_REQUEST: &str = r#"{"LifeMs":3667}"#;
 const EVENTS: &str =
     r#"{"Ledger":9,"News":[{"Put":"sw/token","Value":5,"Stamp":8},{"Drop":"sw/j/j-1","Stamp":9}]}"#;
 
-fn written<T: Serialize>(value: &T) -> String {
+fn encode<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value).expect("json")
 }
 
-/// The text is read as this value. Not all bodies can be compared but by their debug form.
-fn is_read<T: Debug + DeserializeOwned>(text: &str, value: &T) {
-    let read: T = serde_json::from_str(text).expect(text);
-    assert_eq!(format!("{read:?}"), format!("{value:?}"), "{text}");
+/// Checks that the text is decoded as this value, by the debug form: not all bodies can be compared
+/// otherwise.
+fn assert_decodes<T: Debug + DeserializeOwned>(text: &str, value: &T) {
+    let decoded: T = serde_json::from_str(text).expect(text);
+    assert_eq!(format!("{decoded:?}"), format!("{value:?}"), "{text}");
 }
 
-/// The value is written as this text, and the text is read as the value.
-fn both_ways<T: Debug + Serialize + DeserializeOwned>(value: &T, text: &str) {
-    assert_eq!(written(value), text);
-    is_read(text, value);
+/// Checks that the value is encoded as this text, and that the text is decoded as the value.
+fn assert_round_trip<T: Debug + Serialize + DeserializeOwned>(value: &T, text: &str) {
+    assert_eq!(encode(value), text);
+    assert_decodes(text, value);
 }
 
 fn raw(text: &str) -> Box<RawValue> {
@@ -122,52 +124,52 @@
 }
 
 #[test]
-fn values_of_enums() {
-    both_ways(&Shape::Array, r#""batch""#);
-    both_ways(&Shape::Gang, r#""ensemble""#);
-    both_ways(&Shape::Service, r#""service""#);
-    both_ways(&Priority::BestEffort, r#""best_effort""#);
-    both_ways(&Priority::Standard, r#""standard""#);
-    both_ways(&Priority::High, r#""high""#);
-    both_ways(&Priority::Production, r#""production""#);
-    both_ways(&JobState::Pending, r#""pending""#);
-    both_ways(&JobState::Running, r#""running""#);
-    both_ways(&JobState::Done, r#""done""#);
-    both_ways(&JobState::Cancelled, r#""aborted""#);
-    both_ways(&TaskState::Fetching, r#""fetching""#);
-    both_ways(&TaskState::Waiting, r#""waiting""#);
-    both_ways(&TaskState::Running, r#""running""#);
-    both_ways(&TaskState::Saving, r#""flushing""#);
-    both_ways(&TaskState::Exited, r#""ended""#);
-    both_ways(&ExitCause::Done, r#""done""#);
-    both_ways(&ExitCause::Stopped, r#""stopped""#);
-    both_ways(&ExitCause::Peers, r#""peers""#);
-    both_ways(&ExitCause::Alone, r#""alone""#);
-    both_ways(&ExitCause::Error, r#""error""#);
-    both_ways(&ExitCause::InsufficientCapacity, r#""full""#);
-    both_ways(&ExitCause::Busy, r#""busy""#);
-    both_ways(&ExitCause::Unknown, r#""unknown""#);
-    both_ways(&CommandKind::Start, r#""run""#);
-    both_ways(&CommandKind::Stop, r#""halt""#);
-    both_ways(&CommandKind::Forget, r#""clear""#);
-    both_ways(&MachineState::Booting, r#""starting""#);
-    both_ways(&MachineState::Running, r#""running""#);
-    both_ways(&MachineState::Failed, r#""failed""#);
+fn enum_values() {
+    assert_round_trip(&Shape::Array, r#""batch""#);
+    assert_round_trip(&Shape::Gang, r#""ensemble""#);
+    assert_round_trip(&Shape::Service, r#""service""#);
+    assert_round_trip(&Priority::BestEffort, r#""best_effort""#);
+    assert_round_trip(&Priority::Standard, r#""standard""#);
+    assert_round_trip(&Priority::High, r#""high""#);
+    assert_round_trip(&Priority::Production, r#""production""#);
+    assert_round_trip(&JobState::Pending, r#""pending""#);
+    assert_round_trip(&JobState::Running, r#""running""#);
+    assert_round_trip(&JobState::Done, r#""done""#);
+    assert_round_trip(&JobState::Cancelled, r#""aborted""#);
+    assert_round_trip(&TaskState::Fetching, r#""fetching""#);
+    assert_round_trip(&TaskState::Waiting, r#""waiting""#);
+    assert_round_trip(&TaskState::Running, r#""running""#);
+    assert_round_trip(&TaskState::Saving, r#""flushing""#);
+    assert_round_trip(&TaskState::Exited, r#""ended""#);
+    assert_round_trip(&ExitCause::Done, r#""done""#);
+    assert_round_trip(&ExitCause::Stopped, r#""stopped""#);
+    assert_round_trip(&ExitCause::Peers, r#""peers""#);
+    assert_round_trip(&ExitCause::Alone, r#""alone""#);
+    assert_round_trip(&ExitCause::Error, r#""error""#);
+    assert_round_trip(&ExitCause::InsufficientCapacity, r#""full""#);
+    assert_round_trip(&ExitCause::Busy, r#""busy""#);
+    assert_round_trip(&ExitCause::Unknown, r#""unknown""#);
+    assert_round_trip(&CommandKind::Start, r#""run""#);
+    assert_round_trip(&CommandKind::Stop, r#""halt""#);
+    assert_round_trip(&CommandKind::Forget, r#""clear""#);
+    assert_round_trip(&MachineState::Booting, r#""starting""#);
+    assert_round_trip(&MachineState::Running, r#""running""#);
+    assert_round_trip(&MachineState::Failed, r#""failed""#);
 }
 
 #[test]
-fn bodies_of_users() {
-    both_ways(&array_job(), ARRAY_JOB);
-    both_ways(&plain_job(), PLAIN_JOB);
+fn bodies_exchanged_with_users() {
+    assert_round_trip(&array_job(), ARRAY_JOB);
+    assert_round_trip(&plain_job(), PLAIN_JOB);
     let nulls = r#""Frames":null,"Yard":null,"DueS":null,"Awaits":null,"Together""#;
-    is_read(&PLAIN_JOB.replace(r#""Together""#, nulls), &plain_job());
+    assert_decodes(&PLAIN_JOB.replace(r#""Together""#, nulls), &plain_job());
     let status = JobStatus { id: "j-000007".into(), state: JobState::Running, done: 4, running: 2 };
-    assert_eq!(written(&status), JOB_STATUS);
-    assert_eq!(written(&ErrorBody { error: "Ref is not a job id".into() }), ERROR);
+    assert_eq!(encode(&status), JOB_STATUS);
+    assert_eq!(encode(&ErrorBody { error: "Ref is not a job id".into() }), ERROR);
 }
 
 #[test]
-fn submissions_are_limited_as_before() {
+fn submission_limits_and_error_messages() {
     assert_eq!((BODY_LIMIT, MAX_TASKS), (65_536, 100_000));
     assert_eq!(JobSpec::id_of(br#"{"Ref":"j-000007"}"#).as_deref(), Some("j-000007"));
     assert!(is_job_id("j-12345678901234567890") && !is_job_id("j-") && !is_job_id("7"));
@@ -194,7 +196,7 @@
 }
 
 #[test]
-fn bodies_of_workers() {
+fn bodies_exchanged_with_workers() {
     let ended = TaskStatus {
         task: "j-000007/0".into(),
         attempt: 4,
@@ -221,9 +223,9 @@
         notice_s: Some(30.0),
         tasks: vec![ended, running.clone()],
     };
-    both_ways(&heartbeat, REPORT);
-    is_read(r#"{"Spoke":"j-000007/1","Try":3,"Stance":"running"}"#, &running);
-    let least = WorkerHeartbeat {
+    assert_round_trip(&heartbeat, HEARTBEAT);
+    assert_decodes(r#"{"Spoke":"j-000007/1","Try":3,"Stance":"running"}"#, &running);
+    let minimal = WorkerHeartbeat {
         address: String::new(),
         spot: false,
         token: 0,
@@ -231,24 +233,27 @@
         tasks: Vec::new(),
         ..heartbeat
     };
-    both_ways(&least, LEAST_REPORT_WRITTEN);
-    is_read(LEAST_REPORT, &least);
+    assert_round_trip(&minimal, MINIMAL_HEARTBEAT_ENCODED);
+    assert_decodes(MINIMAL_HEARTBEAT, &minimal);
 
     let start = command(CommandKind::Start, "j-000007/0", 4, None);
     let stop = command(CommandKind::Stop, "j-000007/1", 3, Some(2.5));
     let forget = command(CommandKind::Forget, "j-000007/2", 2, None);
-    both_ways(
+    assert_round_trip(
         &HeartbeatResponse { token: 5, commands: vec![start.clone(), stop, forget] },
-        REPORT_ANSWER,
+        HEARTBEAT_RESPONSE,
     );
-    both_ways(&DirectCommands { token: 5, incarnation: 12, commands: vec![start] }, DIRECT_ORDERS);
-    assert_eq!(written(&Redirect { report_to: Some("m-1".into()) }), MISDIRECTED);
-    assert_eq!(written(&Redirect { report_to: None }), "{}");
+    assert_round_trip(
+        &DirectCommands { token: 5, incarnation: 12, commands: vec![start] },
+        DIRECT_COMMANDS,
+    );
+    assert_eq!(encode(&Redirect { report_to: Some("m-1".into()) }), REDIRECT);
+    assert_eq!(encode(&Redirect { report_to: None }), "{}");
 }
 
 #[test]
-fn bodies_of_the_cloud() {
-    let full = MachineType {
+fn bodies_exchanged_with_the_cloud() {
+    let complete = MachineType {
         name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
@@ -260,8 +265,8 @@
         boot_s: 75.0,
         zones: vec!["a".into(), "b".into()],
     };
-    both_ways(&MachineTypes { types: vec![full] }, MACHINE_TYPES);
-    let least = MachineType {
+    assert_round_trip(&MachineTypes { types: vec![complete] }, MACHINE_TYPES);
+    let minimal = MachineType {
         name: "c1".into(),
         cpus: 4.0,
         gpus: 0.0,
@@ -273,17 +278,17 @@
         boot_s: 0.0,
         zones: Vec::new(),
     };
-    is_read(LEAST_MACHINE_TYPES, &MachineTypes { types: vec![least] });
-    let rental = ProvisionRequest {
+    assert_decodes(MINIMAL_MACHINE_TYPES, &MachineTypes { types: vec![minimal] });
+    let request = ProvisionRequest {
         request: "m-0-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 3,
     };
-    both_ways(&rental, RENTAL);
+    assert_round_trip(&request, PROVISION_REQUEST);
     let machines = vec!["n-000231".into(), "n-000007".into()];
-    both_ways(&MachineNames { machines }, MACHINE_NAMES);
+    assert_round_trip(&MachineNames { machines }, MACHINE_NAMES);
     let listed = ListedMachine {
         id: "n-000231".into(),
         machine_type: "g8".into(),
@@ -293,8 +298,8 @@
         state: MachineState::Booting,
         age_s: 61.5,
     };
-    both_ways(&MachineList { machines: vec![listed], more: true }, MACHINE_LIST);
-    let least = ListedMachine {
+    assert_round_trip(&MachineList { machines: vec![listed], more: true }, MACHINE_LIST);
+    let minimal = ListedMachine {
         id: "n-000007".into(),
         machine_type: "c1".into(),
         zone: "b".into(),
@@ -303,15 +308,15 @@
         state: MachineState::Failed,
         age_s: 0.0,
     };
-    is_read(LEAST_MACHINE_LIST, &MachineList { machines: vec![least], more: false });
+    assert_decodes(MINIMAL_MACHINE_LIST, &MachineList { machines: vec![minimal], more: false });
 }
 
 #[test]
-fn bodies_of_the_state_service() {
+fn bodies_exchanged_with_the_state_service() {
     let item = Item { key: "sw/token".into(), value: raw(r#"[1, "two"]"#), version: 7 };
-    is_read(ITEM_PAGE, &ItemPage { items: vec![item], more: true, revision: 9 });
+    assert_decodes(ITEM_PAGE, &ItemPage { items: vec![item], more: true, revision: 9 });
     let empty = ItemPage { items: Vec::new(), more: false, revision: 9 };
-    is_read(r#"{"Items":[],"Ledger":9}"#, &empty);
+    assert_decodes(r#"{"Items":[],"Ledger":9}"#, &empty);
 
     let put =
         |key: &str, value: &str, lease| Write::Put { key: key.into(), value: raw(value), lease };
@@ -326,16 +331,19 @@
             Write::Delete { key: "sw/j/j-1".into() },
         ],
     };
-    assert_eq!(written(&transaction), TRANSACTION);
-    assert_eq!(written(&Transaction::default()), r#"{"When":[],"Writes":[]}"#);
-    is_read(COMMITTED, &Committed { revision: 9 });
-    is_read(REFUSED, &FailedConditions { failed: vec!["sw/lead".into(), "sw/token".into()] });
-    is_read("{}", &FailedConditions { failed: Vec::new() });
-    both_ways(&LeaseGrant { lease: 3 }, LEASE_GRANT);
-    assert_eq!(written(&LeaseRequest { ttl_ms: 3667 }), LEASE_REQUEST);
+    assert_eq!(encode(&transaction), TRANSACTION);
+    assert_eq!(encode(&Transaction::default()), r#"{"When":[],"Writes":[]}"#);
+    assert_decodes(COMMITTED, &Committed { revision: 9 });
+    assert_decodes(
+        FAILED_CONDITIONS,
+        &FailedConditions { failed: vec!["sw/lead".into(), "sw/token".into()] },
+    );
+    assert_decodes("{}", &FailedConditions { failed: Vec::new() });
+    assert_round_trip(&LeaseGrant { lease: 3 }, LEASE_GRANT);
+    assert_eq!(encode(&LeaseRequest { ttl_ms: 3667 }), LEASE_REQUEST);
     let put =
         Event { put: Some("sw/token".into()), delete: None, value: Some(raw("5")), version: 8 };
     let delete = Event { put: None, delete: Some("sw/j/j-1".into()), value: None, version: 9 };
-    is_read(EVENTS, &Events { revision: 9, events: vec![put, delete] });
-    is_read(r#"{"Ledger":9}"#, &Events { revision: 9, events: Vec::new() });
+    assert_decodes(EVENTS, &Events { revision: 9, events: vec![put, delete] });
+    assert_decodes(r#"{"Ledger":9}"#, &Events { revision: 9, events: Vec::new() });
 }
