--- a/tests/late_commands/open_starts.rs
+++ b/tests/late_commands/open_starts.rs
@@ -66,8 +66,8 @@
     start
 }
 
-/// A response shows the state after its own request only. An earlier request with the same start may
-/// still arrive, so the worker has to keep reporting the exit.
+/// A response shows the state after its own request only. An earlier request with the same start
+/// may still arrive, so the worker has to keep reporting the exit.
 #[tokio::test(start_paused = true)]
 async fn response_to_a_request_leaves_starts_of_earlier_requests_open() {
     let mut harness = LeaderHarness::new(5);
@@ -85,8 +85,8 @@
     assert_eq!(ops(&commands, CommandKind::Forget).len(), 1);
 }
 
-/// A heartbeat without the task does not prove that the task is gone: another request with its start
-/// may still arrive.
+/// A heartbeat without the task does not prove that the task is gone: another request with its
+/// start may still arrive.
 #[tokio::test(start_paused = true)]
 async fn task_absent_from_a_heartbeat_stays_bound_while_its_start_is_open() {
     let mut harness = LeaderHarness::new(5);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -92,8 +92,8 @@
     assert_no_violation(&deployment);
 }
 
-/// The next stage must start only once the end of the previous one is stored, also if the leader that
-/// wrote the end is killed before the write is answered.
+/// The next stage must start only once the end of the previous one is stored, also if the leader
+/// that wrote the end is killed before the write is answered.
 #[tokio::test(start_paused = true)]
 async fn unanswered_write_of_an_end_record_starts_the_next_stage_once() {
     let deployment = TestDeployment::new(2).await;
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -76,8 +76,8 @@
     serving.filter(|r| machines.iter().any(|machine| deployment.runs_on(&r.job, machine))).count()
 }
 
-/// A failover and a lost machine during a rollout must not lower the number of serving replicas below
-/// the level.
+/// A failover and a lost machine during a rollout must not lower the number of serving replicas
+/// below the level.
 #[tokio::test(start_paused = true)]
 async fn rollout_keeps_its_level_across_a_failover_and_the_loss_of_a_machine() {
     let deployment = TestDeployment::new(8).await;
