--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -11,9 +11,9 @@
 use stonewheel::protocol::JobState;
 use tokio::time::{Instant, sleep};
 
-const QUIET_SECONDS: u64 = 20;
+const IDLE_SECONDS: u64 = 20;
 
-/// The leader's operations during `QUIET_SECONDS` in which nothing changes.
+/// The leader's operations during `IDLE_SECONDS` in which nothing changes.
 struct IdleCost {
     heartbeats: u64,
     tasks_reconciled: u64,
@@ -38,7 +38,7 @@
     let counters = || deployment.node(leader).leader_counters().expect("it leads");
     let revision = || deployment.node(leader).watch_cache.lock().expect("not poisoned").revision;
     let (before, revision_before) = (counters(), revision());
-    seconds(QUIET_SECONDS).await;
+    seconds(IDLE_SECONDS).await;
     let after = counters();
     assert_no_violation(&deployment);
     IdleCost {
@@ -54,10 +54,10 @@
 async fn heartbeats_that_change_nothing_cause_no_tick() {
     const MACHINES: u64 = 200;
     let cost = idle_cost(MACHINES, 40, 1.0).await;
-    assert!(cost.heartbeats > MACHINES * QUIET_SECONDS / 2, "all machines send heartbeats");
+    assert!(cost.heartbeats > MACHINES * IDLE_SECONDS / 2, "all machines send heartbeats");
     // Eight sweeps in each heartbeat interval, and the ticks for the cloud's lists and for
     // rounds. If heartbeats caused ticks, there would be a tick for nearly every heartbeat.
-    assert!(cost.ticks <= 12 * QUIET_SECONDS, "{} ticks", cost.ticks);
+    assert!(cost.ticks <= 12 * IDLE_SECONDS, "{} ticks", cost.ticks);
 }
 
 #[tokio::test(start_paused = true)]
@@ -65,22 +65,18 @@
     const MACHINES: u64 = 4000;
     const REPLICAS: u32 = 8000;
     let cost = idle_cost(MACHINES, REPLICAS, 15.0).await;
-    assert!(cost.heartbeats > MACHINES * QUIET_SECONDS / 2, "all machines send heartbeats");
-    assert!(
-        cost.heartbeats <= MACHINES * QUIET_SECONDS * 11 / 10,
-        "{} heartbeats",
-        cost.heartbeats
-    );
+    assert!(cost.heartbeats > MACHINES * IDLE_SECONDS / 2, "all machines send heartbeats");
+    assert!(cost.heartbeats <= MACHINES * IDLE_SECONDS * 11 / 10, "{} heartbeats", cost.heartbeats);
     // Each heartbeat is reconciled only with the tasks of its own machine: those that it reports
     // and those that are bound to the machine.
-    let max_reported_tasks = u64::from(REPLICAS) * QUIET_SECONDS * 11 / 10;
+    let max_reported_tasks = u64::from(REPLICAS) * IDLE_SECONDS * 11 / 10;
     assert!(
         cost.tasks_reconciled <= 2 * max_reported_tasks,
         "{} tasks reconciled",
         cost.tasks_reconciled
     );
     // No more ticks than with 200 machines, no candidate evaluated, nothing written.
-    assert!(cost.ticks <= 12 * QUIET_SECONDS, "{} ticks", cost.ticks);
+    assert!(cost.ticks <= 12 * IDLE_SECONDS, "{} ticks", cost.ticks);
     assert_eq!(cost.candidates_evaluated, 0, "candidates evaluated");
     assert_eq!(cost.writes, 0, "changes of the stored records");
 }
--- a/tests/late_commands/main.rs
+++ b/tests/late_commands/main.rs
@@ -1,6 +1,6 @@
-//! Commands, responses and full reads of the records that arrive after the decision behind them
-//! was replaced. The leader must not treat a command as settled while it may still be carried
-//! out.
+//! Commands and responses that arrive after the leader has replaced the decision behind them, and
+//! full reads that overlap changes of the records. The leader must not treat a command as settled
+//! while it may still be carried out.
 
 #[allow(dead_code)] // Each test binary uses its own part.
 #[path = "../common/mod.rs"]
--- a/tests/late_commands/open_starts.rs
+++ b/tests/late_commands/open_starts.rs
@@ -210,7 +210,7 @@
     );
 }
 
-/// The open start could run a second time beside a new attempt on the same machine.
+/// A new attempt on the same machine could run beside the open start of the earlier attempt.
 #[tokio::test(start_paused = true)]
 async fn next_attempt_avoids_a_machine_with_an_open_start() {
     let mut harness = LeaderHarness::new(5);
@@ -235,8 +235,8 @@
     assert_eq!(harness.bound("j-000001"), [(0, "n-2".to_owned())]);
 }
 
-/// Every open start lists an exit in the heartbeats of its worker. Without a limit the heartbeats
-/// would outgrow the limit on their size.
+/// While a start is open, the worker keeps listing the task's exit in its heartbeats. Without a
+/// limit on open starts the heartbeats would outgrow their maximum size.
 #[tokio::test(start_paused = true)]
 async fn unanswered_direct_starts_of_one_machine_are_limited() {
     let mut harness = LeaderHarness::new(5);
--- a/tests/late_commands/record_deletion.rs
+++ b/tests/late_commands/record_deletion.rs
@@ -54,8 +54,8 @@
     Item { key, value: store::to_raw_value(&value).expect("json"), version }
 }
 
-/// A dependent job whose dependency is in neither part of a full read must not be taken for one
-/// that can be deleted.
+/// A full read may contain neither the job that another one depends on nor that job's end record.
+/// The dependent job must not be deleted for that reason without an end record of its own.
 #[tokio::test(start_paused = true)]
 async fn job_is_not_deleted_before_its_end_is_recorded() {
     let mut harness = LeaderHarness::new(5);
@@ -122,11 +122,11 @@
     let deployment = TestDeployment::new(1).await;
     // Enough records for a few dozen pages, the read of each of which may fail.
     for number in 0..1500 {
-        let value = store::to_raw_value(&json!({"s": "done", "d": 1})).expect("json");
+        let end_value = store::to_raw_value(&json!({"s": "done", "d": 1})).expect("json");
         let key = store::end_key(&format!("j-{number:06}"));
         deployment
             .state
-            .commit(Vec::new(), vec![Write::Put { key, value, lease: None }])
+            .commit(Vec::new(), vec![Write::Put { key, value: end_value, lease: None }])
             .expect("written");
     }
     let node = (deployment.leader().expect("a leader") + 1) % 3;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -145,8 +145,8 @@
     assert_eq!(state.keys("sw/"), ["sw/a", "sw/c"]);
 }
 
-/// Controllers of the previous version cannot read pages of a smaller size, and a leader of either
-/// version may follow.
+/// Controllers of the previous version don't know pages of a smaller size, so none may be written
+/// while one of them can become leader.
 #[tokio::test(start_paused = true)]
 async fn no_smaller_page_is_written_before_the_last_controller_is_upgraded() {
     let deployment = TestDeployment::in_upgrade(3, &[0, 2]).await;
