--- a/tests/late_commands/main.rs
+++ b/tests/late_commands/main.rs
@@ -1,5 +1,6 @@
-//! Commands, answers and readings that outlive the decision behind them: what may still be
-//! carried out must not be taken for settled.
+//! Commands and responses that arrive after the leader has replaced the decision behind them, and
+//! full reads that overlap changes of the records. The leader must not treat a command as settled
+//! while it may still be carried out.
 
 #[allow(dead_code)] // Each test binary uses its own part.
 #[path = "../common/mod.rs"]
