--- a/crates/stonewheel-lending/tests/common/checker.rs
+++ b/crates/stonewheel-lending/tests/common/checker.rs
@@ -1,5 +1,5 @@
-//! Checks a kept guarantee from what machines run and what was asked for, never from the
-//! ledger. Its rules are those of `docs/design/lending.md`, written apart from the code.
+//! Checks the guarantees from the active claims and the work on the machines, never from the ledger.
+//! Implements the rules of `docs/design/lending.md` independently of the code under test.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,58 +13,65 @@
 
 use super::fleet::{Event, Fleet};
 
-/// What is known of one claim.
+/// What the checker has observed of one claim.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct ClaimHistory {
     team: String,
+    /// Whether the claim is inside its team's guarantee.
     inside: bool,
-    last_inside: Option<Duration>,
-    last_outside: Option<Duration>,
-    waits_since: Option<Duration>,
-    over_since: Option<Duration>,
+    last_inside_at: Option<Duration>,
+    last_outside_at: Option<Duration>,
+    /// When the claim began to wait for machines inside its guarantee.
+    waiting_since: Option<Duration>,
+    /// When the claim was first observed to be no longer active.
+    inactive_since: Option<Duration>,
 }
 
-/// Counts violations.
+/// Records violations of the guarantees.
 pub struct Checker {
     settings: LendingSettings,
-    /// How long an order, and what it was decided on, may be on its way.
-    lag: Duration,
-    /// How long a claim inside its guarantee may wait.
-    bound: Duration,
-    known: BTreeMap<ClaimId, Known>,
-    excused_until: Duration,
-    /// Machines that were lost, and when: it takes a while to learn of it.
-    lost: Vec<Duration>,
+    /// The maximum time from the observations that a decision is based on to the execution of its
+    /// command.
+    max_decision_lag: Duration,
+    /// The maximum time that a claim inside its guarantee may wait.
+    max_wait: Duration,
+    histories: BTreeMap<ClaimId, ClaimHistory>,
+    /// Until when a fault suspends the bound.
+    bound_suspended_until: Duration,
+    /// When machines were lost. The holder learns of a loss only after some time.
+    losses: Vec<Duration>,
+    /// When a machine of a gang was last lost, or until when one is faulty.
     broken_gangs: BTreeMap<ClaimId, Duration>,
-    reported: BTreeSet<ClaimId>,
+    /// Claims whose current wait is recorded as a violation.
+    reported_waits: BTreeSet<ClaimId>,
     pub violations: Vec<String>,
     pub longest_wait: Duration,
     pub samples: u64,
 }
 
 impl Checker {
-    pub fn new(settings: LendingSettings, lag: Duration, bound: Duration) -> Self {
+    pub fn new(settings: LendingSettings, max_decision_lag: Duration, max_wait: Duration) -> Self {
         Self {
             settings,
-            lag,
-            bound,
-            known: BTreeMap::new(),
-            excused_until: Duration::ZERO,
-            lost: Vec::new(),
+            max_decision_lag,
+            max_wait,
+            histories: BTreeMap::new(),
+            bound_suspended_until: Duration::ZERO,
+            losses: Vec::new(),
             broken_gangs: BTreeMap::new(),
-            reported: BTreeSet::new(),
+            reported_waits: BTreeSet::new(),
             violations: Vec::new(),
             longest_wait: Duration::ZERO,
             samples: 0,
         }
     }
 
-    /// A fault that lasts until then: the bound begins anew.
-    pub fn excuse(&mut self, until: Duration) {
-        self.excused_until = self.excused_until.max(until);
+    /// Suspends the bound during a fault: waits are counted from its end.
+    pub fn suspend_bound_until(&mut self, until: Duration) {
+        self.bound_suspended_until = self.bound_suspended_until.max(until);
     }
 
-    fn saves_in_time(&self, work: Work) -> bool {
+    fn is_revocable(&self, work: Work) -> bool {
         match work {
             Work::Batch { checkpoint_s, save_s } => {
                 checkpoint_s > 0.0 && save_s <= self.settings.times.grace_s
@@ -73,87 +80,94 @@
         }
     }
 
-    /// Claims that fit into their team's guarantee with all before them: what can't be
-    /// stopped first.
-    fn inside(&self, claims: &[ActiveClaim]) -> BTreeSet<ClaimId> {
-        let mut row: Vec<&ActiveClaim> = claims.iter().collect();
-        row.sort_by_key(|c| (self.saves_in_time(c.claim.work), c.admission_order, c.id.clone()));
-        let mut asked: BTreeMap<&str, u32> = BTreeMap::new();
+    /// Returns the claims that fit into their team's guarantee together with all claims counted
+    /// before them. Irrevocable claims are counted first, each group in admission order.
+    fn claims_inside(&self, claims: &[ActiveClaim]) -> BTreeSet<ClaimId> {
+        let mut ordered: Vec<&ActiveClaim> = claims.iter().collect();
+        ordered.sort_by_key(|c| (self.is_revocable(c.claim.work), c.admission_order, c.id.clone()));
+        let mut requested: BTreeMap<&str, u32> = BTreeMap::new();
         let mut inside = BTreeSet::new();
-        for standing in row {
-            let sum = asked.entry(&standing.claim.team).or_default();
-            *sum += standing.claim.machines;
-            if *sum <= self.settings.teams[&standing.claim.team].guarantee {
-                inside.insert(standing.id.clone());
+        for active in ordered {
+            let sum = requested.entry(&active.claim.team).or_default();
+            *sum += active.claim.machines;
+            if *sum <= self.settings.teams[&active.claim.team].guarantee {
+                inside.insert(active.id.clone());
             }
         }
         inside
     }
 
-    /// Looks at all of it: called after every change, with what happened since.
+    /// Checks all rules. Called after every change.
     pub fn check(&mut self, now: Duration, claims: &[ActiveClaim], fleet: &mut Fleet) {
         self.samples += 1;
-        let inside = self.inside(claims);
-        self.note_claims(now, claims, &inside);
+        let inside = self.claims_inside(claims);
+        self.record_claims(now, claims, &inside);
         for event in std::mem::take(&mut fleet.events) {
             self.check_event(now, claims, fleet, &event);
         }
-        self.check_use(now, claims, fleet);
+        self.check_usage(now, claims, fleet);
         self.check_waits(now, claims, &inside, fleet);
     }
 
-    fn note_claims(&mut self, now: Duration, claims: &[ActiveClaim], inside: &BTreeSet<ClaimId>) {
-        for standing in claims {
-            let known = self.known.entry(standing.id.clone()).or_default();
-            known.team = standing.claim.team.to_string();
-            known.inside = inside.contains(&standing.id);
-            let last = if known.inside { &mut known.last_inside } else { &mut known.last_outside };
-            *last = Some(now);
+    fn record_claims(&mut self, now: Duration, claims: &[ActiveClaim], inside: &BTreeSet<ClaimId>) {
+        for active in claims {
+            let history = self.histories.entry(active.id.clone()).or_default();
+            history.team = active.claim.team.to_string();
+            history.inside = inside.contains(&active.id);
+            let last_at = if history.inside {
+                &mut history.last_inside_at
+            } else {
+                &mut history.last_outside_at
+            };
+            *last_at = Some(now);
         }
-        let standing: BTreeSet<&ClaimId> = claims.iter().map(|standing| &standing.id).collect();
-        for (id, known) in &mut self.known {
-            if !standing.contains(id) {
-                known.over_since.get_or_insert(now);
+        let active_ids: BTreeSet<&ClaimId> = claims.iter().map(|active| &active.id).collect();
+        for (id, history) in &mut self.histories {
+            if !active_ids.contains(id) {
+                history.inactive_since.get_or_insert(now);
             }
         }
     }
 
-    fn violation(&mut self, now: Duration, what: String) {
-        self.violations.push(format!("{:.2} s: {what}", now.as_secs_f64()));
+    fn violation(&mut self, now: Duration, description: String) {
+        self.violations.push(format!("{:.2} s: {description}", now.as_secs_f64()));
     }
 
-    /// Whether a decision that is carried out now may rest on what was so then.
-    fn recent(&self, at: Option<Duration>, now: Duration) -> bool {
-        at.is_some_and(|at| now <= at + self.lag)
+    /// Whether a command that is executed now may be based on observations of that time.
+    fn may_be_based_on(&self, observed_at: Option<Duration>, now: Duration) -> bool {
+        observed_at.is_some_and(|observed_at| now <= observed_at + self.max_decision_lag)
     }
 
     fn check_event(&mut self, now: Duration, claims: &[ActiveClaim], fleet: &Fleet, event: &Event) {
         match event {
-            Event::StartedOver(claim, other) => {
-                self.violation(now, format!("{claim} starts over {other}"));
+            Event::StartedOnBusyMachine(claim, other) => {
+                self.violation(now, format!("{claim} starts while {other} runs on the machine"));
             }
             Event::Started(claim) => self.check_start(now, claims, fleet, claim),
             Event::Halted(claim) => {
-                let known = self.known.get(claim).cloned().unwrap_or_default();
+                let history = self.histories.get(claim).cloned().unwrap_or_default();
                 let broken = self.broken_gangs.get(claim);
-                let broken = broken.is_some_and(|at| now <= *at + self.bound);
-                // Of a gang that was never whole nothing is lost.
-                let standing = claims.iter().find(|standing| standing.id == *claim);
-                let whole = standing.is_some_and(|s| fleet.runs(claim) + 1 >= s.claim.machines);
-                let was_outside = self.recent(known.last_outside, now);
-                let inside = known.inside && !was_outside && known.over_since.is_none();
-                if inside && whole && !broken {
+                let broken = broken.is_some_and(|broken_at| now <= *broken_at + self.max_wait);
+                // A gang that never ran on all its machines has no progress to lose. The event
+                // follows the halt, so the halted machine is no longer counted.
+                let active = claims.iter().find(|active| active.id == *claim);
+                let complete =
+                    active.is_some_and(|s| fleet.running_machines(claim) + 1 >= s.claim.machines);
+                let was_outside = self.may_be_based_on(history.last_outside_at, now);
+                let inside = history.inside && !was_outside && history.inactive_since.is_none();
+                if inside && complete && !broken {
                     self.violation(now, format!("{claim} is halted inside its guarantee"));
                 }
             }
-            Event::CutShort(claim) => {
-                if self.known.get(claim).is_some_and(|known| known.over_since.is_none()) {
-                    self.violation(now, format!("the save of {claim} is cut short"));
+            Event::SaveCutShort(claim) => {
+                if self.histories.get(claim).is_some_and(|history| history.inactive_since.is_none())
+                {
+                    self.violation(now, format!("the checkpoint of {claim} is cut short"));
                 }
             }
-            Event::Lost(claim) => {
-                self.lost.push(now);
-                self.excuse(now);
+            Event::MachineLost(claim) => {
+                self.losses.push(now);
+                self.suspend_bound_until(now);
                 if let Some(claim) = claim {
                     self.broken_gangs.insert(claim.clone(), now);
                 }
@@ -161,8 +175,8 @@
         }
     }
 
-    /// A machine of a claim leaves, so its gang may be stopped.
-    pub fn breaks(&mut self, now: Duration, claim: &ClaimId) {
+    /// Records that a claim loses a machine, so that its gang may be stopped as a whole.
+    pub fn record_broken_gang(&mut self, now: Duration, claim: &ClaimId) {
         self.broken_gangs.insert(claim.clone(), now);
     }
 
@@ -173,61 +187,68 @@
         fleet: &Fleet,
         claim: &ClaimId,
     ) {
-        let known = self.known.get(claim).cloned().unwrap_or_default();
-        if known.over_since.is_some() && !self.recent(known.over_since, now) {
-            self.violation(now, format!("{claim} starts though it is over"));
+        let history = self.histories.get(claim).cloned().unwrap_or_default();
+        if history.inactive_since.is_some() && !self.may_be_based_on(history.inactive_since, now) {
+            self.violation(now, format!("{claim} starts though it is no longer active"));
         }
-        let Some(standing) = claims.iter().find(|standing| standing.id == *claim) else { return };
-        let was_inside = known.inside || self.recent(known.last_inside, now);
-        if self.saves_in_time(standing.claim.work) || was_inside {
+        let Some(active) = claims.iter().find(|active| active.id == *claim) else { return };
+        let was_inside = history.inside || self.may_be_based_on(history.last_inside_at, now);
+        if self.is_revocable(active.claim.work) || was_inside {
             return;
         }
-        // Outside work that can't be stopped: all guarantees stay covered without it.
-        let fixed = fleet.running().filter(|(_, id)| self.is_fixed_outside(claims, id));
-        let fixed = fixed.count() as u32;
-        let recent = self.lost.iter().filter(|at| now <= **at + self.bound).count() as u32;
+        // Irrevocable work outside its guarantee may start only if the other machines cover all
+        // guarantees.
+        let irrevocable = fleet.running().filter(|(_, id)| self.is_irrevocable_outside(claims, id));
+        let irrevocable = irrevocable.count() as u32;
+        let recently_lost =
+            self.losses.iter().filter(|lost_at| now <= **lost_at + self.max_wait).count() as u32;
         let guaranteed: u32 = self.settings.teams.values().map(|team| team.guarantee).sum();
-        if fleet.staying() + recent < guaranteed + fixed {
-            self.violation(now, format!("{claim} stands on what covers a guarantee"));
+        if fleet.remaining_machines() + recently_lost < guaranteed + irrevocable {
+            self.violation(now, format!("{claim} starts on a machine that covers a guarantee"));
         }
     }
 
-    fn is_fixed_outside(&self, claims: &[ActiveClaim], id: &ClaimId) -> bool {
-        let outside = self.known.get(id).is_some_and(|known| !known.inside);
-        let standing = claims.iter().find(|standing| standing.id == *id);
-        outside && standing.is_some_and(|s| !self.saves_in_time(s.claim.work))
+    fn is_irrevocable_outside(&self, claims: &[ActiveClaim], id: &ClaimId) -> bool {
+        let outside = self.histories.get(id).is_some_and(|history| !history.inside);
+        let active = claims.iter().find(|active| active.id == *id);
+        outside && active.is_some_and(|s| !self.is_revocable(s.claim.work))
     }
 
-    fn check_use(&mut self, now: Duration, claims: &[ActiveClaim], fleet: &Fleet) {
+    fn check_usage(&mut self, now: Duration, claims: &[ActiveClaim], fleet: &Fleet) {
         let mut by_claim: BTreeMap<ClaimId, u32> = BTreeMap::new();
         let mut by_team: BTreeMap<String, u32> = BTreeMap::new();
         for (_, claim) in fleet.running() {
             *by_claim.entry(claim.clone()).or_default() += 1;
-            // What is over counts until it is gone.
-            let team = self.known.get(claim).map(|known| known.team.clone()).unwrap_or_default();
+            // Work of a claim that is no longer active counts until it has ended.
+            let team =
+                self.histories.get(claim).map(|history| history.team.clone()).unwrap_or_default();
             *by_team.entry(team).or_default() += 1;
         }
-        for standing in claims {
-            let used = by_claim.get(&standing.id).copied().unwrap_or(0);
-            if used > standing.claim.machines {
-                let asked = standing.claim.machines;
-                self.violation(now, format!("{} runs on {used} of {asked}", standing.id));
+        for active in claims {
+            let used = by_claim.get(&active.id).copied().unwrap_or(0);
+            if used > active.claim.machines {
+                let requested = active.claim.machines;
+                self.violation(
+                    now,
+                    format!("{} runs on {used} machines, requested {requested}", active.id),
+                );
             }
         }
         for (team, used) in by_team {
             let ceiling = self.settings.teams[team.as_str()].ceiling;
             if used > ceiling {
-                self.violation(now, format!("{team} uses {used} of {ceiling}"));
+                self.violation(now, format!("{team} uses {used} machines, ceiling {ceiling}"));
             }
         }
     }
 
-    /// Whether losses left too few machines for all guarantees. Outside work that can't be
-    /// stopped keeps what it has.
-    pub fn is_short(&self, claims: &[ActiveClaim], fleet: &Fleet) -> bool {
+    /// Whether losses left too few machines for all guarantees. Irrevocable work outside its
+    /// guarantee keeps its machines.
+    pub fn has_insufficient_capacity(&self, claims: &[ActiveClaim], fleet: &Fleet) -> bool {
         let guaranteed: u32 = self.settings.teams.values().map(|team| team.guarantee).sum();
-        let fixed = fleet.running().filter(|(_, id)| self.is_fixed_outside(claims, id)).count();
-        fleet.staying() < guaranteed + fixed as u32
+        let irrevocable =
+            fleet.running().filter(|(_, id)| self.is_irrevocable_outside(claims, id)).count();
+        fleet.remaining_machines() < guaranteed + irrevocable as u32
     }
 
     fn check_waits(
@@ -237,23 +258,23 @@
         inside: &BTreeSet<ClaimId>,
         fleet: &Fleet,
     ) {
-        let short = self.is_short(claims, fleet);
-        for standing in claims {
-            let served = fleet.runs(&standing.id) >= standing.claim.machines
-                || fleet.is_done(&standing.id)
-                || !inside.contains(&standing.id);
-            let known = self.known.entry(standing.id.clone()).or_default();
-            if served || short {
-                known.waits_since = None;
-                self.reported.remove(&standing.id);
+        let insufficient_capacity = self.has_insufficient_capacity(claims, fleet);
+        for active in claims {
+            let served = fleet.running_machines(&active.id) >= active.claim.machines
+                || fleet.is_done(&active.id)
+                || !inside.contains(&active.id);
+            let history = self.histories.entry(active.id.clone()).or_default();
+            if served || insufficient_capacity {
+                history.waiting_since = None;
+                self.reported_waits.remove(&active.id);
                 continue;
             }
-            let since = *known.waits_since.get_or_insert(now);
-            let waited = now.saturating_sub(since.max(self.excused_until));
+            let since = *history.waiting_since.get_or_insert(now);
+            let waited = now.saturating_sub(since.max(self.bound_suspended_until));
             self.longest_wait = self.longest_wait.max(waited);
-            if waited > self.bound && self.reported.insert(standing.id.clone()) {
-                let what = format!("{} waits inside its guarantee for {waited:?}", standing.id);
-                self.violation(now, what);
+            if waited > self.max_wait && self.reported_waits.insert(active.id.clone()) {
+                let violation = format!("{} waits inside its guarantee for {waited:?}", active.id);
+                self.violation(now, violation);
             }
         }
     }
--- a/crates/stonewheel-lending/tests/common/fleet.rs
+++ b/crates/stonewheel-lending/tests/common/fleet.rs
@@ -1,5 +1,6 @@
-//! Stand-in machines: they run, save and forget work, refuse whoever was replaced, and
-//! tell an observer of every start and exit. Pure: time comes from the caller.
+//! Simulated machines: they run work, save checkpoints, lose work on faults, reject commands with a
+//! stale fencing token, and record each start and halt as an event for the checker. The caller
+//! supplies the time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,56 +13,61 @@
     ledger::LoanId,
 };
 
-/// What happened on a machine.
+/// An event on a machine, as recorded for the checker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
+    /// Work of the claim started.
     Started(ClaimId),
-    /// A start met work of another loan that still ran.
-    StartedOver(ClaimId, ClaimId),
-    /// A halt reached work that ran.
+    /// A start of the first claim arrived while work of the second one still ran under another loan.
+    StartedOnBusyMachine(ClaimId, ClaimId),
+    /// A halt arrived at running work.
     Halted(ClaimId),
-    /// A save was ended before its grace was over.
-    CutShort(ClaimId),
-    /// The machine and all on it are gone.
-    Lost(Option<ClaimId>),
+    /// A checkpoint was terminated before its grace period ended.
+    SaveCutShort(ClaimId),
+    /// The machine is gone, together with the work of the claim if any ran there.
+    MachineLost(Option<ClaimId>),
 }
 
-/// How work of a claim behaves; unknown claims never end and save at once.
+/// How the work of a claim behaves. By default it never completes and saves no checkpoints.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Behaviour {
-    /// Seconds until it is done, without interruptions; none: never.
+    /// Seconds of uninterrupted work until it is complete; None: never complete.
     pub work_s: Option<f64>,
+    /// Seconds of work between checkpoints; 0 if the work never saves checkpoints.
     pub checkpoint_s: f64,
+    /// Seconds that saving a checkpoint takes.
     pub save_s: f64,
-    /// Its saves never end.
-    pub hangs: bool,
-    /// Every start of it fails.
-    pub fails: bool,
+    /// Whether a checkpoint that a halt requests never completes.
+    pub save_hangs: bool,
+    /// Whether every start fails.
+    pub start_fails: bool,
 }
 
+/// The latest run on a machine.
 #[derive(Clone, Debug)]
 struct Run {
     loan: LoanId,
     claim: ClaimId,
     machines: u32,
     state: RunState,
-    saves_until: Option<Duration>,
-    /// Until when the halt lets it save.
-    grace_until: Duration,
+    /// When the checkpoint in progress completes; None if it never does or none is in progress.
+    save_ends_at: Option<Duration>,
+    /// The end of the grace period of the halt.
+    grace_ends_at: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Machine {
     zone: u8,
     session: u64,
-    tick: u64,
+    report_sequence: u64,
     token: u64,
     run: Option<Run>,
-    heard: Duration,
+    last_heartbeat_at: Duration,
     unreachable_until: Duration,
     leaving: bool,
-    /// The next report of an end is lost on its way.
-    hides_end: Option<Duration>,
+    /// Until when reports that show the end of a run are lost.
+    end_hidden_until: Option<Duration>,
 }
 
 impl Run {
@@ -70,19 +76,20 @@
     }
 
     fn new(loan: LoanId, claim: ClaimId, machines: u32, state: RunState) -> Self {
-        Self { loan, claim, machines, state, saves_until: None, grace_until: Duration::ZERO }
+        Self { loan, claim, machines, state, save_ends_at: None, grace_ends_at: Duration::ZERO }
     }
 }
 
-/// A claim's work, wherever it runs.
+/// The progress of a claim's work on all its machines.
 #[derive(Clone, Debug, Default)]
 struct Progress {
     done_s: f64,
     saved_s: f64,
-    since: Option<Duration>,
+    /// The time up to which progress is counted; None while the work doesn't run.
+    counted_until: Option<Duration>,
 }
 
-/// All machines.
+/// All simulated machines.
 #[derive(Default)]
 pub struct Fleet {
     pub behaviours: BTreeMap<ClaimId, Behaviour>,
@@ -90,50 +97,55 @@
     gone: BTreeSet<MachineName>,
     progress: BTreeMap<ClaimId, Progress>,
     pub events: Vec<Event>,
-    /// Halts of work that ran, by claim and loan.
+    /// The number of halts of running work, by claim and loan.
     pub halts: BTreeMap<(ClaimId, LoanId), u32>,
+    /// The number of executed start commands.
     pub starts: u32,
-    /// Orders of holders that were replaced.
-    pub refused: u32,
-    /// Seconds of work that machines lost, each one's counted.
+    /// The number of rejected commands with a stale fencing token.
+    pub rejected_stale_commands: u32,
+    /// Seconds of batch work lost, summed over the machines.
     pub lost_s: f64,
-    /// Machines check no token: a fault that the checker must find.
-    pub unfenced: bool,
+    /// Whether machines accept stale fencing tokens, a fault that the checker must detect.
+    pub fencing_disabled: bool,
     now: Duration,
 }
 
 impl Fleet {
     pub fn new(machines: usize, zones: usize) -> Self {
-        let machine =
-            |at: usize| Machine { zone: (at % zones) as u8, session: 1, ..Machine::default() };
-        let named = (0..machines).map(|at| (MachineName::from(format!("n-{at:04}")), machine(at)));
+        let machine = |index: usize| Machine {
+            zone: (index % zones) as u8,
+            session: 1,
+            ..Machine::default()
+        };
+        let named =
+            (0..machines).map(|index| (MachineName::from(format!("n-{index:04}")), machine(index)));
         Self { machines: named.collect(), ..Self::default() }
     }
 
-    pub fn names(&self) -> Vec<MachineName> {
+    pub fn machine_names(&self) -> Vec<MachineName> {
         self.machines.keys().cloned().collect()
     }
 
-    /// Machines that are there and stay.
-    pub fn staying(&self) -> u32 {
+    /// Returns the number of machines that are present and not about to be taken out of service.
+    pub fn remaining_machines(&self) -> u32 {
         self.machines.values().filter(|machine| !machine.leaving).count() as u32
     }
 
-    /// What runs where, saving included.
+    /// Returns the machines with work that has not ended, which includes batch_with_save_time, with their claims.
     pub fn running(&self) -> impl Iterator<Item = (&MachineName, &ClaimId)> {
         let machines = self.machines.iter();
-        let live = |run: &&Run| !matches!(run.state, RunState::Ended(_));
+        let is_live = |run: &&Run| !matches!(run.state, RunState::Ended(_));
         machines
-            .filter_map(move |(m, machine)| Some((m, &machine.run.as_ref().filter(live)?.claim)))
+            .filter_map(move |(m, machine)| Some((m, &machine.run.as_ref().filter(is_live)?.claim)))
     }
 
-    /// Machines on which a claim's work runs and isn't being stopped.
-    pub fn runs(&self, claim: &str) -> u32 {
+    /// Returns the number of machines on which a claim's work runs and is not being stopped.
+    pub fn running_machines(&self, claim: &str) -> u32 {
         let runs = |run: &Run| &*run.claim == claim && run.state == RunState::Running;
         self.machines.values().filter(|m| m.run.as_ref().is_some_and(runs)).count() as u32
     }
 
-    /// Machines of batch that was stopped, each time counted.
+    /// Returns the number of halts of batch work, counted per machine.
     pub fn batch_halts(&self) -> u32 {
         let halts = self.halts.iter();
         halts.filter(|((claim, _), _)| claim.starts_with("b-")).map(|(_, count)| count).sum()
@@ -147,7 +159,7 @@
         self.behaviours.get(claim).copied().unwrap_or_default()
     }
 
-    /// Lets time pass: work goes on, saves and runs end.
+    /// Advances the time: work progresses, and checkpoints and runs complete.
     pub fn advance(&mut self, now: Duration) {
         self.now = self.now.max(now);
         let now = self.now;
@@ -157,32 +169,32 @@
         }
         for machine in self.machines.values_mut() {
             let Some(run) = machine.run.as_mut() else { continue };
-            if run.state == RunState::Saving && run.saves_until.is_some_and(|at| at <= now) {
+            if run.state == RunState::Saving && run.save_ends_at.is_some_and(|end| end <= now) {
                 run.state = RunState::Ended(Exit::Saved);
-                machine.tick += 1;
+                machine.report_sequence += 1;
                 let progress = self.progress.entry(run.claim.clone()).or_default();
                 progress.saved_s = progress.done_s;
             }
         }
     }
 
-    /// A gang goes on only while all its machines run.
+    /// Updates the progress of a claim. A gang progresses only while it runs on all its machines.
     fn advance_claim(&mut self, claim: &ClaimId) {
         let behaviour = self.behaviour(claim);
         let runs = self.machines.values().filter_map(|m| m.run.as_ref());
-        let gang = runs.filter(|run| run.claim == *claim).map(|run| run.machines).max();
-        let whole = self.runs(claim) >= gang.unwrap_or(1);
+        let gang_size = runs.filter(|run| run.claim == *claim).map(|run| run.machines).max();
+        let complete = self.running_machines(claim) >= gang_size.unwrap_or(1);
         let now = self.now;
         let progress = self.progress.entry(claim.clone()).or_default();
-        if let Some(since) = progress.since {
-            progress.done_s += (now - since).as_secs_f64();
+        if let Some(counted_until) = progress.counted_until {
+            progress.done_s += (now - counted_until).as_secs_f64();
             if behaviour.checkpoint_s > 0.0 {
                 let saved = (progress.done_s / behaviour.checkpoint_s).floor();
                 progress.saved_s = progress.saved_s.max(saved * behaviour.checkpoint_s);
             }
         }
-        progress.since = whole.then_some(now);
-        if whole && behaviour.work_s.is_some_and(|work_s| progress.done_s >= work_s) {
+        progress.counted_until = complete.then_some(now);
+        if complete && behaviour.work_s.is_some_and(|work_s| progress.done_s >= work_s) {
             self.end_claim(claim, Exit::Done);
         }
     }
@@ -194,44 +206,46 @@
             };
             if !matches!(run.state, RunState::Ended(_)) {
                 run.state = RunState::Ended(exit);
-                machine.tick += 1;
+                machine.report_sequence += 1;
             }
         }
         if let Some(progress) = self.progress.get_mut(claim) {
-            progress.since = None;
+            progress.counted_until = None;
         }
     }
 
-    /// Work that goes without having been saved goes on from its last checkpoint.
+    /// Resets the progress of a claim to its last checkpoint, since its work stopped without saving.
     fn lose_progress(&mut self, claim: &ClaimId) {
         self.advance_claim(claim);
-        let machines = f64::from(self.runs(claim).max(1));
-        // Serving has nothing that could be lost.
+        let machines = f64::from(self.running_machines(claim).max(1));
+        // Replicas have no progress that could be lost.
         let batch = self.behaviours.contains_key(claim);
         if let Some(progress) = self.progress.get_mut(claim) {
             if batch {
                 self.lost_s += (progress.done_s - progress.saved_s) * machines;
             }
             progress.done_s = progress.saved_s;
-            progress.since = None;
+            progress.counted_until = None;
         }
     }
 
-    /// What machines that can be reached report once they saw this token.
+    /// Returns the reports of all machines. A reachable machine sends a new heartbeat that confirms the
+    /// token. The report of an unreachable machine shows its current run, but with the token and the
+    /// age of its last heartbeat.
     pub fn observe(&mut self, token: u64) -> Observation {
         let now = self.now;
         let mut reports = Vec::new();
         for (name, machine) in &mut self.machines {
             if machine.unreachable_until <= now {
                 machine.token = machine.token.max(token);
-                machine.tick += 1;
-                machine.heard = now;
+                machine.report_sequence += 1;
+                machine.last_heartbeat_at = now;
             }
             let claim = machine.run.as_ref().map(|run| run.claim.clone());
             let progress = claim.and_then(|claim| self.progress.get(&claim));
             let mut report = report(name, machine, progress, now);
-            if machine.hides_end.is_some_and(|until| now < until) {
-                // The report that shows the end does not arrive.
+            if machine.end_hidden_until.is_some_and(|until| now < until) {
+                // The observer still sees the run saving.
                 report.run = report.run.map(|run| RunReport { state: RunState::Saving, ..run });
             }
             reports.push(report);
@@ -239,112 +253,123 @@
         Observation { reports, gone: self.gone.clone(), unmanaged_workloads: Vec::new() }
     }
 
-    /// Carries out an order.
-    pub fn order(&mut self, order: &MachineCommand) -> Result<(), HostError> {
+    /// Executes a command.
+    pub fn execute(&mut self, command: &MachineCommand) -> Result<(), HostError> {
         let now = self.now;
-        let behaviour = match &order.kind {
+        let behaviour = match &command.kind {
             CommandKind::Start { claim, .. } => self.behaviour(claim),
             _ => Behaviour::default(),
         };
-        let Some(machine) = self.machines.get_mut(&order.machine) else {
+        let Some(machine) = self.machines.get_mut(&command.machine) else {
             return Err(HostError::Unavailable("gone".into()));
         };
-        let stale = order.token < machine.token && !self.unfenced;
-        if stale || order.session != machine.session {
-            self.refused += u32::from(stale);
+        let stale = command.token < machine.token && !self.fencing_disabled;
+        if stale || command.session != machine.session {
+            self.rejected_stale_commands += u32::from(stale);
             return Err(HostError::Stale);
         }
-        machine.token = machine.token.max(order.token);
-        match &order.kind {
+        machine.token = machine.token.max(command.token);
+        match &command.kind {
             CommandKind::Start { claim, machines } => {
-                let held = machine.run.as_ref();
-                if held.is_some_and(|run| run.loan >= order.loan) {
+                let latest = machine.run.as_ref();
+                if latest.is_some_and(|run| run.loan >= command.loan) {
                     return Ok(());
                 }
-                if let Some(run) = held.filter(|run| run.is_live()) {
-                    self.events.push(Event::StartedOver(claim.clone(), run.claim.clone()));
+                if let Some(run) = latest.filter(|run| run.is_live()) {
+                    self.events.push(Event::StartedOnBusyMachine(claim.clone(), run.claim.clone()));
                     return Err(HostError::Busy);
                 }
-                let state =
-                    if behaviour.fails { RunState::Ended(Exit::Failed) } else { RunState::Running };
+                let state = if behaviour.start_fails {
+                    RunState::Ended(Exit::Failed)
+                } else {
+                    RunState::Running
+                };
                 let claim = claim.clone();
-                machine.run = Some(Run::new(order.loan, claim.clone(), *machines, state));
-                machine.tick += 1;
+                machine.run = Some(Run::new(command.loan, claim.clone(), *machines, state));
+                machine.report_sequence += 1;
                 self.starts += 1;
-                if !behaviour.fails {
+                if !behaviour.start_fails {
                     self.events.push(Event::Started(claim));
                 }
             }
-            CommandKind::Halt { grace } => self.halt(order, *grace),
-            CommandKind::Terminate => self.end(order),
+            CommandKind::Halt { grace } => self.halt(command, *grace),
+            CommandKind::Terminate => self.terminate(command),
         }
         self.advance(now);
         Ok(())
     }
 
-    fn halt(&mut self, order: &MachineCommand, grace: Duration) {
+    fn halt(&mut self, command: &MachineCommand, grace: Duration) {
         let now = self.now;
-        let Some(machine) = self.machines.get_mut(&order.machine) else { return };
-        if machine.run.as_ref().is_none_or(|run| run.loan < order.loan) {
-            // A tombstone: no start of this loan has any effect from now on.
-            let void = RunState::Ended(Exit::NeverStarted);
+        let Some(machine) = self.machines.get_mut(&command.machine) else { return };
+        if machine.run.as_ref().is_none_or(|run| run.loan < command.loan) {
+            // Records the loan as ended, so that a start of this loan that arrives later has no
+            // effect.
+            let never_started = RunState::Ended(Exit::NeverStarted);
             let claim = ClaimId::from("");
-            let (loan, machines, saves_until, grace_until) = (order.loan, 1, None, now);
-            machine.run =
-                Some(Run { loan, claim, machines, state: void, saves_until, grace_until });
-            machine.tick += 1;
+            let (loan, machines, save_ends_at, grace_ends_at) = (command.loan, 1, None, now);
+            machine.run = Some(Run {
+                loan,
+                claim,
+                machines,
+                state: never_started,
+                save_ends_at,
+                grace_ends_at,
+            });
+            machine.report_sequence += 1;
             return;
         }
-        let Some(run) = machine.run.as_ref().filter(|run| run.loan == order.loan) else { return };
+        let Some(run) = machine.run.as_ref().filter(|run| run.loan == command.loan) else { return };
         if run.state != RunState::Running {
             return;
         }
         let claim = run.claim.clone();
         let behaviour = self.behaviour(&claim);
         self.events.push(Event::Halted(claim.clone()));
-        *self.halts.entry((claim.clone(), order.loan)).or_default() += 1;
+        *self.halts.entry((claim.clone(), command.loan)).or_default() += 1;
         if behaviour.checkpoint_s <= 0.0 || grace.as_secs_f64() < behaviour.save_s {
-            self.end(order);
+            self.terminate(command);
             return;
         }
         self.advance_claim(&claim);
         let done_s = self.progress.get(&claim).map_or(0.0, |progress| progress.done_s);
-        // A periodic checkpoint that is under way is joined: only its rest is to come.
+        // If a periodic checkpoint is in progress, the halt waits only for its remaining time.
         let since_checkpoint = done_s % behaviour.checkpoint_s;
-        let joined = done_s >= behaviour.checkpoint_s && since_checkpoint < behaviour.save_s;
-        let takes = if joined { behaviour.save_s - since_checkpoint } else { behaviour.save_s };
-        let until = now + Duration::from_secs_f64(takes);
-        let Some(machine) = self.machines.get_mut(&order.machine) else { return };
-        machine.tick += 1;
+        let checkpointing = done_s >= behaviour.checkpoint_s && since_checkpoint < behaviour.save_s;
+        let duration_s =
+            if checkpointing { behaviour.save_s - since_checkpoint } else { behaviour.save_s };
+        let save_ends_at = now + Duration::from_secs_f64(duration_s);
+        let Some(machine) = self.machines.get_mut(&command.machine) else { return };
+        machine.report_sequence += 1;
         if let Some(run) = machine.run.as_mut() {
             run.state = RunState::Saving;
-            run.saves_until = (!behaviour.hangs).then_some(until);
-            run.grace_until = now + grace;
+            run.save_ends_at = (!behaviour.save_hangs).then_some(save_ends_at);
+            run.grace_ends_at = now + grace;
         }
         self.advance_claim(&claim);
     }
 
-    fn end(&mut self, order: &MachineCommand) {
-        let Some(machine) = self.machines.get(&order.machine) else { return };
-        let Some(run) = machine.run.as_ref().filter(|run| run.loan == order.loan) else { return };
+    fn terminate(&mut self, command: &MachineCommand) {
+        let Some(machine) = self.machines.get(&command.machine) else { return };
+        let Some(run) = machine.run.as_ref().filter(|run| run.loan == command.loan) else { return };
         if matches!(run.state, RunState::Ended(_)) {
             return;
         }
         let claim = run.claim.clone();
-        if run.state == RunState::Saving && self.now < run.grace_until {
-            self.events.push(Event::CutShort(claim.clone()));
+        if run.state == RunState::Saving && self.now < run.grace_ends_at {
+            self.events.push(Event::SaveCutShort(claim.clone()));
         }
         self.lose_progress(&claim);
-        if let Some(machine) = self.machines.get_mut(&order.machine) {
-            machine.tick += 1;
+        if let Some(machine) = self.machines.get_mut(&command.machine) {
+            machine.report_sequence += 1;
             if let Some(run) = machine.run.as_mut() {
                 run.state = RunState::Ended(Exit::Lost);
             }
         }
     }
 
-    /// The machine and all on it are gone.
-    pub fn lose(&mut self, name: &MachineName) {
+    /// Removes a machine and everything on it.
+    pub fn lose_machine(&mut self, name: &MachineName) {
         let Some(machine) = self.machines.remove(name) else { return };
         self.gone.insert(name.clone());
         let live = machine.run.filter(Run::is_live);
@@ -352,52 +377,53 @@
         if let Some(claim) = &claim {
             self.lose_progress(claim);
         }
-        self.events.push(Event::Lost(claim));
+        self.events.push(Event::MachineLost(claim));
     }
 
-    /// Returns a machine.
+    /// Returns a machine to the cloud, unless the token is stale.
     pub fn retire(&mut self, name: &MachineName, token: u64) -> Result<(), HostError> {
         if self.machines.get(name).is_some_and(|machine| token < machine.token) {
             return Err(HostError::Stale);
         }
-        self.lose(name);
+        self.lose_machine(name);
         Ok(())
     }
 
-    /// Nothing reaches the machine for a while; what runs there goes on.
-    pub fn silence(&mut self, name: &MachineName, time: Duration) {
+    /// Makes a machine unreachable for some time; work on it continues.
+    pub fn make_unreachable(&mut self, name: &MachineName, time: Duration) {
         let until = self.now + time;
-        self.with(name, |machine| machine.unreachable_until = until);
+        self.update_machine(name, |machine| machine.unreachable_until = until);
     }
 
-    pub fn reaches(&self, name: &MachineName) -> bool {
+    pub fn is_reachable(&self, name: &MachineName) -> bool {
         self.machines.get(name).is_none_or(|machine| machine.unreachable_until <= self.now)
     }
 
-    /// The cloud will take the machine.
-    pub fn give_notice(&mut self, name: &MachineName) {
-        self.with(name, |machine| machine.leaving = true);
+    /// Announces that the cloud will take the machine out of service.
+    pub fn announce_removal(&mut self, name: &MachineName) {
+        self.update_machine(name, |machine| machine.leaving = true);
     }
 
-    /// The reports that show an end are lost for a while.
-    pub fn hide_end(&mut self, name: &MachineName, time: Duration) {
+    /// Loses the reports that show the end of a run for some time.
+    pub fn hide_end_reports(&mut self, name: &MachineName, time: Duration) {
         let until = self.now + time;
-        self.with(name, |machine| machine.hides_end = Some(until));
+        self.update_machine(name, |machine| machine.end_hidden_until = Some(until));
     }
 
-    /// The machine forgets its work, and is in a new session.
+    /// Restarts a machine: its work is lost, and a new session begins.
     pub fn restart(&mut self, name: &MachineName) {
         let claim =
             self.machines.get(name).and_then(|m| m.run.as_ref()).map(|run| run.claim.clone());
         if let Some(claim) = claim {
             self.lose_progress(&claim);
         }
-        self.with(name, |machine| {
-            (machine.session, machine.tick, machine.run) = (machine.session + 1, 0, None);
+        self.update_machine(name, |machine| {
+            (machine.session, machine.report_sequence, machine.run) =
+                (machine.session + 1, 0, None);
         });
     }
 
-    fn with(&mut self, name: &MachineName, change: impl FnOnce(&mut Machine)) {
+    fn update_machine(&mut self, name: &MachineName, change: impl FnOnce(&mut Machine)) {
         if let Some(machine) = self.machines.get_mut(name) {
             change(machine);
         }
@@ -410,7 +436,7 @@
         work_s.is_some_and(|work_s| done_s >= work_s)
     }
 
-    /// Seconds of work that were done and not lost, by claim.
+    /// Returns the seconds of work of a claim that were done and not lost.
     pub fn done_s(&self, claim: &str) -> f64 {
         self.progress.get(claim).map_or(0.0, |progress| progress.done_s)
     }
@@ -434,9 +460,9 @@
         machine: name.clone(),
         zone: machine.zone,
         session: machine.session,
-        sequence: machine.tick,
+        sequence: machine.report_sequence,
         token: machine.token,
-        heartbeat_age: now - machine.heard,
+        heartbeat_age: now - machine.last_heartbeat_at,
         leaving: machine.leaving,
         run,
     }
--- a/crates/stonewheel-lending/tests/common/simulation.rs
+++ b/crates/stonewheel-lending/tests/common/simulation.rs
@@ -1,5 +1,5 @@
-//! The planner and the orders over stand-in machines in steps of time, without
-//! controllers: what is planned is committed at once.
+//! A simulation of the planner and its commands on simulated machines, in steps of time and without
+//! controllers: each plan is committed immediately.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -18,6 +18,7 @@
 
 const EPOCH: u64 = 1;
 
+/// The fleet, the ledger and the claims of a simulation.
 pub struct Simulation {
     pub settings: LendingSettings,
     pub fleet: Fleet,
@@ -26,54 +27,56 @@
     pub checker: Checker,
     pub reserve: BTreeMap<TeamName, u32>,
     pub reasons: BTreeMap<ClaimId, WaitReason>,
-    /// Halts don't leave.
-    pub holds_halts: bool,
+    /// Whether halt commands are withheld.
+    pub halts_withheld: bool,
     pub now: Duration,
     halted: HashSet<LoanId>,
-    since: HashMap<LoanId, (LoanState, Duration)>,
-    accepted: u64,
+    loan_states: HashMap<LoanId, (LoanState, Duration)>,
+    admitted: u64,
     next_number: u64,
 }
 
 impl Simulation {
     pub fn new(settings: LendingSettings, machines: usize) -> Self {
-        let look = settings.times.probe_interval();
-        // Twice what one pass after the other takes, for losses that come together.
-        let bound = (settings.times.grace_period() + settings.times.worker_lease()) * 2 + look * 16;
+        let probe_interval = settings.times.probe_interval();
+        // Twice the time of one reclaim, since machines that are lost at the same time may require a
+        // second reclaim after the first.
+        let bound = (settings.times.grace_period() + settings.times.worker_lease()) * 2
+            + probe_interval * 16;
         Self {
-            checker: Checker::new(settings.clone(), look * 3, bound),
+            checker: Checker::new(settings.clone(), probe_interval * 3, bound),
             settings,
             fleet: Fleet::new(machines, 2),
             ledger: Ledger::new(64, 8192),
             claims: Vec::new(),
             reserve: BTreeMap::new(),
             reasons: BTreeMap::new(),
-            holds_halts: false,
+            halts_withheld: false,
             now: Duration::ZERO,
             halted: HashSet::new(),
-            since: HashMap::new(),
-            accepted: 0,
+            loan_states: HashMap::new(),
+            admitted: 0,
             next_number: 1,
         }
     }
 
     pub fn submit(&mut self, id: &str, claim: Claim) {
-        self.accepted += 1;
-        self.claims.push(ActiveClaim { id: id.into(), claim, admission_order: self.accepted });
+        self.admitted += 1;
+        self.claims.push(ActiveClaim { id: id.into(), claim, admission_order: self.admitted });
     }
 
     pub fn withdraw(&mut self, id: &str) {
-        self.claims.retain(|standing| &*standing.id != id);
+        self.claims.retain(|active| &*active.id != id);
     }
 
     fn views(&mut self) -> (BTreeMap<MachineName, MachineView>, BTreeSet<MachineName>) {
         let observation = self.fleet.observe(EPOCH);
-        let stale = self.settings.times.probe_interval() * 3;
+        let stale_after = self.settings.times.probe_interval() * 3;
         let views = observation.reports.into_iter().map(|report| {
             let view = MachineView {
                 zone: report.zone,
                 session: report.session,
-                reachable: report.heartbeat_age < stale,
+                reachable: report.heartbeat_age < stale_after,
                 confirmed: report.token == EPOCH,
                 leaving: report.leaving,
                 quarantined: false,
@@ -84,7 +87,7 @@
         (views.collect(), observation.gone)
     }
 
-    /// A plan from things as they stand.
+    /// Returns a plan for the current state.
     pub fn plan(&mut self) -> Plan {
         let (machines, gone) = self.views();
         plan(&PlannerInput {
@@ -102,40 +105,43 @@
         })
     }
 
-    /// Plans, commits and gives orders until nothing more is to be done at this moment.
-    pub fn settle(&mut self) {
+    /// Plans, commits and executes commands until a plan contains no changes, without advancing the
+    /// time.
+    pub fn plan_until_stable(&mut self) {
         for _ in 0..20 {
             let plan = self.plan();
             self.next_number = plan.next_number;
             self.reasons = plan.reasons;
-            self.claims.retain(|standing| !plan.done.contains(&standing.id));
+            self.claims.retain(|active| !plan.done.contains(&active.id));
             for transition in &plan.transitions {
                 self.ledger.set(transition);
             }
-            self.note_ages();
-            let orders = self.orders();
-            let rest = plan.transitions.is_empty() && plan.done.is_empty();
-            self.carry_out(&orders);
+            self.track_loan_states();
+            let commands = self.commands();
+            let stable = plan.transitions.is_empty() && plan.done.is_empty();
+            self.execute(&commands);
             self.check();
-            if rest {
+            if stable {
                 return;
             }
         }
-        panic!("the planner does not come to rest: {:#?}", self.plan());
+        panic!("planner still makes changes after 20 plans: {:#?}", self.plan());
     }
 
-    fn note_ages(&mut self) {
+    fn track_loan_states(&mut self) {
         let now = self.now;
-        let old = std::mem::take(&mut self.since);
+        let previous = std::mem::take(&mut self.loan_states);
         for (_, entry) in self.ledger.entries() {
-            let known = old.get(&entry.loan).filter(|(state, _)| *state == entry.state);
-            self.since.insert(entry.loan, known.copied().unwrap_or((entry.state, now)));
+            let known = previous.get(&entry.loan).filter(|(state, _)| *state == entry.state);
+            self.loan_states.insert(entry.loan, known.copied().unwrap_or((entry.state, now)));
         }
     }
 
-    fn orders(&mut self) -> Vec<MachineCommand> {
+    fn commands(&mut self) -> Vec<MachineCommand> {
         let (machines, _) = self.views();
-        let age = |entry: &Entry| self.now - self.since.get(&entry.loan).map_or(self.now, |s| s.1);
+        let age = |entry: &Entry| {
+            self.now - self.loan_states.get(&entry.loan).map_or(self.now, |known| known.1)
+        };
         due_commands(&CommandInput {
             settings: &self.settings,
             claims: &self.claims,
@@ -146,18 +152,18 @@
         })
     }
 
-    fn carry_out(&mut self, orders: &[MachineCommand]) {
-        for order in orders {
-            if !self.fleet.reaches(&order.machine) {
+    fn execute(&mut self, commands: &[MachineCommand]) {
+        for command in commands {
+            if !self.fleet.is_reachable(&command.machine) {
                 continue;
             }
-            if matches!(order.kind, CommandKind::Halt { .. }) {
-                if self.holds_halts {
+            if matches!(command.kind, CommandKind::Halt { .. }) {
+                if self.halts_withheld {
                     continue;
                 }
-                self.halted.insert(order.loan);
+                self.halted.insert(command.loan);
             }
-            let _ = self.fleet.order(order);
+            let _ = self.fleet.execute(command);
             self.check();
         }
     }
@@ -166,35 +172,36 @@
         self.checker.check(self.now, &self.claims, &mut self.fleet);
     }
 
-    /// Lets time pass in looks.
-    pub fn pass(&mut self, looks: u32) {
-        for _ in 0..looks {
+    /// Advances the time by a number of probe intervals, with a plan after each.
+    pub fn advance(&mut self, probe_intervals: u32) {
+        for _ in 0..probe_intervals {
             self.now += self.settings.times.probe_interval();
             self.fleet.advance(self.now);
             self.check();
-            self.return_silent();
-            self.settle();
+            self.retire_expired();
+            self.plan_until_stable();
         }
     }
 
-    /// Machines that are silent past their lease are returned.
-    fn return_silent(&mut self) {
+    /// Returns the machines whose worker lease expired to the cloud.
+    fn retire_expired(&mut self) {
         let lease = self.settings.times.worker_lease();
         let reports = self.fleet.observe(EPOCH).reports;
-        let silent = reports.iter().filter(|report| report.heartbeat_age >= lease);
-        for report in silent.filter(|report| self.ledger.get(&report.machine).is_some()) {
+        let expired = reports.iter().filter(|report| report.heartbeat_age >= lease);
+        for report in expired.filter(|report| self.ledger.get(&report.machine).is_some()) {
             let _ = self.fleet.retire(&report.machine, EPOCH);
         }
         self.check();
     }
 
-    pub fn state_of(&self, claim: &str) -> Vec<LoanState> {
+    /// Returns the states of the ledger entries of a claim.
+    pub fn loan_states_of(&self, claim: &str) -> Vec<LoanState> {
         let entries = self.ledger.entries().filter(|(_, entry)| &*entry.claim == claim);
         entries.map(|(_, entry)| entry.state).collect()
     }
 
-    /// Machines whose work is to go.
-    pub fn leaving(&self) -> usize {
+    /// Returns the number of machines whose work has to stop.
+    pub fn stopping_machines(&self) -> usize {
         self.ledger.entries().filter(|(_, entry)| entry.is_stopping()).count()
     }
 }
--- a/crates/stonewheel-lending/tests/common/world.rs
+++ b/crates/stonewheel-lending/tests/common/world.rs
@@ -1,5 +1,5 @@
-//! Three controllers' executors over the stand-ins, stand-in machines, and the checker,
-//! which looks after every change.
+//! A test deployment: the executors of three controllers, with a state service in memory, simulated
+//! machines, and the checker, which runs after every change.
 
 use std::{
     collections::HashMap,
@@ -22,51 +22,57 @@
 
 use super::{checker::Checker, fleet::Fleet};
 
+/// How long a controller's session stays valid after its last renewal.
 pub const SESSION: Duration = Duration::from_secs(6);
 pub const CONTROLLERS: usize = 3;
-const LATENCY: Duration = Duration::from_millis(5);
-const SAMPLE: Duration = Duration::from_millis(20);
-/// How long what a decision rests on, and its order, may be on their way.
-const LAG: Duration = Duration::from_millis(1500);
+/// The one-way latency of a call to a machine.
+const CALL_LATENCY: Duration = Duration::from_millis(5);
+/// The interval at which the checker runs while nothing happens.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// The maximum time from the observations that a decision is based on to the execution of its
+/// command.
+const MAX_DECISION_LAG: Duration = Duration::from_millis(1500);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Claims as they stand in the state service, parsed anew when they changed.
+/// Reads the active claims from the state service. Caches each record with its version, and parses
+/// it again only when the version changes.
 #[derive(Default)]
 struct ClaimReader(HashMap<String, (u64, Option<Claim>)>);
 
 impl ClaimReader {
     fn read(&mut self, state: &MemState) -> Vec<ActiveClaim> {
         let prefix = claim_key("");
-        let mut standing = Vec::new();
+        let mut active_claims = Vec::new();
         for key in state.keys(&prefix) {
             let version = state.version(&key);
-            let held = self.0.entry(key.clone()).or_default();
-            if held.0 != version {
+            let cached = self.0.entry(key.clone()).or_default();
+            if cached.0 != version {
                 let text = state.value(&key).unwrap_or_default();
                 let claim = match serde_json::from_str(&text) {
                     Ok(ClaimRecord::Active(claim)) => Some(claim),
                     _ => None,
                 };
-                *held = (version, claim);
+                *cached = (version, claim);
             }
-            if let Some(claim) = held.1.clone() {
-                standing.push(ActiveClaim {
+            if let Some(claim) = cached.1.clone() {
+                active_claims.push(ActiveClaim {
                     id: key[prefix.len()..].into(),
                     claim,
                     admission_order: version,
                 });
             }
         }
-        standing.sort_by_key(|standing| standing.admission_order);
-        standing
+        active_claims.sort_by_key(|active| active.admission_order);
+        active_claims
     }
 }
 
+/// Three controllers, the simulated machines and the checker.
 #[derive(Clone)]
-pub struct World {
+pub struct TestDeployment {
     pub state: MemState,
     pub fleet: Arc<Mutex<Fleet>>,
     pub checker: Arc<Mutex<Checker>>,
@@ -75,12 +81,12 @@
     pub bounds: Bounds,
     pub members: Arc<Members<Arc<Executor>>>,
     planner: Planner,
-    reader: Arc<Mutex<ClaimReader>>,
-    sampled: Arc<AtomicBool>,
-    began: Instant,
+    claim_reader: Arc<Mutex<ClaimReader>>,
+    checker_enabled: Arc<AtomicBool>,
+    started_at: Instant,
 }
 
-impl World {
+impl TestDeployment {
     pub async fn new(settings: LendingSettings, machines: usize) -> Self {
         Self::with_planner(settings, machines, stonewheel_lending::planner::plan).await
     }
@@ -90,19 +96,23 @@
         machines: usize,
         planner: Planner,
     ) -> Self {
-        let world = Self::unsampled(settings, machines, planner).await;
-        tokio::spawn(world.clone().sample());
-        world
+        let cluster = Self::without_checker(settings, machines, planner).await;
+        tokio::spawn(cluster.clone().run_checker());
+        cluster
     }
 
-    /// Without the checker, for measurements of many machines.
-    pub async fn unsampled(settings: LendingSettings, machines: usize, planner: Planner) -> Self {
+    /// Starts a deployment without the checker, for measurements with many machines.
+    pub async fn without_checker(
+        settings: LendingSettings,
+        machines: usize,
+        planner: Planner,
+    ) -> Self {
         let (state, callers) = (MemState::default(), Callers::default());
         let timing = timing(SESSION);
         let bounds = Bounds::of(&settings, SESSION, timing.state_timeout, CONTROLLERS as u32);
         let members = Members::new(state.clone(), callers.clone(), CONTROLLERS, timing);
-        let checker = Checker::new(settings.clone(), LAG, bounds.reclaim);
-        let world = Self {
+        let checker = Checker::new(settings.clone(), MAX_DECISION_LAG, bounds.reclaim);
+        let cluster = Self {
             state,
             fleet: Arc::new(Mutex::new(Fleet::new(machines, 2))),
             checker: Arc::new(Mutex::new(checker)),
@@ -111,20 +121,23 @@
             bounds,
             members: Arc::new(members),
             planner,
-            reader: Arc::default(),
-            sampled: Arc::default(),
-            began: Instant::now(),
+            claim_reader: Arc::default(),
+            checker_enabled: Arc::default(),
+            started_at: Instant::now(),
         };
-        for at in 0..CONTROLLERS {
-            world.start(at);
+        for controller in 0..CONTROLLERS {
+            cluster.start(controller);
         }
-        world.until("somebody holds", |world| world.holder().is_some()).await;
-        world
+        cluster
+            .wait_until("a controller holds the ledger", |cluster| cluster.holder().is_some())
+            .await;
+        cluster
     }
 
-    pub fn start(&self, at: usize) {
-        self.members.start(at, |process| {
-            let host = Arc::new(Host { world: self.clone(), client: process.client.to_owned() });
+    /// Starts a process of a controller.
+    pub fn start(&self, controller: usize) {
+        self.members.start(controller, |process| {
+            let host = Arc::new(Host { cluster: self.clone(), client: process.client.to_owned() });
             let (coordinator, seed) = (process.coordinator.clone(), process.seed);
             let limits = StateLimits { value_bytes: 8192, transaction_writes: 24 };
             let settings = self.settings.clone();
@@ -134,8 +147,9 @@
         });
     }
 
+    /// Returns the time since the start of the deployment.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
@@ -146,25 +160,25 @@
         lock(&self.checker)
     }
 
-    /// Lets the checker look.
+    /// Advances the machines to the current time, and runs the checker unless it is disabled.
     pub fn check(&self) {
-        if !self.sampled.load(Ordering::Relaxed) {
+        if !self.checker_enabled.load(Ordering::Relaxed) {
             let now = self.now();
             self.fleet().advance(now);
             return;
         }
-        let claims = lock(&self.reader).read(&self.state);
+        let claims = lock(&self.claim_reader).read(&self.state);
         let mut fleet = self.fleet();
         let now = self.now();
         fleet.advance(now);
         self.checker().check(now, &claims, &mut fleet);
     }
 
-    async fn sample(self) {
-        self.sampled.store(true, Ordering::Relaxed);
+    async fn run_checker(self) {
+        self.checker_enabled.store(true, Ordering::Relaxed);
         loop {
             self.check();
-            sleep(SAMPLE).await;
+            sleep(SAMPLE_INTERVAL).await;
         }
     }
 
@@ -172,12 +186,12 @@
         serde_json::from_str(&self.state.value(HOLDER_KEY)?).ok()
     }
 
-    /// The controller that holds the ledger, by its record.
+    /// Returns the controller that holds the ledger, by the holder's record.
     pub fn holder(&self) -> Option<usize> {
         self.holder_record()?.owner?.member.strip_prefix("m-")?.parse().ok()
     }
 
-    /// The ledger, straight from the state service.
+    /// Returns the entries of the ledger as stored in the state service.
     pub fn entries(&self) -> Vec<(MachineName, Entry)> {
         let keys = self.state.keys("sp/l/s/");
         let shards = keys.iter().filter_map(|key| self.state.value(key));
@@ -185,16 +199,18 @@
         shards.flat_map(|shard| shard.entries).collect()
     }
 
-    pub fn in_state(&self, state: LoanState) -> usize {
+    /// Returns the number of ledger entries in a state.
+    pub fn entries_in_state(&self, state: LoanState) -> usize {
         self.entries().iter().filter(|(_, entry)| entry.state == state).count()
     }
 
-    pub async fn until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
+    /// Waits until a condition holds. Panics if it doesn't hold within 10 minutes of simulated time.
+    pub async fn wait_until(&self, description: &str, condition: impl Fn(&Self) -> bool) {
         let limit = Instant::now() + Duration::from_secs(600);
-        while !holds(self) {
+        while !condition(self) {
             assert!(
                 Instant::now() < limit,
-                "never came true: {what}: {:#?} {:#?}",
+                "condition not reached: {description}; ledger {:#?}, violations {:#?}",
                 self.entries(),
                 self.checker().violations
             );
@@ -202,144 +218,160 @@
         }
     }
 
-    /// Asks for machines at a controller, and again until it answers.
-    pub async fn submit(&self, at: usize, id: &str, claim: Claim) {
+    /// Submits a claim to a controller. Repeats the call until a controller accepts it.
+    pub async fn submit(&self, controller: usize, id: &str, claim: Claim) {
         if let Work::Batch { checkpoint_s, save_s } = claim.work {
             let mut fleet = self.fleet();
             let behaviour = fleet.behaviours.entry(id.into()).or_default();
             (behaviour.checkpoint_s, behaviour.save_s) = (checkpoint_s, save_s);
         }
-        self.repeat(at, async |executor| executor.submit(id, &claim).await).await;
+        self.retry_until_accepted(controller, async |executor| executor.submit(id, &claim).await)
+            .await;
     }
 
-    pub async fn withdraw(&self, at: usize, id: &str) {
-        self.repeat(at, async |executor| executor.withdraw(id).await).await;
+    /// Withdraws a claim at a controller. Repeats the call until a controller accepts it.
+    pub async fn withdraw(&self, controller: usize, id: &str) {
+        self.retry_until_accepted(controller, async |executor| executor.withdraw(id).await).await;
     }
 
-    async fn repeat(
+    /// Repeats a call, at the next controller each time, until one succeeds.
+    async fn retry_until_accepted(
         &self,
-        at: usize,
+        controller: usize,
         call: impl AsyncFn(Arc<Executor>) -> Result<(), ClaimFailure>,
     ) {
-        for n in 0.. {
-            let at = (at + n) % CONTROLLERS;
-            if self.members.runs(at) {
-                let done = tokio::time::timeout(SESSION, call(self.members.part(at))).await;
-                match done {
+        for attempt in 0.. {
+            let controller = (controller + attempt) % CONTROLLERS;
+            if self.members.runs(controller) {
+                let result =
+                    tokio::time::timeout(SESSION, call(self.members.part(controller))).await;
+                match result {
                     Ok(Ok(())) => return,
-                    Ok(Err(ClaimFailure::Refused(error))) => panic!("refused: {error}"),
+                    Ok(Err(ClaimFailure::Refused(error))) => panic!("claim rejected: {error}"),
                     Ok(Err(_)) | Err(_) => {}
                 }
             }
-            assert!(n < 600, "no controller takes it");
+            assert!(attempt < 600, "no controller accepted the call");
             sleep(Duration::from_millis(200)).await;
         }
     }
 
-    pub fn runs(&self, id: &str) -> u32 {
-        self.fleet().runs(id)
+    /// Returns the number of machines on which a claim's work runs.
+    pub fn running_machines(&self, id: &str) -> u32 {
+        self.fleet().running_machines(id)
     }
 
-    pub async fn until_runs(&self, id: &str, machines: u32) {
-        self.until(&format!("{id} runs"), |world| world.runs(id) == machines).await;
+    pub async fn wait_until_running(&self, id: &str, machines: u32) {
+        self.wait_until(&format!("{id} runs on {machines} machines"), |cluster| {
+            cluster.running_machines(id) == machines
+        })
+        .await;
     }
 
     // Faults.
 
-    /// The bound begins anew after a fault that lasts so long.
-    pub fn excuse(&self, lasts: Duration) {
-        let until = self.now() + lasts + self.bounds.takeover;
-        self.checker().excuse(until);
+    /// Suspends the bound on waits while a fault lasts and for the takeover that may follow.
+    pub fn suspend_bound_for(&self, fault_duration: Duration) {
+        let until = self.now() + fault_duration + self.bounds.takeover;
+        self.checker().suspend_bound_until(until);
     }
 
-    pub fn kill(&self, at: usize) {
-        self.excuse(Duration::ZERO);
-        self.members.kill(at);
+    /// Ends a controller's process without notice.
+    pub fn kill(&self, controller: usize) {
+        self.suspend_bound_for(Duration::ZERO);
+        self.members.kill(controller);
     }
 
-    pub fn pause(&self, at: usize, seconds: u64) {
+    /// Pauses a controller's process.
+    pub fn pause(&self, controller: usize, seconds: u64) {
         let time = Duration::from_secs(seconds);
-        self.excuse(time);
-        self.members.pause(at, time);
+        self.suspend_bound_for(time);
+        self.members.pause(controller, time);
     }
 
+    /// Makes the state service unavailable, and returns when it is available again.
     pub async fn outage(&self, seconds: u64) {
-        self.excuse(Duration::from_secs(seconds));
+        self.suspend_bound_for(Duration::from_secs(seconds));
         self.state.set_outage(true);
         sleep(Duration::from_secs(seconds)).await;
         self.state.set_outage(false);
     }
 
-    pub fn silence(&self, machine: &MachineName, seconds: u64) {
+    /// Makes a machine unreachable; work on it continues.
+    pub fn make_unreachable(&self, machine: &MachineName, seconds: u64) {
         let time = Duration::from_secs(seconds);
-        self.break_runs_on(machine, time);
-        self.fleet().silence(machine, time);
+        self.record_broken_gangs_on(machine, time);
+        self.fleet().make_unreachable(machine, time);
     }
 
-    /// What runs there may be stopped as a whole because of it.
-    fn break_runs_on(&self, machine: &MachineName, time: Duration) {
+    /// Records that the gangs on a machine may be stopped as a whole because of a fault of the
+    /// machine.
+    fn record_broken_gangs_on(&self, machine: &MachineName, time: Duration) {
         let until = self.now() + time;
         let claims: Vec<ClaimId> = {
             let fleet = self.fleet();
-            let here = fleet.running().filter(|(name, _)| *name == machine);
-            here.map(|(_, claim)| claim.clone()).collect()
+            let runs_here = fleet.running().filter(|(name, _)| *name == machine);
+            runs_here.map(|(_, claim)| claim.clone()).collect()
         };
         let mut checker = self.checker();
-        checker.excuse(until);
+        checker.suspend_bound_until(until);
         for claim in claims {
-            checker.breaks(until, &claim);
+            checker.record_broken_gang(until, &claim);
         }
     }
 
+    /// Restarts a machine: its work is lost, and a new session begins.
     pub fn restart(&self, machine: &MachineName) {
-        self.break_runs_on(machine, Duration::ZERO);
+        self.record_broken_gangs_on(machine, Duration::ZERO);
         self.fleet().restart(machine);
     }
 
-    pub fn give_notice(&self, machine: &MachineName) {
-        self.break_runs_on(machine, Duration::ZERO);
-        self.fleet().give_notice(machine);
+    /// Announces that a machine will be taken out of service.
+    pub fn announce_removal(&self, machine: &MachineName) {
+        self.record_broken_gangs_on(machine, Duration::ZERO);
+        self.fleet().announce_removal(machine);
     }
 
-    pub fn assert_kept(&self) {
+    /// Asserts that the checker ran and found no violation.
+    pub fn assert_guarantees_kept(&self) {
         self.check();
         let checker = self.checker();
         assert!(checker.violations.is_empty(), "{:#?}", checker.violations);
-        assert!(checker.samples > 100, "it looked");
+        assert!(checker.samples > 100, "the checker ran too few times");
     }
 }
 
-/// Speaks to the machines for one process.
+/// The connection of one controller process to the machines.
 struct Host {
-    world: World,
+    cluster: TestDeployment,
     client: String,
 }
 
 impl Host {
-    /// Carries out a call once it arrives, also though the caller has given up meanwhile:
-    /// what an interruption holds back is delivered when it ends.
+    /// Executes a call when it arrives, even if the caller has timed out meanwhile: a call that an
+    /// interruption delays is delivered when the interruption ends.
     async fn call(
         &self,
         machine: &MachineName,
-        act: impl FnOnce(&mut Fleet) -> Result<(), HostError> + Send + 'static,
+        action: impl FnOnce(&mut Fleet) -> Result<(), HostError> + Send + 'static,
     ) -> Result<(), HostError> {
-        let (world, machine) = (self.world.clone(), machine.clone());
+        let (cluster, machine) = (self.cluster.clone(), machine.clone());
         let client = self.client.clone();
-        let carried_out = tokio::spawn(async move {
-            world.callers.arrive(&client, LATENCY).await;
-            while !world.fleet().reaches(&machine) {
-                sleep(SAMPLE).await;
+        let call = tokio::spawn(async move {
+            cluster.callers.arrive(&client, CALL_LATENCY).await;
+            while !cluster.fleet().is_reachable(&machine) {
+                sleep(SAMPLE_INTERVAL).await;
             }
-            world.check();
-            let result = act(&mut world.fleet());
-            world.check();
+            cluster.check();
+            let result = action(&mut cluster.fleet());
+            cluster.check();
             result
         });
-        let result = carried_out.await.unwrap_or(Err(HostError::Stale));
-        if self.world.callers.loses_answer(&self.client) {
+        let result = call.await.unwrap_or(Err(HostError::Stale));
+        if self.cluster.callers.loses_answer(&self.client) {
             std::future::pending::<()>().await;
         }
-        self.world.callers.arrive(&self.client, LATENCY).await;
+        self.cluster.callers.arrive(&self.client, CALL_LATENCY).await;
         result
     }
 }
@@ -347,10 +379,10 @@
 impl MachineHost for Host {
     fn observe(&self, token: u64) -> BoxFuture<'_, Result<Observation, HostError>> {
         Box::pin(async move {
-            self.world.callers.arrive(&self.client, LATENCY).await;
-            self.world.check();
-            let observation = self.world.fleet().observe(token);
-            self.world.callers.arrive(&self.client, LATENCY).await;
+            self.cluster.callers.arrive(&self.client, CALL_LATENCY).await;
+            self.cluster.check();
+            let observation = self.cluster.fleet().observe(token);
+            self.cluster.callers.arrive(&self.client, CALL_LATENCY).await;
             Ok(observation)
         })
     }
@@ -359,17 +391,17 @@
         let command = command.clone();
         Box::pin(async move {
             let machine = command.machine.clone();
-            self.call(&machine, move |fleet| fleet.order(&command)).await
+            self.call(&machine, move |fleet| fleet.execute(&command)).await
         })
     }
 
     fn retire(&self, machine: &MachineName, token: u64) -> BoxFuture<'_, Result<(), HostError>> {
         let machine = machine.clone();
         Box::pin(async move {
-            // The cloud answers for it, whether it can be reached or not.
-            self.world.callers.arrive(&self.client, LATENCY).await;
-            let result = self.world.fleet().retire(&machine, token);
-            self.world.check();
+            // The cloud executes the call, whether the machine can be reached or not.
+            self.cluster.callers.arrive(&self.client, CALL_LATENCY).await;
+            let result = self.cluster.fleet().retire(&machine, token);
+            self.cluster.check();
             result
         })
     }
--- a/crates/stonewheel-lending/tests/ledger.rs
+++ b/crates/stonewheel-lending/tests/ledger.rs
@@ -1,5 +1,7 @@
-//! The ledger over the state service in memory: random changes by holders that replace
-//! each other, with records that can't be read, against a plain map.
+//! Compares the ledger, over a state service in memory, with a plain map under random changes.
+//! Guards against writes of a replaced holder that take effect, and against changes to shards that
+//! can't be parsed: two controllers replace each other as holder, and shards are corrupted and
+//! repaired.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,7 +27,7 @@
 
 const MACHINES: usize = 12;
 const SHARDS: u32 = 5;
-const VALUE_BYTES: usize = 8192;
+const MAX_VALUE_BYTES: usize = 8192;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Change {
@@ -42,21 +44,22 @@
 #[derive(Clone, Debug)]
 enum Step {
     Change(usize, Change),
-    /// Another controller becomes the holder.
+    /// The other controller becomes the holder.
     Replace,
-    /// The one before it writes once more.
+    /// The previous holder attempts another write.
     StaleWrite(usize),
-    /// A shard is overwritten with what is no shard.
-    Garble(u32),
-    /// It can be read again, as it was.
-    Mend(u32),
+    /// A shard is overwritten with a value that is not a shard.
+    Corrupt(u32),
+    /// A corrupted shard gets its last valid value back.
+    Repair(u32),
 }
 
-/// What must stand: written apart from the ledger's own rules.
+/// The expected state, with transition rules that are independent of the ledger's.
 #[derive(Clone, Debug, Default)]
 struct Model {
+    /// The state of each machine's loan, and whether it was granted before a reclaim.
     states: BTreeMap<usize, (LoanState, bool)>,
-    garbled: BTreeSet<u32>,
+    corrupted: BTreeSet<u32>,
 }
 
 fn name(machine: usize) -> MachineName {
@@ -64,10 +67,11 @@
 }
 
 impl Model {
+    /// Returns a machine's loan after a change, or the outer None if the change is not allowed.
     fn after(&self, machine: usize, change: Change) -> Option<Option<(LoanState, bool)>> {
         use LoanState::*;
-        let held = self.states.get(&machine).copied();
-        let next = match (held, change) {
+        let current = self.states.get(&machine).copied();
+        let next = match (current, change) {
             (None, Change::Lend) => Some((Lent, false)),
             (None, Change::Grant) => Some((Granted, true)),
             (Some((Lent | Granted, granted)), Change::Request) => Some((ReclaimRequested, granted)),
@@ -84,8 +88,9 @@
         Some(next)
     }
 
-    fn knows(&self, machine: usize) -> bool {
-        !self.garbled.contains(&shard_of(&name(machine), SHARDS))
+    /// Whether the shard of a machine can be read.
+    fn can_read(&self, machine: usize) -> bool {
+        !self.corrupted.contains(&shard_of(&name(machine), SHARDS))
     }
 }
 
@@ -113,49 +118,50 @@
             12 => (0..MACHINES, change).prop_map(|(machine, change)| Step::Change(machine, change)),
             1 => Just(Step::Replace),
             1 => (0..MACHINES).prop_map(Step::StaleWrite),
-            1 => (0..SHARDS).prop_map(Step::Garble),
-            2 => (0..SHARDS).prop_map(Step::Mend),
+            1 => (0..SHARDS).prop_map(Step::Corrupt),
+            2 => (0..SHARDS).prop_map(Step::Repair),
         ]
         .boxed()
     }
 
     fn apply(mut state: Self, step: &Step) -> Self {
         match step {
-            Step::Change(machine, change) if state.knows(*machine) => {
+            Step::Change(machine, change) if state.can_read(*machine) => {
                 match state.after(*machine, *change) {
                     Some(Some(next)) => drop(state.states.insert(*machine, next)),
                     Some(None) => drop(state.states.remove(machine)),
                     None => {}
                 }
             }
-            Step::Garble(shard) => drop(state.garbled.insert(*shard)),
-            Step::Mend(shard) => drop(state.garbled.remove(shard)),
+            Step::Corrupt(shard) => drop(state.corrupted.insert(*shard)),
+            Step::Repair(shard) => drop(state.corrupted.remove(shard)),
             Step::Change(..) | Step::Replace | Step::StaleWrite(_) => {}
         }
         state
     }
 }
 
-/// The ledger, as two controllers hold it in turn.
+/// The ledger and the two controllers that hold it in turn.
 struct Holders {
     runtime: Runtime,
     state: MemState,
     coordinators: [Arc<Coordinator>; 2],
     holder: usize,
-    /// The holder's record as each controller last knew it.
-    fences: [u64; 2],
+    /// The version of the holder's record that each controller last wrote.
+    holder_versions: [u64; 2],
     ledger: Ledger,
     number: u64,
-    mended: BTreeMap<u32, String>,
+    saved_shards: BTreeMap<u32, String>,
 }
 
 impl Holders {
-    fn entry(&mut self, machine: usize, change: Change) -> Option<Option<Entry>> {
+    /// Returns a machine's entry after a change, or the outer None if the change is not allowed.
+    fn entry_after(&mut self, machine: usize, change: Change) -> Option<Option<Entry>> {
         self.number += 1;
         let loan = LoanId { epoch: 1, number: self.number };
-        let held = self.ledger.get(&name(machine)).cloned();
+        let current = self.ledger.get(&name(machine)).cloned();
         let claimant: Arc<str> = "c-2".into();
-        let next = match (held, change) {
+        let next = match (current, change) {
             (None, Change::Lend) => Entry::lend(
                 loan,
                 Some("red".into()),
@@ -173,7 +179,7 @@
             (Some(entry), Change::Halted) => entry.halted().ok()?,
             (Some(entry), Change::Release) => entry.release(ChangeReason::Ended).ok()?,
             (Some(entry), Change::GrantToClaimant) => {
-                // A withdrawn request has no claimant any more.
+                // A loan that was released without a pending reclaim request has no claimant.
                 let claimant = entry.claimant.clone().unwrap_or(claimant);
                 let claimed = Entry { claimant: Some(claimant.clone()), ..entry };
                 claimed.grant_to_claimant(loan, "red".into(), claimant).ok()?
@@ -186,33 +192,36 @@
         Some(Some(next))
     }
 
-    /// Commits a change as one of the controllers; true if it was taken.
-    fn commit(&self, at: usize, machine: usize, after: Option<Entry>) -> bool {
-        let coordinator = &self.coordinators[at];
+    /// Commits a change as one of the controllers. Returns whether it was accepted.
+    fn commit(&self, controller: usize, machine: usize, after: Option<Entry>) -> bool {
+        let coordinator = &self.coordinators[controller];
         let transition = Transition { machine: name(machine), after };
-        let writes = self.ledger.writes(vec![transition]).expect("it can be encoded");
+        let writes = self.ledger.writes(vec![transition]).expect("an encodable value");
         let Some(write) = writes.into_iter().next() else { return false };
-        let fence = Condition { key: HOLDER_KEY.into(), version: self.fences[at] };
+        let fence = Condition { key: HOLDER_KEY.into(), version: self.holder_versions[controller] };
         let session = coordinator.session().expect("a session");
         let conditions = vec![fence, write.condition];
         let committed = coordinator.commit_under(session, conditions, vec![write.write]);
         self.runtime.block_on(committed).is_ok()
     }
 
+    /// Makes the other controller the holder.
     fn take_over(&mut self) {
-        let at = 1 - self.holder;
-        let coordinator = &self.coordinators[at];
+        let successor = 1 - self.holder;
+        let coordinator = &self.coordinators[successor];
         let version = coordinator.records().version(HOLDER_KEY);
         let session = coordinator.session().expect("a session");
-        let write = put(HOLDER_KEY.into(), &self.number, None).expect("it can be encoded");
+        let write = put(HOLDER_KEY.into(), &self.number, None).expect("an encodable value");
         let condition = Condition { key: HOLDER_KEY.into(), version };
         let committed = coordinator.commit_under(session, vec![condition], vec![write]);
-        self.fences[at] = self.runtime.block_on(committed).expect("nobody else writes it");
-        self.holder = at;
-        self.ledger = Ledger::new(SHARDS, VALUE_BYTES);
+        self.holder_versions[successor] =
+            self.runtime.block_on(committed).expect("no concurrent writer");
+        self.holder = successor;
+        self.ledger = Ledger::new(SHARDS, MAX_VALUE_BYTES);
     }
 
-    fn settle(&mut self) {
+    /// Waits until the records have arrived, and refreshes the ledger.
+    fn wait_and_refresh(&mut self) {
         self.runtime.block_on(async { sleep(Duration::from_millis(100)).await });
         self.ledger.refresh(&self.coordinators[self.holder].records());
     }
@@ -226,33 +235,41 @@
 
     fn init_test(_: &Model) -> Holders {
         let mut builder = tokio::runtime::Builder::new_current_thread();
-        let runtime = builder.enable_all().start_paused(true).build().expect("it runs");
+        let runtime = builder.enable_all().start_paused(true).build().expect("a runtime");
         let state = MemState::default();
         let coordinators = runtime.block_on(async {
-            let start = |at: usize| {
+            let start = |index: usize| {
                 let stop = CancellationToken::new();
                 let timing = timing(Duration::from_secs(10));
-                coordinated(&state, &format!("m-{at}"), (at, 2), at as u64, timing, &stop)
+                coordinated(&state, &format!("m-{index}"), (index, 2), index as u64, timing, &stop)
             };
             let both = [start(0), start(1)];
             sleep(Duration::from_secs(2)).await;
             both
         });
-        let (ledger, mended) = (Ledger::new(SHARDS, VALUE_BYTES), BTreeMap::new());
-        let (holder, fences, number) = (1, [0, 0], 0);
-        let mut holders =
-            Holders { runtime, state, coordinators, holder, fences, ledger, number, mended };
+        let (ledger, saved_shards) = (Ledger::new(SHARDS, MAX_VALUE_BYTES), BTreeMap::new());
+        let (holder, holder_versions, number) = (1, [0, 0], 0);
+        let mut holders = Holders {
+            runtime,
+            state,
+            coordinators,
+            holder,
+            holder_versions,
+            ledger,
+            number,
+            saved_shards,
+        };
         holders.take_over();
-        holders.settle();
+        holders.wait_and_refresh();
         holders
     }
 
     fn apply(mut holders: Holders, _: &Model, step: Step) -> Holders {
         match step {
             Step::Change(machine, change) => {
-                if let Some(after) = holders.entry(machine, change) {
-                    let known = holders.ledger.can_read(&name(machine));
-                    assert_eq!(holders.commit(holders.holder, machine, after), known);
+                if let Some(after) = holders.entry_after(machine, change) {
+                    let readable = holders.ledger.can_read(&name(machine));
+                    assert_eq!(holders.commit(holders.holder, machine, after), readable);
                 }
             }
             Step::Replace => holders.take_over(),
@@ -263,42 +280,42 @@
                     "c-9".into(),
                     ChangeReason::Free,
                 );
-                let taken = holders.commit(1 - holders.holder, machine, Some(after));
-                assert!(!taken, "a replaced holder is refused");
+                let accepted = holders.commit(1 - holders.holder, machine, Some(after));
+                assert!(!accepted, "writes of a replaced holder are rejected");
             }
-            Step::Garble(shard) => {
+            Step::Corrupt(shard) => {
                 let key = shard_key(shard);
-                if !holders.mended.contains_key(&shard) {
+                if !holders.saved_shards.contains_key(&shard) {
                     let text = holders.state.value(&key).unwrap_or("{\"entries\":{}}".into());
-                    holders.mended.insert(shard, text);
+                    holders.saved_shards.insert(shard, text);
                 }
-                let write = put(key, &"no shard", None).expect("it can be encoded");
-                holders.state.commit(Vec::new(), vec![write]).expect("taken");
+                let write = put(key, &"no shard", None).expect("an encodable value");
+                holders.state.commit(Vec::new(), vec![write]).expect("accepted");
             }
-            Step::Mend(shard) => {
-                if let Some(text) = holders.mended.remove(&shard) {
+            Step::Repair(shard) => {
+                if let Some(text) = holders.saved_shards.remove(&shard) {
                     let old: Shard = serde_json::from_str(&text).expect("a shard");
-                    let write = put(shard_key(shard), &old, None).expect("it can be encoded");
-                    holders.state.commit(Vec::new(), vec![write]).expect("taken");
+                    let write = put(shard_key(shard), &old, None).expect("an encodable value");
+                    holders.state.commit(Vec::new(), vec![write]).expect("accepted");
                 }
             }
         }
-        holders.settle();
+        holders.wait_and_refresh();
         holders
     }
 
     fn check_invariants(holders: &Holders, model: &Model) {
         for machine in 0..MACHINES {
-            let known = model.knows(machine);
-            assert_eq!(holders.ledger.can_read(&name(machine)), known);
-            assert_eq!(holders.ledger.can_write(&name(machine)), known);
-            let expected = model.states.get(&machine).filter(|_| known).map(|(state, _)| *state);
+            let readable = model.can_read(machine);
+            assert_eq!(holders.ledger.can_read(&name(machine)), readable);
+            assert_eq!(holders.ledger.can_write(&name(machine)), readable);
+            let expected = model.states.get(&machine).filter(|_| readable).map(|(state, _)| *state);
             assert_eq!(holders.ledger.get(&name(machine)).map(|entry| entry.state), expected);
         }
         let loans: Vec<LoanId> = holders.ledger.entries().map(|(_, entry)| entry.loan).collect();
-        assert_eq!(loans.iter().collect::<BTreeSet<_>>().len(), loans.len(), "a loan is used once");
+        assert_eq!(loans.iter().collect::<BTreeSet<_>>().len(), loans.len(), "loan ids are unique");
         for key in holders.state.keys(&format!("{PREFIX}s/")) {
-            assert!(holders.state.value(&key).expect("a value").len() <= VALUE_BYTES);
+            assert!(holders.state.value(&key).expect("a value").len() <= MAX_VALUE_BYTES);
         }
     }
 }
@@ -312,34 +329,38 @@
     })]
 
     #[test]
-    fn the_ledger_is_what_its_holders_made_of_it(sequential 1..60 => LedgerTest);
+    fn ledger_equals_model_under_random_changes(sequential 1..60 => LedgerTest);
 }
 
 #[test]
-fn the_longest_entry_fits_what_is_reserved_for_it() {
+fn longest_entry_fits_max_entry_bytes() {
     let name = |letter: &str| -> Arc<str> { letter.repeat(MAX_NAME_BYTES).into() };
     let loan = LoanId { epoch: u64::MAX, number: u64::MAX };
     let mut entry =
         Entry::lend(loan, Some(name("l")), name("b"), name("c"), ChangeReason::Incomplete);
     for _ in 0..3 {
-        entry =
-            entry.request(Some(name("d")), 86_400_000, ChangeReason::Incomplete).expect("it runs");
-        let longest = Shard { entries: [(name("n"), entry.clone())].into() };
-        let bytes = serde_json::to_string(&longest).expect("it can be encoded").len();
+        entry = entry
+            .request(Some(name("d")), 86_400_000, ChangeReason::Incomplete)
+            .expect("a running loan");
+        let shard = Shard { entries: [(name("n"), entry.clone())].into() };
+        let bytes = serde_json::to_string(&shard).expect("an encodable value").len();
         assert!(bytes <= MAX_ENTRY_BYTES, "{bytes} bytes");
-        entry = entry.withdraw().expect("it was requested");
+        entry = entry.withdraw().expect("a requested reclaim");
     }
 }
 
 #[test]
-fn four_thousand_machines_fit_the_shards_of_a_small_state_service() {
+fn shards_have_capacity_for_4000_machines_with_small_values() {
     for value_bytes in [4096, 8192] {
         let shards = shard_count(4000, value_bytes);
-        let mut held = vec![0_usize; shards as usize];
+        let mut entries_per_shard = vec![0_usize; shards as usize];
         for machine in 0..4000 {
-            held[shard_of(&format!("n-{machine:06}"), shards) as usize] += 1;
+            entries_per_shard[shard_of(&format!("n-{machine:06}"), shards) as usize] += 1;
         }
-        let full = held.iter().filter(|count| **count * MAX_ENTRY_BYTES > value_bytes).count();
+        let full = entries_per_shard
+            .iter()
+            .filter(|count| **count * MAX_ENTRY_BYTES > value_bytes)
+            .count();
         assert_eq!(full, 0, "of {shards} shards with values of {value_bytes}");
     }
 }
--- a/crates/stonewheel-lending/tests/measure.rs
+++ b/crates/stonewheel-lending/tests/measure.rs
@@ -1,12 +1,14 @@
-//! Measurements, by hand: `cargo test -p stonewheel-lending --test measure -- --ignored
-//! --nocapture`. Times are of the simulation, but for the planner's own.
+//! Measurements: `cargo test -p stonewheel-lending --test measure -- --ignored --nocapture`. Times
+//! are simulated, except for the time that a plan takes.
 
-#[allow(dead_code)] // Each test file uses its own part.
+#[allow(dead_code)] // Each test file uses only a part of the module.
 mod common;
 
 use std::time::Duration;
 
-use common::{batch, saving, serving, settings, simulation::Simulation, world::World};
+use common::{
+    batch, batch_with_save_time, serving, settings, simulation::Simulation, world::TestDeployment,
+};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use stonewheel_lending::{
     LendingSettings, Planner,
@@ -15,7 +17,7 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Half of the fleet is guaranteed to serving; batch may fill all of it.
+/// Returns settings that guarantee half of the fleet to serving, and let batch work use all of it.
 fn half_guaranteed(machines: u32) -> LendingSettings {
     let half = machines / 2;
     let mut settings = settings(&[("nightly", 0, machines), ("serving", half, machines)]);
@@ -23,51 +25,59 @@
     settings
 }
 
-async fn filled(machines: u32, save_s: f64) -> World {
-    let world = World::unsampled(half_guaranteed(machines), machines as usize, plan).await;
-    let gang = 2;
-    for n in 0..machines / gang {
-        world.submit(n as usize % 3, &format!("b-{n}"), saving("nightly", gang, save_s)).await;
+/// Starts a deployment and waits until gangs of batch work run on all machines.
+async fn filled_cluster(machines: u32, save_s: f64) -> TestDeployment {
+    let cluster =
+        TestDeployment::without_checker(half_guaranteed(machines), machines as usize, plan).await;
+    let gang_size = 2;
+    for n in 0..machines / gang_size {
+        cluster
+            .submit(
+                n as usize % 3,
+                &format!("b-{n}"),
+                batch_with_save_time("nightly", gang_size, save_s),
+            )
+            .await;
     }
-    let full = |world: &World| world.fleet().running().count() as u32 == machines;
-    while !full(&world) {
+    let full = |cluster: &TestDeployment| cluster.fleet().running().count() as u32 == machines;
+    while !full(&cluster) {
         sleep(Duration::from_millis(200)).await;
     }
     sleep(Duration::from_secs(12)).await;
-    world
+    cluster
 }
 
 #[tokio::test(start_paused = true)]
 #[ignore = "a measurement"]
-async fn from_claim_to_start() {
+async fn latency_from_claim_to_start() {
     println!("machines, save, claimed: all run after, transactions, requests a machine");
     for (machines, claimed) in [(24, 4), (100, 20), (400, 80), (1000, 200), (4000, 400)] {
         for save_s in [0.5, 2.0, 6.0] {
             if machines > 400 && save_s != 2.0 {
                 continue;
             }
-            let world = filled(machines, save_s).await;
-            let before = world.state.usage();
-            let asked = Instant::now();
-            world.submit(0, "s-1", serving("serving", claimed)).await;
-            while world.runs("s-1") < claimed {
+            let cluster = filled_cluster(machines, save_s).await;
+            let before = cluster.state.usage();
+            let submitted_at = Instant::now();
+            cluster.submit(0, "s-1", serving("serving", claimed)).await;
+            while cluster.running_machines("s-1") < claimed {
                 sleep(Duration::from_millis(10)).await;
             }
-            let (took, after) = (asked.elapsed(), world.state.usage());
+            let (latency, after) = (submitted_at.elapsed(), cluster.state.usage());
             let writes = (after.writes - before.writes) as f64 / f64::from(claimed);
             let requests = (after.requests - before.requests) as f64 / f64::from(claimed);
             println!(
                 "{machines}, {save_s} s, {claimed}: {:.1} s (bound {:.0} s), {writes:.2} writes, \
                  {requests:.2} requests",
-                took.as_secs_f64(),
-                world.bounds.reclaim.as_secs_f64(),
+                latency.as_secs_f64(),
+                cluster.bounds.reclaim.as_secs_f64(),
             );
         }
     }
 }
 
-/// Stops work without time to save.
-fn preempts_at_once(input: &PlannerInput<'_>) -> Plan {
+/// A planner that stops work without time to save.
+fn preempt_without_saving(input: &PlannerInput<'_>) -> Plan {
     let mut plan = plan(input);
     for transition in &mut plan.transitions {
         if let Some(entry) = &mut transition.after
@@ -79,10 +89,10 @@
     plan
 }
 
-/// Keeps what is guaranteed for those that it is guaranteed to.
-fn lends_nothing(input: &PlannerInput<'_>) -> Plan {
+/// A planner that lends no machine that covers a guarantee: batch work gets only the machines beyond
+/// all guarantees.
+fn lend_nothing(input: &PlannerInput<'_>) -> Plan {
     let mut settings = input.settings.clone();
-    // Only what is beyond all guarantees is given to batch.
     let beyond = input.machines.len() as u32 - settings.guaranteed();
     if let Some(team) = settings.teams.get_mut("nightly") {
         team.ceiling = beyond;
@@ -90,56 +100,60 @@
     plan(&PlannerInput { settings: &settings, ..*input })
 }
 
-/// An hour of batch that wants all machines, and serving that swings.
-async fn hour(planner: Planner) -> (World, f64) {
+/// Simulates one hour of batch work that requests all machines, and serving demand that fluctuates.
+/// Returns the deployment and the longest wait of a serving claim in seconds.
+async fn run_hour(planner: Planner) -> (TestDeployment, f64) {
     const MACHINES: u32 = 40;
-    let world = World::unsampled(half_guaranteed(MACHINES), MACHINES as usize, planner).await;
+    let cluster =
+        TestDeployment::without_checker(half_guaranteed(MACHINES), MACHINES as usize, planner)
+            .await;
     for n in 0..20 {
-        world.submit(n % 3, &format!("b-{n}"), batch("nightly", 2)).await;
+        cluster.submit(n % 3, &format!("b-{n}"), batch("nightly", 2)).await;
     }
     sleep(Duration::from_secs(30)).await;
     let mut rng = StdRng::seed_from_u64(36);
-    let mut standing: Vec<String> = Vec::new();
-    let mut waited = 0.0;
+    let mut active_ids: Vec<String> = Vec::new();
+    let mut longest_wait_s = 0.0;
     for n in 0..180 {
         // Three peaks an hour.
-        let wave = (f64::from(n) / 180.0 * std::f64::consts::TAU * 3.0).sin();
-        let wanted = (4.0 + 4.0 * wave + rng.random_range(-1.0..1.0)).round().max(0.0) as usize;
-        while standing.len() > wanted {
-            let id = standing.remove(0);
-            world.withdraw(0, &id).await;
+        let demand_wave = (f64::from(n) / 180.0 * std::f64::consts::TAU * 3.0).sin();
+        let target =
+            (4.0 + 4.0 * demand_wave + rng.random_range(-1.0..1.0)).round().max(0.0) as usize;
+        while active_ids.len() > target {
+            let id = active_ids.remove(0);
+            cluster.withdraw(0, &id).await;
         }
-        let asked = Instant::now();
-        while standing.len() < wanted {
-            let id = format!("s-{n}-{}", standing.len());
-            world.submit(0, &id, serving("serving", 2)).await;
-            standing.push(id);
+        let submitted_at = Instant::now();
+        while active_ids.len() < target {
+            let id = format!("s-{n}-{}", active_ids.len());
+            cluster.submit(0, &id, serving("serving", 2)).await;
+            active_ids.push(id);
         }
-        while standing.iter().any(|id| world.runs(id) < 2) {
+        while active_ids.iter().any(|id| cluster.running_machines(id) < 2) {
             sleep(Duration::from_millis(50)).await;
         }
-        waited = f64::max(waited, asked.elapsed().as_secs_f64());
-        sleep(Duration::from_secs(20).saturating_sub(asked.elapsed())).await;
+        longest_wait_s = f64::max(longest_wait_s, submitted_at.elapsed().as_secs_f64());
+        sleep(Duration::from_secs(20).saturating_sub(submitted_at.elapsed())).await;
     }
-    (world, waited)
+    (cluster, longest_wait_s)
 }
 
 #[tokio::test(start_paused = true)]
 #[ignore = "a measurement"]
-async fn an_hour_against_baselines() {
+async fn one_hour_compared_with_baseline_planners() {
     println!("40 machines of 8 GPUs, 20 of them guaranteed to serving that swings");
     let planners: [(&str, Planner); 3] =
-        [("lending", plan), ("preempt at once", preempts_at_once), ("static", lends_nothing)];
+        [("lending", plan), ("preempt at once", preempt_without_saving), ("static", lend_nothing)];
     for (name, planner) in planners {
-        let (world, waited) = hour(planner).await;
-        let fleet = world.fleet();
+        let (cluster, longest_wait_s) = run_hour(planner).await;
+        let fleet = cluster.fleet();
         let batch: f64 = (0..20).map(|n| fleet.done_s(&format!("b-{n}")) * 2.0).sum();
         let reclaimed = fleet.batch_halts();
-        // All GPUs of a machine lose the same.
+        // All GPUs of a machine lose the same time.
         let lost = fleet.lost_s / f64::from(reclaimed.max(1));
-        let usage = world.state.usage();
+        let usage = cluster.state.usage();
         println!(
-            "{name}: longest wait {waited:.1} s, machines taken back {reclaimed}, lost \
+            "{name}: longest wait {longest_wait_s:.1} s, machines taken back {reclaimed}, lost \
              {lost:.2} s a reclaimed GPU, batch {:.0} machine-seconds, writes {} requests {}",
             batch, usage.writes, usage.requests
         );
@@ -148,26 +162,26 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn planner_time_a_pass() {
+fn planner_time_per_pass() {
     for machines in [100_u32, 500, 1000, 2000, 4000] {
         let mut simulation = Simulation::new(half_guaranteed(machines), machines as usize);
         for n in 0..machines / 2 {
             simulation.submit(&format!("b-{n}"), batch("nightly", 2));
         }
-        simulation.settle();
-        let time = |simulation: &mut Simulation| {
-            let began = std::time::Instant::now();
+        simulation.plan_until_stable();
+        let timed_plan = |simulation: &mut Simulation| {
+            let started_at = std::time::Instant::now();
             let plan = simulation.plan();
-            (began.elapsed().as_secs_f64() * 1e3, plan.transitions.len())
+            (started_at.elapsed().as_secs_f64() * 1e3, plan.transitions.len())
         };
-        let (quiet, none) = time(&mut simulation);
+        let (idle_ms, idle_changes) = timed_plan(&mut simulation);
         for n in 0..machines / 10 {
             simulation.submit(&format!("s-{n}"), serving("serving", 2));
         }
-        let (rush, changes) = time(&mut simulation);
+        let (rush_ms, rush_changes) = timed_plan(&mut simulation);
         println!(
-            "{machines} machines: {quiet:.2} ms a quiet pass ({none} changes), {rush:.2} ms for \
-             {} claims at once ({changes} changes)",
+            "{machines} machines: {idle_ms:.2} ms a quiet pass ({idle_changes} changes), {rush_ms:.2} ms for \
+             {} claims at once ({rush_changes} changes)",
             machines / 10
         );
     }
