--- a/crates/stonewheel-lending/tests/scenarios.rs
+++ b/crates/stonewheel-lending/tests/scenarios.rs
@@ -377,9 +377,9 @@
     // Released machines stay reserved for serving throughout each pause, so no run is stopped again.
     let halts = cluster.fleet().batch_halts();
     assert_eq!(halts, 2, "machines reclaimed in {cycles} cycles");
-    let settle =
+    let retention =
         cluster.settings.times.rise_retention() + cluster.settings.times.release_retention();
-    sleep(settle + Duration::from_secs(10)).await;
+    sleep(retention + Duration::from_secs(10)).await;
     assert_eq!(
         cluster.running_machines("b-1") + cluster.running_machines("b-2"),
         4,
