--- a/crates/stonewheel-lending/tests/common/checker.rs
+++ b/crates/stonewheel-lending/tests/common/checker.rs
@@ -1,5 +1,5 @@
-//! Checks the guarantees from the active claims and the work on the machines, never from the ledger.
-//! Implements the rules of `docs/design/lending.md` independently of the code under test.
+//! Checks the guarantees from the active claims and the work on the machines, never from the
+//! ledger. Implements the rules of `docs/design/lending.md` independently of the code under test.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/stonewheel-lending/tests/common/fleet.rs
+++ b/crates/stonewheel-lending/tests/common/fleet.rs
@@ -18,7 +18,8 @@
 pub enum Event {
     /// Work of the claim started.
     Started(ClaimId),
-    /// A start of the first claim arrived while work of the second one still ran under another loan.
+    /// A start of the first claim arrived while work of the second one still ran under another
+    /// loan.
     StartedOnBusyMachine(ClaimId, ClaimId),
     /// A halt arrived at running work.
     Halted(ClaimId),
@@ -131,7 +132,7 @@
         self.machines.values().filter(|machine| !machine.leaving).count() as u32
     }
 
-    /// Returns the machines with work that has not ended, which includes batch_with_save_time, with their claims.
+    /// Returns the machines with work that has not ended, which includes saving, with their claims.
     pub fn running(&self) -> impl Iterator<Item = (&MachineName, &ClaimId)> {
         let machines = self.machines.iter();
         let is_live = |run: &&Run| !matches!(run.state, RunState::Ended(_));
@@ -214,7 +215,8 @@
         }
     }
 
-    /// Resets the progress of a claim to its last checkpoint, since its work stopped without saving.
+    /// Resets the progress of a claim to its last checkpoint, since its work stopped without
+    /// saving.
     fn lose_progress(&mut self, claim: &ClaimId) {
         self.advance_claim(claim);
         let machines = f64::from(self.running_machines(claim).max(1));
@@ -229,9 +231,9 @@
         }
     }
 
-    /// Returns the reports of all machines. A reachable machine sends a new heartbeat that confirms the
-    /// token. The report of an unreachable machine shows its current run, but with the token and the
-    /// age of its last heartbeat.
+    /// Returns the reports of all machines. A reachable machine sends a new heartbeat that confirms
+    /// the token. The report of an unreachable machine shows its current run, but with the token
+    /// and the age of its last heartbeat.
     pub fn observe(&mut self, token: u64) -> Observation {
         let now = self.now;
         let mut reports = Vec::new();
--- a/crates/stonewheel-lending/tests/common/simulation.rs
+++ b/crates/stonewheel-lending/tests/common/simulation.rs
@@ -39,8 +39,8 @@
 impl Simulation {
     pub fn new(settings: LendingSettings, machines: usize) -> Self {
         let probe_interval = settings.times.probe_interval();
-        // Twice the time of one reclaim, since machines that are lost at the same time may require a
-        // second reclaim after the first.
+        // Twice the time of one reclaim, since machines that are lost at the same time may require
+        // a second reclaim after the first.
         let bound = (settings.times.grace_period() + settings.times.worker_lease()) * 2
             + probe_interval * 16;
         Self {
--- a/crates/stonewheel-lending/tests/common/world.rs
+++ b/crates/stonewheel-lending/tests/common/world.rs
@@ -204,7 +204,8 @@
         self.entries().iter().filter(|(_, entry)| entry.state == state).count()
     }
 
-    /// Waits until a condition holds. Panics if it doesn't hold within 10 minutes of simulated time.
+    /// Waits until a condition holds. Panics if it doesn't hold within 10 minutes of simulated
+    /// time.
     pub async fn wait_until(&self, description: &str, condition: impl Fn(&Self) -> bool) {
         let limit = Instant::now() + Duration::from_secs(600);
         while !condition(self) {
@@ -284,9 +285,9 @@
 
     /// Pauses a controller's process.
     pub fn pause(&self, controller: usize, seconds: u64) {
-        let time = Duration::from_secs(seconds);
-        self.suspend_bound_for(time);
-        self.members.pause(controller, time);
+        let duration = Duration::from_secs(seconds);
+        self.suspend_bound_for(duration);
+        self.members.pause(controller, duration);
     }
 
     /// Makes the state service unavailable, and returns when it is available again.
@@ -299,15 +300,15 @@
 
     /// Makes a machine unreachable; work on it continues.
     pub fn make_unreachable(&self, machine: &MachineName, seconds: u64) {
-        let time = Duration::from_secs(seconds);
-        self.record_broken_gangs_on(machine, time);
-        self.fleet().make_unreachable(machine, time);
+        let duration = Duration::from_secs(seconds);
+        self.record_broken_gangs_on(machine, duration);
+        self.fleet().make_unreachable(machine, duration);
     }
 
     /// Records that the gangs on a machine may be stopped as a whole because of a fault of the
     /// machine.
-    fn record_broken_gangs_on(&self, machine: &MachineName, time: Duration) {
-        let until = self.now() + time;
+    fn record_broken_gangs_on(&self, machine: &MachineName, duration: Duration) {
+        let until = self.now() + duration;
         let claims: Vec<ClaimId> = {
             let fleet = self.fleet();
             let runs_here = fleet.running().filter(|(name, _)| *name == machine);
--- a/crates/stonewheel-lending/tests/guarantees.rs
+++ b/crates/stonewheel-lending/tests/guarantees.rs
@@ -1,6 +1,6 @@
 //! Ten minutes of batch work and fluctuating serving demand, while controllers, machines and the
-//! state service fail by a random sequence for each seed: the checker finds no violated guarantee at
-//! any time. Two faulty planners show that the checker detects violations.
+//! state service fail by a random sequence for each seed: the checker finds no violated guarantee
+//! at any time. Two faulty planners show that the checker detects violations.
 
 #[allow(dead_code)] // Each test file uses only a part of the module.
 mod common;
@@ -30,8 +30,8 @@
 /// How long demand and faults last.
 const LOAD_DURATION: Duration = Duration::from_secs(600);
 
-/// Submits and withdraws claims: batch work all the time, serving only during a rush, which is every
-/// other minute.
+/// Submits and withdraws claims: batch work all the time, serving only during a rush, which is
+/// every other minute.
 async fn demand(cluster: TestDeployment, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut active_ids: Vec<String> = Vec::new();
--- a/crates/stonewheel-lending/tests/measure.rs
+++ b/crates/stonewheel-lending/tests/measure.rs
@@ -50,7 +50,9 @@
 #[tokio::test(start_paused = true)]
 #[ignore = "a measurement"]
 async fn latency_from_claim_to_start() {
-    println!("machines, save, claimed: all run after, transactions, requests a machine");
+    println!(
+        "machines, save time, machines claimed: time until all run, writes and requests per machine"
+    );
     for (machines, claimed) in [(24, 4), (100, 20), (400, 80), (1000, 200), (4000, 400)] {
         for save_s in [0.5, 2.0, 6.0] {
             if machines > 400 && save_s != 2.0 {
@@ -89,8 +91,8 @@
     plan
 }
 
-/// A planner that lends no machine that covers a guarantee: batch work gets only the machines beyond
-/// all guarantees.
+/// A planner that lends no machine that covers a guarantee: batch work gets only the machines
+/// beyond all guarantees.
 fn lend_nothing(input: &PlannerInput<'_>) -> Plan {
     let mut settings = input.settings.clone();
     let beyond = input.machines.len() as u32 - settings.guaranteed();
@@ -141,9 +143,12 @@
 #[tokio::test(start_paused = true)]
 #[ignore = "a measurement"]
 async fn one_hour_compared_with_baseline_planners() {
-    println!("40 machines of 8 GPUs, 20 of them guaranteed to serving that swings");
-    let planners: [(&str, Planner); 3] =
-        [("lending", plan), ("preempt at once", preempt_without_saving), ("static", lend_nothing)];
+    println!("40 machines of 8 GPUs, 20 of them guaranteed to serving that fluctuates");
+    let planners: [(&str, Planner); 3] = [
+        ("lending", plan),
+        ("preempt without saving", preempt_without_saving),
+        ("static", lend_nothing),
+    ];
     for (name, planner) in planners {
         let (cluster, longest_wait_s) = run_hour(planner).await;
         let fleet = cluster.fleet();
@@ -153,8 +158,8 @@
         let lost = fleet.lost_s / f64::from(reclaimed.max(1));
         let usage = cluster.state.usage();
         println!(
-            "{name}: longest wait {longest_wait_s:.1} s, machines taken back {reclaimed}, lost \
-             {lost:.2} s a reclaimed GPU, batch {:.0} machine-seconds, writes {} requests {}",
+            "{name}: longest wait {longest_wait_s:.1} s, machines reclaimed {reclaimed}, lost \
+             {lost:.2} s per reclaimed GPU, batch {:.0} machine-seconds, writes {} requests {}",
             batch, usage.writes, usage.requests
         );
     }
@@ -180,8 +185,8 @@
         }
         let (rush_ms, rush_changes) = timed_plan(&mut simulation);
         println!(
-            "{machines} machines: {idle_ms:.2} ms a quiet pass ({idle_changes} changes), {rush_ms:.2} ms for \
-             {} claims at once ({rush_changes} changes)",
+            "{machines} machines: {idle_ms:.2} ms for a pass without new claims ({idle_changes} \
+             changes), {rush_ms:.2} ms for {} new claims ({rush_changes} changes)",
             machines / 10
         );
     }
--- a/crates/stonewheel-lending/tests/planner.rs
+++ b/crates/stonewheel-lending/tests/planner.rs
@@ -1,5 +1,5 @@
-//! Tests of the planner on simulated machines: scenarios, and a property test under random claims and
-//! faults of machines.
+//! Tests of the planner on simulated machines: scenarios, and a property test under random claims
+//! and faults of machines.
 
 #[allow(dead_code)] // Each test file uses only a part of the module.
 mod common;
@@ -84,6 +84,8 @@
     assert_no_violation(&simulation);
 }
 
+// Guards against a guarantee that can't be kept: a machine with such work can't be reclaimed within
+// the grace period.
 #[test]
 fn irrevocable_work_gets_no_machine_that_covers_a_guarantee() {
     let mut simulation = two_teams();
@@ -135,6 +137,8 @@
     assert_no_violation(&simulation);
 }
 
+// Guards against lost work for a claim that no longer exists: its reclaim requests are withdrawn as
+// long as no halt was sent.
 #[test]
 fn claim_withdrawn_before_halts_are_sent_stops_nothing() {
     let mut simulation = Simulation::new(settings(&[("blue", 0, 8), ("red", 4, 8)]), 6);
@@ -203,8 +207,8 @@
     assert_no_violation(&simulation);
 }
 
-// Guards against a deadlock in which each of two gangs keeps some of its machines and waits for those
-// of the other.
+// Guards against a deadlock in which each of two gangs keeps some of its machines and waits for
+// those of the other.
 #[test]
 fn incomplete_gangs_release_machines_so_that_one_of_them_can_run() {
     let mut simulation = Simulation::new(settings(&[("blue", 3, 8), ("red", 3, 8)]), 6);
@@ -279,6 +283,8 @@
     assert_no_violation(&simulation);
 }
 
+// Guards against a gang of which only the machines outside the guarantee are reclaimed: the others
+// would stay assigned to work that can't run.
 #[test]
 fn gang_partly_outside_its_guarantee_is_lent_and_reclaimed_whole() {
     let mut simulation = Simulation::new(settings(&[("blue", 2, 6), ("red", 2, 6)]), 4);
--- a/crates/stonewheel-lending/tests/records.rs
+++ b/crates/stonewheel-lending/tests/records.rs
@@ -2,8 +2,8 @@
 //! could not read. The schema of all records is committed; records of the first version and those
 //! written by this version are valid under it.
 //!
-//! After an addition that earlier versions may ignore, `RECORDS_SCHEMA=write` writes the schema file
-//! again.
+//! After an addition that earlier versions may ignore, `RECORDS_SCHEMA=write` writes the schema
+//! file again.
 
 use jsonschema::Validator;
 use schemars::{JsonSchema, schema_for};
--- a/crates/stonewheel-lending/tests/scenarios.rs
+++ b/crates/stonewheel-lending/tests/scenarios.rs
@@ -17,8 +17,8 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Starts a deployment in which team red has a guarantee of 4, and batch work of team blue runs on four
-/// borrowed machines.
+/// Starts a deployment in which team red has a guarantee of 4, and batch work of team blue runs on
+/// four borrowed machines.
 async fn cluster_with_lent_machines(machines: usize) -> TestDeployment {
     let cluster = TestDeployment::new(settings(&[("blue", 0, 12), ("red", 4, 8)]), machines).await;
     cluster.submit(0, "b-1", batch("blue", 2)).await;
@@ -49,6 +49,7 @@
     cluster.assert_guarantees_kept();
 }
 
+// Guards against one machine that is granted twice, to claims accepted by different controllers.
 #[tokio::test(start_paused = true)]
 async fn concurrent_claims_of_two_teams_at_two_controllers_are_both_served() {
     let teams = [("blue", 0, 12), ("green", 2, 4), ("red", 2, 4)];
@@ -102,9 +103,9 @@
     }
 }
 
-/// Lets the holder fail in each phase of a reclaim, and once the claim's work starts. Guards against a
-/// reclaim that no successor completes, and against work that is started or stopped twice by two
-/// holders.
+/// Lets the holder fail in each phase of a reclaim, and once the claim's work starts. Guards
+/// against a reclaim that no successor completes, and against work that is started or stopped twice
+/// by two holders.
 async fn fail_holder_in_each_phase(fault: Fault) {
     let phases = [
         Some(LoanState::ReclaimRequested),
@@ -188,8 +189,9 @@
     assert!(violations.iter().any(|v| v.contains("halted inside")), "{violations:#?}");
 }
 
-/// Delays the halts of controller 0 beyond its term: it requests a reclaim and pauses. Its successor
-/// withdraws the request, and the borrower's claim comes inside its guarantee. Then the halts arrive.
+/// Delays the halts of controller 0 beyond its term: it requests a reclaim and pauses. Its
+/// successor withdraws the request, and the borrower's claim comes inside its guarantee. Then the
+/// halts arrive.
 async fn delay_halts_of_replaced_holder(fencing_disabled: bool) -> TestDeployment {
     let teams = [("blue", 2, 12), ("red", 2, 8)];
     let cluster = TestDeployment::new(settings(&teams), 4).await;
@@ -219,6 +221,8 @@
     cluster
 }
 
+// Guards against grants that are not stored: the state service is unavailable for longer than a
+// reclaim takes.
 #[tokio::test(start_paused = true)]
 async fn no_machine_is_granted_during_state_outage_and_reclaim_completes_after_it() {
     for phase in [LoanState::ReclaimRequested, LoanState::Checkpointing, LoanState::Released] {
@@ -245,6 +249,8 @@
     }
 }
 
+// Guards against a submission that takes effect after the withdrawal of its claim: some
+// transactions get no answer, and are executed immediately or seconds later.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_and_late_writes_do_not_revive_a_withdrawn_claim() {
     for seed in 0..4 {
@@ -264,6 +270,7 @@
     }
 }
 
+// Guards against a borrower that keeps its machines by never completing its checkpoint.
 #[tokio::test(start_paused = true)]
 async fn hanging_checkpoint_is_terminated_after_its_grace_period_and_counted() {
     let cluster = cluster_with_lent_machines(4).await;
@@ -282,6 +289,8 @@
     cluster.assert_guarantees_kept();
 }
 
+// Guards against a checkpoint that is terminated or saved twice when the halt arrives shortly
+// before a periodic one, at its beginning or near its end (one every 10 s, which takes 2 s).
 #[tokio::test(start_paused = true)]
 async fn halt_before_or_during_a_periodic_checkpoint_loses_no_work() {
     for after_ms in [9_500, 10_200, 11_800] {
@@ -303,6 +312,8 @@
     }
 }
 
+// Guards against a grant without proof that the borrower's work ended: for 6 s, the reports of one
+// machine show its run as still saving.
 #[tokio::test(start_paused = true)]
 async fn lost_report_of_an_ended_run_only_delays_the_grant() {
     let cluster = cluster_with_lent_machines(4).await;
@@ -350,6 +361,7 @@
     }
 }
 
+// Guards against a granted machine that stays idle because its run was lost with the old session.
 #[tokio::test(start_paused = true)]
 async fn restarted_machine_runs_its_granted_claim_again() {
     let cluster = cluster_with_lent_machines(4).await;
@@ -374,7 +386,8 @@
         cluster.withdraw(cycle % CONTROLLERS, &format!("s-{cycle}")).await;
         sleep(period / 2).await;
     }
-    // Released machines stay reserved for serving throughout each pause, so no run is stopped again.
+    // Released machines stay reserved for serving throughout each pause, so no run is stopped
+    // again.
     let halts = cluster.fleet().batch_halts();
     assert_eq!(halts, 2, "machines reclaimed in {cycles} cycles");
     let retention =
@@ -416,6 +429,8 @@
     cluster.assert_guarantees_kept();
 }
 
+// Guards against one unreadable record that stops all lending, or that is overwritten and loses its
+// entries.
 #[tokio::test(start_paused = true)]
 async fn unreadable_shard_blocks_only_its_own_machines() {
     let cluster = cluster_with_lent_machines(8).await;
@@ -437,6 +452,7 @@
     cluster.assert_guarantees_kept();
 }
 
+// Guards against a repeated or late submission that makes a finished claim active again.
 #[tokio::test(start_paused = true)]
 async fn submission_is_idempotent_and_finished_claims_stay_finished() {
     let cluster = cluster_with_lent_machines(8).await;
@@ -484,6 +500,7 @@
     assert_eq!(other, ClaimStatus::HeldElsewhere { holder: Some(format!("m-{holder}")) });
 }
 
+// Guards against endless start attempts on machines where each start fails.
 #[tokio::test(start_paused = true)]
 async fn completed_batch_is_finished_and_machines_where_starts_fail_are_quarantined() {
     let cluster = TestDeployment::new(settings(&[("blue", 0, 12), ("red", 4, 8)]), 6).await;
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -1,5 +1,5 @@
-//! Lending with the scheduler as the host of the machines: three controllers, batch arrays of team blue
-//! on all machines, and a service of team red whose replicas are inside its guarantee.
+//! Lending with the scheduler as the host of the machines: three controllers, batch arrays of team
+//! blue on all machines, and a service of team red whose replicas are inside its guarantee.
 
 #[allow(dead_code)] // Each test file uses only a part of the module.
 mod common;
@@ -49,8 +49,8 @@
     lending
 }
 
-/// Starts three controllers, with or without lending, and fills the machines with blue's arrays, which
-/// save checkpoints.
+/// Starts three controllers, with or without lending, and fills the machines with blue's arrays,
+/// which save checkpoints.
 async fn cluster_full_of_batch(lending_enabled: bool) -> TestDeployment {
     cluster_full_of(
         lending_enabled,
@@ -59,8 +59,8 @@
     .await
 }
 
-/// Starts three controllers, with or without lending, and fills the machines with the given arrays of
-/// blue.
+/// Starts three controllers, with or without lending, and fills the machines with the given arrays
+/// of blue.
 async fn cluster_full_of(lending_enabled: bool, array: serde_json::Value) -> TestDeployment {
     let cluster = TestDeployment::new(MACHINES).await;
     cluster.set_lending(lending_enabled.then(settings));
@@ -135,8 +135,8 @@
     bounds.reclaim + bounds.takeover
 }
 
-/// Returns a job with its tasks either bound to machine 0 or pending. By the settings of the pass, red
-/// has a guarantee of 8 GPUs and blue has none.
+/// Returns a job with its tasks either bound to machine 0 or pending. By the settings of the pass,
+/// red has a guarantee of 8 GPUs and blue has none.
 fn job_view(id: &str, arrival: u64, changes: serde_json::Value, bound: bool) -> JobView {
     let spec = Arc::new(JobSpec::parse(&job(id, changes)).expect("a submission"));
     let bound_task = |task| BoundView {
@@ -258,6 +258,8 @@
     assert_no_violation(&cluster);
 }
 
+// Guards against a reclaim that ends with its leader, and against a second claim by the successor,
+// which would reclaim another machine.
 #[tokio::test(start_paused = true)]
 async fn successor_completes_reclaim_when_leader_ends_in_any_phase() {
     let phases = [LoanState::ReclaimRequested, LoanState::Released, LoanState::Granted];
@@ -315,8 +317,8 @@
     let added = cluster.machines().into_iter().max().expect("a machine");
     cluster.set_failing(&added);
     for _ in 0..6000 {
-        // Guards against claims for free machines: each would reserve a whole machine, even for a job
-        // that needs only a part of it.
+        // Guards against claims for free machines: each would reserve a whole machine, even for a
+        // job that needs only a part of it.
         assert!(ledger_entries(&cluster).is_empty(), "{:?}", ledger_entries(&cluster));
         sleep(Duration::from_millis(10)).await;
     }
