--- a/crates/stonewheel-lending/tests/common/checker.rs
+++ b/crates/stonewheel-lending/tests/common/checker.rs
@@ -176,8 +176,8 @@
     }
 
     /// Records that a claim loses a machine, so that its gang may be stopped as a whole.
-    pub fn record_broken_gang(&mut self, now: Duration, claim: &ClaimId) {
-        self.broken_gangs.insert(claim.clone(), now);
+    pub fn record_broken_gang(&mut self, broken_at: Duration, claim: &ClaimId) {
+        self.broken_gangs.insert(claim.clone(), broken_at);
     }
 
     fn check_start(
--- a/crates/stonewheel-lending/tests/common/world.rs
+++ b/crates/stonewheel-lending/tests/common/world.rs
@@ -207,10 +207,10 @@
     /// Waits until a condition holds. Panics if it doesn't hold within 10 minutes of simulated
     /// time.
     pub async fn wait_until(&self, description: &str, condition: impl Fn(&Self) -> bool) {
-        let limit = Instant::now() + Duration::from_secs(600);
+        let deadline = Instant::now() + Duration::from_secs(600);
         while !condition(self) {
             assert!(
-                Instant::now() < limit,
+                Instant::now() < deadline,
                 "condition not reached: {description}; ledger {:#?}, violations {:#?}",
                 self.entries(),
                 self.checker().violations
--- a/crates/stonewheel-lending/tests/guarantees.rs
+++ b/crates/stonewheel-lending/tests/guarantees.rs
@@ -32,7 +32,7 @@
 
 /// Submits and withdraws claims: batch work all the time, serving only during a rush, which is
 /// every other minute.
-async fn demand(cluster: TestDeployment, seed: u64) {
+async fn generate_demand(cluster: TestDeployment, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut active_ids: Vec<String> = Vec::new();
     for number in 0_u32.. {
@@ -109,7 +109,7 @@
 async fn run_load(seed: u64) -> TestDeployment {
     let cluster = TestDeployment::new(settings(&TEAMS), MACHINES).await;
     tokio::select! {
-        () = demand(cluster.clone(), seed) => {}
+        () = generate_demand(cluster.clone(), seed) => {}
         () = inject_faults(cluster.clone(), seed) => {}
         () = sleep(LOAD_DURATION) => {}
     }
--- a/crates/stonewheel-lending/tests/ledger.rs
+++ b/crates/stonewheel-lending/tests/ledger.rs
@@ -68,7 +68,7 @@
 
 impl Model {
     /// Returns a machine's loan after a change, or the outer None if the change is not allowed.
-    fn after(&self, machine: usize, change: Change) -> Option<Option<(LoanState, bool)>> {
+    fn state_after(&self, machine: usize, change: Change) -> Option<Option<(LoanState, bool)>> {
         use LoanState::*;
         let current = self.states.get(&machine).copied();
         let next = match (current, change) {
@@ -127,7 +127,7 @@
     fn apply(mut state: Self, step: &Step) -> Self {
         match step {
             Step::Change(machine, change) if state.can_read(*machine) => {
-                match state.after(*machine, *change) {
+                match state.state_after(*machine, *change) {
                     Some(Some(next)) => drop(state.states.insert(*machine, next)),
                     Some(None) => drop(state.states.remove(machine)),
                     None => {}
--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -118,10 +118,10 @@
 /// Waits until a ledger entry is in a phase of a reclaim. Polls often, since a phase may last only
 /// milliseconds.
 async fn wait_until_phase(cluster: &TestDeployment, phase: LoanState) {
-    let limit = Instant::now() + max_wait();
+    let deadline = Instant::now() + max_wait();
     while !ledger_entries(cluster).iter().any(|entry| entry.state == phase) {
         assert!(
-            Instant::now() < limit,
+            Instant::now() < deadline,
             "phase {phase:?} not reached: {:?}",
             ledger_entries(cluster)
         );
