--- a/tests/lending.rs
+++ b/tests/lending.rs
@@ -144,8 +144,8 @@
         machine: Some(0),
         zone: 0,
         stopping: false,
-        settled: true,
-        loss_s: 0.0,
+        movable: true,
+        lost_work_s: 0.0,
     };
     JobView {
         id: spec.id.clone(),
@@ -155,10 +155,10 @@
         remaining: spec.tasks,
         bound: if bound { (0..spec.tasks).map(bound_task).collect() } else { Vec::new() },
         width: spec.tasks,
-        patience_s: None,
+        remaining_wait_s: None,
         guaranteed: false,
         blocked: false,
-        avoid: Vec::new(),
+        avoided_machines: Vec::new(),
         spec,
     }
 }
@@ -175,7 +175,7 @@
         stopping: Resources::default(),
         ready: true,
         empty: false,
-        awaited: false,
+        allocated_in_pass: false,
         reservation: Some(Reservation { job: RED_JOB.into(), granted }),
         images: Vec::new(),
     };
@@ -210,7 +210,7 @@
     let decisions = pass_with_reserved_machine(jobs, 1.0, false);
     let stopped: Vec<&str> = decisions.stop.iter().map(|stop| &*stop.job).collect();
     assert_eq!(stopped, ["j-000001", "j-000001"]);
-    assert!(decisions.stop.iter().all(|stop| !stop.at_once), "with time to save");
+    assert!(decisions.stop.iter().all(|stop| !stop.without_grace), "with time to save");
     assert_eq!(decisions.place, []);
 }
 
