--- a/crates/stonewheel-activation/tests/common/controllers.rs
+++ b/crates/stonewheel-activation/tests/common/controllers.rs
@@ -1,5 +1,5 @@
-//! Controllers on loopback, each with a thread and a runtime of its own, so that one
-//! can be killed or stand still as a process can.
+//! Controllers on loopback. Each has a thread and a runtime of its own, so that a test can
+//! kill or suspend one as if it were a process.
 
 use std::{
     net::SocketAddr,
@@ -14,15 +14,15 @@
 use tokio::{net::TcpListener, sync::mpsc as commands};
 use tokio_util::sync::CancellationToken;
 
-/// What a test does to a controller.
+/// Command of a test to a controller.
 enum Command {
-    /// Its process ends at once, and its connections with it.
+    /// Ends the controller and its connections immediately, without an orderly shutdown.
     Kill,
-    /// Its process stands still.
+    /// Suspends the controller for this time.
     Pause(Duration),
 }
 
-/// One controller.
+/// A running controller.
 pub struct Controller {
     pub address: SocketAddr,
     pub client: String,
@@ -30,45 +30,47 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// What controllers share.
+/// State service and settings that the controllers share.
 pub struct Deployment {
     pub state: MemState,
     pub settings: ActivationSettings,
     pub size: usize,
-    pub session: Duration,
+    pub session_ttl: Duration,
 }
 
 impl Deployment {
-    /// Starts a controller.
-    pub fn start(&self, at: usize, starter: Arc<dyn ReplicaStarter>) -> Controller {
-        let client = format!("m-{at}");
+    /// Starts the controller with this index.
+    pub fn start(&self, index: usize, starter: Arc<dyn ReplicaStarter>) -> Controller {
+        let client = format!("m-{index}");
         let state = self.state.clone();
-        let (settings, size, session) = (self.settings.clone(), self.size, self.session);
+        let (settings, size, session_ttl) = (self.settings.clone(), self.size, self.session_ttl);
         let (commands, mut received) = commands::unbounded_channel();
-        let (tell, told) = mpsc::channel();
+        let (address_sender, address_receiver) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runs");
             runtime.block_on(async move {
                 let stop = CancellationToken::new();
-                let timing = Timing { session, state_timeout: session / 4 };
-                let incarnation = at as u64;
+                let timing = Timing { session: session_ttl, state_timeout: session_ttl / 4 };
+                let incarnation = index as u64;
                 let coordinator =
-                    coordinated(&state, &client, (at, size), incarnation, timing, &stop);
-                let activator = Activator::new(coordinator, settings, starter, at as u64);
+                    coordinated(&state, &client, (index, size), incarnation, timing, &stop);
+                let activator = Activator::new(coordinator, settings, starter, index as u64);
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-                tell.send(listener.local_addr().expect("an address")).expect("somebody waits");
+                address_sender
+                    .send(listener.local_addr().expect("an address"))
+                    .expect("the receiver waits");
                 tokio::spawn(activator.clone().run(stop.clone()));
                 tokio::spawn(serve(activator, listener, stop));
                 while let Some(Command::Pause(time)) = received.recv().await {
-                    // Nothing else of this runtime runs meanwhile.
+                    // Blocks the runtime's only thread, so all of the controller's tasks stop.
                     std::thread::sleep(time);
                 }
             });
             runtime.shutdown_background();
         });
-        let address = told.recv().expect("it listens");
-        Controller { address, client: format!("m-{at}"), commands, thread: Some(thread) }
+        let address = address_receiver.recv().expect("it listens");
+        Controller { address, client: format!("m-{index}"), commands, thread: Some(thread) }
     }
 }
 
--- a/crates/stonewheel-activation/tests/common/house.rs
+++ b/crates/stonewheel-activation/tests/common/http_starter.rs
@@ -1,5 +1,5 @@
-//! Stand-in model servers on loopback: each is a real HTTP server, and notes its own
-//! start. They outlive the controllers that ask for them.
+//! A replica starter whose replicas are HTTP servers on loopback. Each server logs its own
+//! start. The servers keep running when the controller that started them ends.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -15,84 +15,86 @@
 
 #[derive(Default)]
 struct State {
-    /// Noted by the servers themselves: model and job.
-    started: Vec<(String, String)>,
-    /// Where those that answer do so, by job.
+    /// Model and job of each start, logged by the servers themselves.
+    starts: Vec<(String, String)>,
+    /// Endpoints of the servers that are ready, by job.
     endpoints: BTreeMap<String, String>,
-    asked_for: BTreeMap<String, CancellationToken>,
+    /// Token that stops the server, by job; present from the start order on.
+    stop_tokens: BTreeMap<String, CancellationToken>,
+    /// Highest fencing token seen, by model.
     epochs: HashMap<String, u64>,
-    refused: usize,
-    served: usize,
+    refused_orders: usize,
+    served_requests: usize,
 }
 
-/// Starts and stops stand-in model servers.
+/// Starts and stops model servers.
 #[derive(Clone)]
-pub struct House {
+pub struct HttpStarter {
     state: Arc<Mutex<State>>,
-    servers: Handle,
-    boot: Duration,
+    runtime: Handle,
+    startup_time: Duration,
 }
 
-impl House {
-    /// `servers`: the runtime that the model servers run on.
-    pub fn new(servers: Handle, boot: Duration) -> Self {
-        Self { state: Arc::default(), servers, boot }
+impl HttpStarter {
+    /// Creates a starter whose model servers run on `runtime`.
+    pub fn new(runtime: Handle, startup_time: Duration) -> Self {
+        Self { state: Arc::default(), runtime, startup_time }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("not poisoned")
     }
 
-    /// Starts that model servers noted.
+    /// Returns the number of starts that model servers logged.
     pub fn started(&self) -> usize {
-        self.lock().started.len()
+        self.lock().starts.len()
     }
 
-    /// Orders that were refused since somebody else acts.
+    /// Returns the number of orders refused because of a lower fencing token.
     pub fn refused(&self) -> usize {
-        self.lock().refused
+        self.lock().refused_orders
     }
 
-    /// Requests that model servers answered.
+    /// Returns the number of requests that model servers answered.
     pub fn served(&self) -> usize {
-        self.lock().served
+        self.lock().served_requests
     }
 
-    /// Model servers that answer now.
-    pub fn answering(&self) -> usize {
+    /// Returns the number of model servers that are ready.
+    pub fn ready_count(&self) -> usize {
         self.lock().endpoints.len()
     }
 
-    /// All model servers end by themselves.
-    pub fn lose_all(&self) {
+    /// Ends all model servers without an order from a controller, as after a crash.
+    pub fn stop_all(&self) {
         let mut state = self.lock();
         state.endpoints.clear();
-        for (_, server) in std::mem::take(&mut state.asked_for) {
+        for (_, server) in std::mem::take(&mut state.stop_tokens) {
             server.cancel();
         }
     }
 
     async fn run_server(self, model: String, job: String, stop: CancellationToken) {
-        self.lock().started.push((model, job.clone()));
-        sleep(self.boot).await;
+        self.lock().starts.push((model, job.clone()));
+        sleep(self.startup_time).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let endpoint = listener.local_addr().expect("an address").to_string();
-        let house = self.clone();
+        let starter = self.clone();
         let answer = warp::any().and(warp::body::bytes()).map(move |body: bytes::Bytes| {
-            house.lock().served += 1;
+            starter.lock().served_requests += 1;
             body.to_vec()
         });
         self.lock().endpoints.insert(job.clone(), endpoint);
-        let gone = stop.clone();
+        let stop_signal = stop.clone();
         let server = warp::serve(answer).incoming(listener);
-        server.graceful(async move { gone.cancelled().await }).run().await;
+        server.graceful(async move { stop_signal.cancelled().await }).run().await;
     }
 
     fn accept(&self, order: &ReplicaOrder) -> Result<(), StarterError> {
         let mut state = self.lock();
         let highest = state.epochs.entry(order.model.clone()).or_default();
         if order.epoch < *highest {
-            state.refused += 1;
+            state.refused_orders += 1;
             return Err(StarterError::Stale);
         }
         *highest = order.epoch;
@@ -100,17 +102,17 @@
     }
 }
 
-impl ReplicaStarter for House {
+impl ReplicaStarter for HttpStarter {
     fn start(&self, order: &ReplicaOrder) -> BoxFuture<'_, Result<(), StarterError>> {
         let order = order.clone();
         Box::pin(async move {
             self.accept(&order)?;
             let mut state = self.lock();
-            if !state.asked_for.contains_key(&order.job) {
+            if !state.stop_tokens.contains_key(&order.job) {
                 let stop = CancellationToken::new();
-                state.asked_for.insert(order.job.clone(), stop.clone());
+                state.stop_tokens.insert(order.job.clone(), stop.clone());
                 let server = self.clone().run_server(order.model, order.job, stop);
-                self.servers.spawn(server);
+                self.runtime.spawn(server);
             }
             Ok(())
         })
@@ -122,7 +124,7 @@
             let state = self.lock();
             Ok(match state.endpoints.get(&order.job) {
                 Some(endpoint) => Replicas::Ready(vec![endpoint.clone()]),
-                None if state.asked_for.contains_key(&order.job) => Replicas::Pending,
+                None if state.stop_tokens.contains_key(&order.job) => Replicas::Pending,
                 None => Replicas::Gone,
             })
         })
@@ -134,7 +136,7 @@
             self.accept(&order)?;
             let mut state = self.lock();
             state.endpoints.remove(&order.job);
-            let stop = state.asked_for.remove(&order.job);
+            let stop = state.stop_tokens.remove(&order.job);
             stop.inspect(CancellationToken::cancel);
             Ok(())
         })
--- a/crates/stonewheel-activation/tests/common/loopback.rs
+++ b/crates/stonewheel-activation/tests/common/loopback.rs
@@ -1,4 +1,4 @@
-//! Several controllers on loopback, with users that ask them over HTTP.
+//! Several controllers on loopback, and an HTTP client that sends them requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,24 +12,24 @@
 
 use super::{
     controllers::{Controller, Deployment},
-    house::House,
+    http_starter::HttpStarter,
     model_settings, settings,
 };
 
-/// How long a session outlives its last renewal.
-pub const SESSION: Duration = Duration::from_secs(3);
-/// How long a model server takes until it answers.
-pub const BOOT: Duration = Duration::from_millis(800);
+/// Time from the last renewal of a session until the session expires.
+pub const SESSION_TTL: Duration = Duration::from_secs(3);
+/// Time from the start of a model server until the server answers.
+pub const STARTUP_TIME: Duration = Duration::from_millis(800);
 
 pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Some controllers and the model servers that they start.
+/// Controllers and the model servers that they start.
 pub struct Loopback {
     pub controllers: Vec<Controller>,
     pub deployment: Deployment,
-    pub house: House,
+    pub starter: HttpStarter,
     pub client: HttpClient,
-    servers: tokio::runtime::Runtime,
+    server_runtime: tokio::runtime::Runtime,
 }
 
 impl Loopback {
@@ -45,24 +45,24 @@
         ]);
         let mut settings = settings(&[("router", model)]);
         (settings.request_s, settings.outage_s) = (2.0, 1.0);
-        let servers = tokio::runtime::Builder::new_multi_thread()
+        let server_runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
             .build()
             .expect("runs");
-        let house = House::new(servers.handle().clone(), BOOT);
+        let starter = HttpStarter::new(server_runtime.handle().clone(), STARTUP_TIME);
         let deployment =
-            Deployment { state: MemState::default(), settings, size, session: SESSION };
+            Deployment { state: MemState::default(), settings, size, session_ttl: SESSION_TTL };
         let controllers =
-            (0..size).map(|at| deployment.start(at, Arc::new(house.clone()))).collect();
+            (0..size).map(|index| deployment.start(index, Arc::new(starter.clone()))).collect();
         let client = Client::builder(TokioExecutor::new()).build_http();
-        let loopback = Self { controllers, deployment, house, client, servers };
-        loopback.until_known().await;
+        let loopback = Self { controllers, deployment, starter, client, server_runtime };
+        loopback.wait_until_models_known().await;
         loopback
     }
 
-    /// Waits until each controller knows its models.
-    async fn until_known(&self) {
+    /// Waits until each controller knows the state of its models.
+    async fn wait_until_models_known(&self) {
         for controller in &self.controllers {
             let uri = format!("http://{}/activation", controller.address);
             loop {
@@ -77,7 +77,9 @@
         }
     }
 
-    /// Asks one controller after another, as a user's client does, until one answers.
+    /// Sends a request to one controller after another, as a user's client does, until one
+    /// answers with status 200. Returns the number of failed tries and the statuses of the
+    /// refusals.
     pub fn request(&self, number: usize) -> tokio::task::JoinHandle<(u32, Vec<StatusCode>)> {
         let addresses: Vec<_> = self.controllers.iter().map(|c| c.address).collect();
         let client = self.client.clone();
@@ -107,15 +109,17 @@
         })
     }
 
-    /// The controller that owns the start, by the record.
+    /// Returns the index of the controller that owns the activation, once the record
+    /// names one.
     pub async fn owner(&self) -> usize {
         loop {
             if let Some(text) = self.deployment.state.value("sp/a/m/router") {
                 let record: serde_json::Value = serde_json::from_str(&text).expect("a record");
                 let member = record["state"]["active"]["owner"]["member"].as_str();
-                if let Some(at) = member.and_then(|member| member.strip_prefix("m-")?.parse().ok())
+                if let Some(index) =
+                    member.and_then(|member| member.strip_prefix("m-")?.parse().ok())
                 {
-                    return at;
+                    return index;
                 }
             }
             sleep(Duration::from_millis(2)).await;
@@ -124,6 +128,6 @@
 
     pub fn end(self) {
         drop(self.controllers);
-        self.servers.shutdown_background();
+        self.server_runtime.shutdown_background();
     }
 }
--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Several controllers' activators over the stand-ins of the state service and of
-//! what starts replicas.
+//! Activators of several controllers over an in-memory state service and an in-memory
+//! replica starter, for tests under paused time.
 
 pub mod controllers;
-pub mod farm;
-pub mod house;
+pub mod http_starter;
+pub mod in_memory_starter;
 pub mod loopback;
 
 use std::{
@@ -12,7 +12,7 @@
     time::Duration,
 };
 
-use farm::Farm;
+use in_memory_starter::InMemoryStarter;
 use stonewheel_activation::{
     ActivationSettings, Activator, Listen, ModelSettings, Refusal, parse_sections,
     record::{ActivationRecord, record_key},
@@ -21,14 +21,15 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// How long a session outlives its last renewal.
-pub const SESSION: Duration = Duration::from_secs(11);
-/// How long a replica takes to answer.
-pub const BOOT: Duration = Duration::from_secs(20);
-/// How long a request takes once it passes.
-pub const WORK: Duration = Duration::from_millis(200);
+/// Time from the last renewal of a session until the session expires.
+pub const SESSION_TTL: Duration = Duration::from_secs(11);
+/// Time from the start of a replica until the replica answers.
+pub const STARTUP_TIME: Duration = Duration::from_secs(20);
+/// Time that a replica takes to process a request.
+pub const REQUEST_TIME: Duration = Duration::from_millis(200);
 
-/// The settings of a model that takes `BOOT` to load.
+/// Returns the settings of a model that takes `STARTUP_TIME` to load, with `changes`
+/// applied.
 pub fn model_settings(changes: &[(&'static str, &'static str)]) -> ModelSettings {
     let mut pairs = BTreeMap::from([
         ("team", "red"),
@@ -57,6 +58,7 @@
     settings.models["any"].clone()
 }
 
+/// Returns settings with these models.
 pub fn settings(models: &[(&str, ModelSettings)]) -> ActivationSettings {
     ActivationSettings {
         listen: Listen::Port(0),
@@ -69,27 +71,27 @@
     }
 }
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     Answered,
     Refused(Refusal),
-    /// It passed, but no replica was there for it.
-    Broken,
+    /// The request was admitted, but its replica did not answer throughout the request.
+    ReplicaUnavailable,
 }
 
 struct Running {
     activator: Arc<Activator>,
     stop: CancellationToken,
-    /// The name by which its calls are known.
+    /// Name that the state service and the replica starter know the controller by.
     client: String,
 }
 
-/// Some controllers.
+/// Controllers that share a state service and a replica starter.
 #[derive(Clone)]
 pub struct Fleet {
     pub state: MemState,
-    pub farm: Farm,
+    pub starter: InMemoryStarter,
     settings: ActivationSettings,
     size: usize,
     running: Arc<Mutex<BTreeMap<usize, Running>>>,
@@ -97,21 +99,21 @@
 }
 
 impl Fleet {
-    /// `size` controllers that know these models, all up.
+    /// Creates and starts `size` controllers with these settings.
     pub async fn new(size: usize, settings: ActivationSettings) -> Self {
-        let fleet = Self::idle(size, settings, BOOT);
-        for at in 0..size {
-            fleet.start(at);
+        let fleet = Self::not_started(size, settings, STARTUP_TIME);
+        for index in 0..size {
+            fleet.start(index);
         }
         sleep(Duration::from_secs(2)).await;
         fleet
     }
 
-    /// The same before any of them is up.
-    pub fn idle(size: usize, settings: ActivationSettings, boot: Duration) -> Self {
+    /// Creates the fleet without starting any controller.
+    pub fn not_started(size: usize, settings: ActivationSettings, startup_time: Duration) -> Self {
         Self {
             state: MemState::default(),
-            farm: Farm::new(boot),
+            starter: InMemoryStarter::new(startup_time),
             settings,
             size,
             running: Arc::default(),
@@ -119,76 +121,80 @@
         }
     }
 
-    /// Some controllers and one model.
+    /// Creates and starts `size` controllers with one model, `router`.
     pub async fn with_router(size: usize) -> Self {
         Self::new(size, settings(&[("router", model_settings(&[]))])).await
     }
 
-    /// Starts a process of a controller.
-    pub fn start(&self, at: usize) -> Arc<Activator> {
+    /// Starts a process of a controller, with a new incarnation and random seed.
+    pub fn start(&self, index: usize) -> Arc<Activator> {
         let seed = {
             let mut seeds = self.seeds.lock().expect("not poisoned");
             *seeds += 1;
             *seeds
         };
-        let client = format!("m-{at}#{seed}");
+        let client = format!("m-{index}#{seed}");
         let stop = CancellationToken::new();
-        let place = (at, self.size);
-        let coordinator = coordinated(&self.state, &client, place, seed, timing(SESSION), &stop);
-        let starter = self.farm.client(&client);
+        let place = (index, self.size);
+        let coordinator =
+            coordinated(&self.state, &client, place, seed, timing(SESSION_TTL), &stop);
+        let starter = self.starter.client(&client);
         let activator = Activator::new(coordinator, self.settings.clone(), starter, seed);
         tokio::spawn(activator.clone().run(stop.clone()));
         let running = Running { activator: activator.clone(), stop, client };
-        self.running.lock().expect("not poisoned").insert(at, running);
+        self.running.lock().expect("not poisoned").insert(index, running);
         activator
     }
 
-    /// Ends a controller without notice: its lease runs out by itself.
-    pub fn kill(&self, at: usize) {
-        let running = self.running.lock().expect("not poisoned").remove(&at).expect("it runs");
+    /// Ends a controller as a crash does: its lease is not revoked but expires.
+    pub fn kill(&self, index: usize) {
+        let running = self.running.lock().expect("not poisoned").remove(&index).expect("it runs");
         self.state.refuse(&running.client, true);
-        self.farm.callers.end(&running.client);
+        self.starter.callers.end(&running.client);
         running.stop.cancel();
     }
 
-    /// Ends a controller in an orderly way.
-    pub fn shut_down(&self, at: usize) {
-        let running = self.running.lock().expect("not poisoned").remove(&at).expect("it runs");
+    /// Shuts a controller down in an orderly way, which revokes its lease.
+    pub fn shut_down(&self, index: usize) {
+        let running = self.running.lock().expect("not poisoned").remove(&index).expect("it runs");
         running.stop.cancel();
     }
 
-    fn client_of(&self, at: usize) -> String {
-        self.running.lock().expect("not poisoned")[&at].client.clone()
+    fn client_of(&self, index: usize) -> String {
+        self.running.lock().expect("not poisoned")[&index].client.clone()
     }
 
-    /// Lets a controller stand still.
-    pub fn pause(&self, at: usize, seconds: u64) {
-        let client = self.client_of(at);
-        let until = Instant::now() + Duration::from_secs(seconds);
-        self.state.freeze(&client, until);
-        self.farm.callers.freeze(&client, until);
+    /// Suspends the calls of a controller to the state service and the replica starter,
+    /// as if its process were suspended.
+    pub fn pause(&self, index: usize, seconds: u64) {
+        let client = self.client_of(index);
+        let wait_until = Instant::now() + Duration::from_secs(seconds);
+        self.state.freeze(&client, wait_until);
+        self.starter.callers.freeze(&client, wait_until);
     }
 
-    /// The state service refuses this controller alone.
-    pub fn refuse(&self, at: usize, on: bool) {
-        self.state.refuse(&self.client_of(at), on);
+    /// Sets whether the state service refuses the calls of this controller.
+    pub fn refuse(&self, index: usize, on: bool) {
+        self.state.refuse(&self.client_of(index), on);
     }
 
-    /// The controller's next transactions are carried out, but not answered.
-    pub fn mute_state(&self, at: usize, count: u32) {
-        self.state.lose_answers(&self.client_of(at), count);
+    /// Loses the responses to the controller's next `count` transactions, which are still
+    /// carried out.
+    pub fn lose_state_responses(&self, index: usize, count: u32) {
+        self.state.lose_answers(&self.client_of(index), count);
     }
 
-    /// The same of its orders to start and stop replicas.
-    pub fn mute_farm(&self, at: usize, count: u32) {
-        self.farm.callers.mute(&self.client_of(at), count);
+    /// Loses the responses to the controller's next `count` calls of the replica starter,
+    /// which are still carried out.
+    pub fn lose_starter_responses(&self, index: usize, count: u32) {
+        self.starter.callers.mute(&self.client_of(index), count);
     }
 
-    pub fn activator(&self, at: usize) -> Arc<Activator> {
-        self.running.lock().expect("not poisoned")[&at].activator.clone()
+    pub fn activator(&self, index: usize) -> Arc<Activator> {
+        self.running.lock().expect("not poisoned")[&index].activator.clone()
     }
 
-    /// A model's record, straight from the state service.
+    /// Returns a model's record as the state service stores it.
     pub fn record(&self, model: &str) -> ActivationRecord {
         let text = self.state.value(&record_key(model));
         text.map_or_else(ActivationRecord::default, |text| {
@@ -196,58 +202,63 @@
         })
     }
 
-    /// Which controller owns the activation under way.
+    /// Returns the index of the controller that owns the current activation.
     pub fn owner(&self, model: &str) -> Option<usize> {
         let record = self.record(model);
         let member = &record.activation()?.owner.member;
         member.strip_prefix("m-")?.parse().ok()
     }
 
-    /// One request to a controller, seen through.
-    pub async fn request(&self, at: usize, model: &str) -> Outcome {
-        let activator = self.activator(at);
+    /// Sends one request to a controller and returns the result.
+    pub async fn request(&self, index: usize, model: &str) -> Outcome {
+        let activator = self.activator(index);
         let admission = match activator.admit(model, 100).await {
             Ok(admission) => admission,
             Err(refusal) => return Outcome::Refused(refusal),
         };
         let endpoint = admission.endpoints().next().expect("an endpoint").to_owned();
-        let began = self.farm.answers(&endpoint);
-        sleep(WORK).await;
-        let ended = self.farm.answers(&endpoint);
-        if began && ended { Outcome::Answered } else { Outcome::Broken }
+        let was_ready = self.starter.is_ready(&endpoint);
+        sleep(REQUEST_TIME).await;
+        let is_ready = self.starter.is_ready(&endpoint);
+        if was_ready && is_ready { Outcome::Answered } else { Outcome::ReplicaUnavailable }
     }
 
-    /// Many requests at once, over all controllers that run.
+    /// Sends `count` requests at the same time, spread over all running controllers.
     pub async fn burst(&self, count: usize, model: &str) -> Vec<Outcome> {
-        let nodes: Vec<usize> =
+        let indexes: Vec<usize> =
             self.running.lock().expect("not poisoned").keys().copied().collect();
-        let mut under_way = Vec::new();
+        let mut requests = Vec::new();
         for number in 0..count {
             let fleet = self.clone();
-            let (at, model) = (nodes[number % nodes.len()], model.to_owned());
-            under_way.push(tokio::spawn(async move { fleet.request(at, &model).await }));
+            let (index, model) = (indexes[number % indexes.len()], model.to_owned());
+            requests.push(tokio::spawn(async move { fleet.request(index, &model).await }));
         }
         let mut outcomes = Vec::new();
-        for request in under_way {
+        for request in requests {
             outcomes.push(request.await.expect("ran"));
         }
         outcomes
     }
 
-    /// Waits until something holds.
-    pub async fn until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
+    /// Waits until `holds` returns true; `condition` describes the condition.
+    pub async fn wait_until(&self, condition: &str, holds: impl Fn(&Self) -> bool) {
         let limit = Instant::now() + Duration::from_secs(600);
         while !holds(self) {
-            assert!(Instant::now() < limit, "never came true: {what}: {:?}", self.record("router"));
+            assert!(
+                Instant::now() < limit,
+                "never came true: {condition}: {:?}",
+                self.record("router")
+            );
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// No two starts of a model lived at once, and no user's job was touched.
-    pub fn no_rule_broken(&self) {
-        assert_eq!(self.farm.broken(), Vec::<String>::new());
-        for job in self.farm.taken() {
-            assert!(!self.farm.was_stopped(&job), "{job} belongs to a user");
+    /// Asserts that no two jobs of a model were live at the same time and that no user's
+    /// job was stopped.
+    pub fn assert_no_violation(&self) {
+        assert_eq!(self.starter.violations(), Vec::<String>::new());
+        for job in self.starter.user_jobs() {
+            assert!(!self.starter.was_stopped(&job), "{job} was stopped but belongs to a user");
         }
     }
 }
--- a/crates/stonewheel-activation/tests/measure.rs
+++ b/crates/stonewheel-activation/tests/measure.rs
@@ -1,4 +1,4 @@
-//! Measurements on loopback, by hand: `cargo test --release -p stonewheel-activation
+//! Measurements on loopback, run manually with `cargo test --release -p stonewheel-activation
 //! --test measure -- --ignored --nocapture --test-threads 1`.
 
 #[allow(dead_code)] // Each test file uses its own part.
@@ -8,8 +8,8 @@
 
 use common::{
     Fleet,
-    house::House,
-    loopback::{BOOT, Loopback, SESSION},
+    http_starter::HttpStarter,
+    loopback::{Loopback, SESSION_TTL, STARTUP_TIME},
     model_settings, settings,
 };
 use stonewheel_activation::{ReplicaOrder, ReplicaStarter, Replicas};
@@ -24,17 +24,17 @@
     times[times.len() / 2]
 }
 
-/// Bytes of memory that this process holds.
+/// Returns the resident memory of this process in bytes.
 fn resident_bytes() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").expect("a Linux system");
     let pages = statm.split_whitespace().nth(1).expect("resident pages");
     pages.parse::<usize>().expect("a number") * PAGE_BYTES
 }
 
-/// How long it takes without any of this: ask for a model server, and look until it
-/// answers.
+/// Returns the time of a start without an activator, as the baseline: requests a model
+/// server and probes until the server answers.
 async fn direct_start() -> Duration {
-    let house = House::new(tokio::runtime::Handle::current(), BOOT);
+    let starter = HttpStarter::new(tokio::runtime::Handle::current(), STARTUP_TIME);
     let order = ReplicaOrder {
         model: "router".into(),
         generation: 1,
@@ -43,8 +43,8 @@
         fence: Condition { key: String::new(), version: 0 },
     };
     let began = Instant::now();
-    house.start(&order).await.expect("started");
-    while house.probe(&order).await == Ok(Replicas::Pending) {
+    starter.start(&order).await.expect("started");
+    while starter.probe(&order).await == Ok(Replicas::Pending) {
         sleep(Duration::from_millis(50)).await;
     }
     began.elapsed()
@@ -52,12 +52,12 @@
 
 #[tokio::test]
 #[ignore = "a measurement"]
-async fn cold_starts_idle_minutes_and_adoptions() {
+async fn cold_start_and_adoption_latency() {
     let mut direct = Vec::new();
     for _ in 0..REPEATS {
         direct.push(direct_start().await);
     }
-    println!("direct start: {:?} (boot {BOOT:?})", median(direct));
+    println!("direct start: {:?} (boot {STARTUP_TIME:?})", median(direct));
     for size in [1, 3, 5] {
         let (mut cold_starts, mut adoptions) = (Vec::new(), Vec::new());
         let (mut requests, mut writes) = (Vec::new(), Vec::new());
@@ -85,7 +85,7 @@
         writes.sort_unstable();
         println!(
             "{size} controllers: first answer after {:?}; a wake takes {} requests and {} changes \
-             of the state service; adopted after {:?} (session {SESSION:?})",
+             of the state service; adopted after {:?} (session {SESSION_TTL:?})",
             median(cold_starts),
             requests[REPEATS / 2],
             writes[REPEATS / 2],
@@ -96,27 +96,27 @@
 
 #[tokio::test(start_paused = true)]
 #[ignore = "a measurement"]
-async fn state_operations_of_idle_minutes() {
+async fn state_operations_per_minute() {
     for size in [1, 3, 5] {
         let fleet = Fleet::with_router(size).await;
         let minutes = 10;
-        let scaled_to_zero = fleet.state.usage();
+        let scaled_to_zero_start = fleet.state.usage();
         sleep(Duration::from_secs(60 * minutes)).await;
-        let still_scaled_to_zero = fleet.state.usage();
+        let scaled_to_zero_end = fleet.state.usage();
         fleet.request(0, "router").await;
-        let minimum_uptime = fleet.state.usage();
+        let serving_start = fleet.state.usage();
         for _ in 0..minutes * 6 {
             sleep(Duration::from_secs(10)).await;
             fleet.request(0, "router").await;
         }
-        let still_serving = fleet.state.usage();
+        let serving_end = fleet.state.usage();
         println!(
             "{size} controllers, session 11 s, each minute: asleep {} requests {} changes, awake \
              with a request every 10 s {} requests {} changes",
-            (still_scaled_to_zero.requests - scaled_to_zero.requests) / minutes,
-            (still_scaled_to_zero.writes - scaled_to_zero.writes) / minutes,
-            (still_serving.requests - minimum_uptime.requests) / minutes,
-            (still_serving.writes - minimum_uptime.writes) / minutes,
+            (scaled_to_zero_end.requests - scaled_to_zero_start.requests) / minutes,
+            (scaled_to_zero_end.writes - scaled_to_zero_start.writes) / minutes,
+            (serving_end.requests - serving_start.requests) / minutes,
+            (serving_end.writes - serving_start.writes) / minutes,
         );
     }
 }
@@ -129,7 +129,7 @@
     (settings.hold_requests, settings.hold_kb) = (HELD as f64, 1e6);
     let fleet = Fleet::new(1, settings).await;
     let activator = fleet.activator(0);
-    fleet.farm.let_starts_hang(1);
+    fleet.starter.hang_next_starts(1);
     let before = resident_bytes();
     let waiting: Vec<_> = (0..HELD)
         .map(|_| {
--- a/crates/stonewheel-activation/tests/properties.rs
+++ b/crates/stonewheel-activation/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Properties of the planner over any facts, likely or not.
+//! Properties of the planner over arbitrary facts, also those that no run of the activator
+//! produces.
 
 use proptest::prelude::*;
 use stonewheel_activation::{
@@ -61,35 +62,35 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct PlannerInput {
     record: ActivationRecord,
     requested: Requested,
     observed: Observed,
     flags: [bool; 14],
 }
 
-fn known() -> impl Strategy<Value = Known> {
+fn input() -> impl Strategy<Value = PlannerInput> {
     (records(), requested(), observed(), any::<[bool; 14]>()).prop_map(
-        |(record, requested, observed, flags)| Known { record, requested, observed, flags },
+        |(record, requested, observed, flags)| PlannerInput { record, requested, observed, flags },
     )
 }
 
 const ATTEMPTS: u32 = 3;
 
-fn step_of(known: &Known) -> Step {
-    let f = known.flags;
+fn planned_step(input: &PlannerInput) -> Step {
+    let f = input.flags;
     let me = owner(0);
     decide(&Facts {
         me: &me,
-        record: &known.record,
+        record: &input.record,
         session_valid: f[0],
         owner_alive: f[1],
         has_held_requests: f[2],
         has_use_marker: f[3],
         idle_locally: f[4],
         any_use_marker: f[5],
-        requested: &known.requested,
-        observed: &known.observed,
+        requested: &input.requested,
+        observed: &input.observed,
         replicas_stopped: f[6],
         elapsed: ElapsedTimers {
             backoff: f[7],
@@ -105,7 +106,7 @@
     })
 }
 
-/// The same cases on every run.
+/// A fixed seed, so that every run checks the same cases.
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 4096,
@@ -119,51 +120,51 @@
     #![proptest_config(config())]
 
     #[test]
-    fn without_a_session_nothing_is_done(mut known in known()) {
-        known.flags[0] = false;
-        prop_assert_eq!(step_of(&known), Step::Wait);
+    fn no_step_is_taken_without_a_valid_session(mut input in input()) {
+        input.flags[0] = false;
+        prop_assert_eq!(planned_step(&input), Step::Wait);
     }
 
     #[test]
-    fn generation_and_epoch_never_fall_and_a_change_of_owner_raises_the_epoch(known in known()) {
-        if let Step::Write { record, .. } = step_of(&known) {
-            prop_assert!(record.generation >= known.record.generation);
-            prop_assert!(record.epoch >= known.record.epoch);
+    fn generation_and_epoch_never_decrease_and_a_new_owner_has_a_higher_epoch(input in input()) {
+        if let Step::Write { record, .. } = planned_step(&input) {
+            prop_assert!(record.generation >= input.record.generation);
+            prop_assert!(record.epoch >= input.record.epoch);
             let owner_of = |record: &ActivationRecord| record.activation().map(|a| a.owner.clone());
-            let (before, after) = (owner_of(&known.record), owner_of(&record));
+            let (before, after) = (owner_of(&input.record), owner_of(&record));
             if after.is_some() && after != before {
-                prop_assert!(record.epoch > known.record.epoch);
-                prop_assert_eq!(after, Some(owner(0)), "nobody decides for others");
+                prop_assert!(record.epoch > input.record.epoch);
+                prop_assert_eq!(after, Some(owner(0)), "a controller names only itself as the owner");
             }
-            prop_assert_ne!(&record, &known.record, "a write that changes nothing repeats for ever");
+            prop_assert_ne!(&record, &input.record, "a write that changes nothing would be repeated endlessly");
         }
     }
 
     #[test]
-    fn replicas_are_touched_by_their_owner_alone_and_in_the_right_stage(known in known()) {
-        let activation = known.record.activation();
-        let mine = activation.is_some_and(|a| a.owner == owner(0));
-        match step_of(&known) {
+    fn only_the_owner_starts_probes_and_stops_replicas_in_the_matching_stage(input in input()) {
+        let activation = input.record.activation();
+        let is_owner = activation.is_some_and(|a| a.owner == owner(0));
+        match planned_step(&input) {
             Step::Start => {
-                prop_assert!(mine && activation.is_some_and(|a| a.stage == Stage::Starting));
+                prop_assert!(is_owner && activation.is_some_and(|a| a.stage == Stage::Starting));
             }
             Step::Stop => {
                 let stopping = |a: &Activation| matches!(a.stage, Stage::Stopping { .. });
-                prop_assert!(mine && activation.is_some_and(stopping));
+                prop_assert!(is_owner && activation.is_some_and(stopping));
             }
-            Step::Probe => prop_assert!(mine),
+            Step::Probe => prop_assert!(is_owner),
             _ => {}
         }
     }
 
     #[test]
-    fn a_model_in_use_neither_drains_nor_stops_while_its_replicas_answer(mut known in known()) {
-        let (wanted, used) = (2, 5);
-        known.flags[wanted] = true;
-        known.flags[used] = true;
-        known.observed = Observed::Ready(vec!["a:1".into()]);
-        let ready = known.record.ready_endpoints().is_some();
-        if let Step::Write { record, .. } = step_of(&known) && ready {
+    fn model_in_use_with_ready_replicas_neither_drains_nor_stops(mut input in input()) {
+        let (held_requests_flag, use_marker_flag) = (2, 5);
+        input.flags[held_requests_flag] = true;
+        input.flags[use_marker_flag] = true;
+        input.observed = Observed::Ready(vec!["a:1".into()]);
+        let ready = input.record.ready_endpoints().is_some();
+        if let Step::Write { record, .. } = planned_step(&input) && ready {
             let stage = record.activation().map(|a| a.stage.clone());
             let unchanged = matches!(stage, Some(Stage::Ready { .. }));
             prop_assert!(unchanged, "{:?}", record);
@@ -171,11 +172,11 @@
     }
 
     #[test]
-    fn a_job_is_named_anew_for_each_attempt_and_attempts_are_bounded(known in known()) {
-        let Step::Write { record, .. } = step_of(&known) else { return Ok(()) };
-        let (before, after) = (known.record.activation(), record.activation());
+    fn each_attempt_has_a_new_job_and_attempts_are_bounded(input in input()) {
+        let Step::Write { record, .. } = planned_step(&input) else { return Ok(()) };
+        let (before, after) = (input.record.activation(), record.activation());
         let attempt = |activation: Option<&Activation>| activation.map(|a| a.attempt);
-        let new = record.generation != known.record.generation || attempt(before) != attempt(after);
+        let new = record.generation != input.record.generation || attempt(before) != attempt(after);
         if let Some(activation) = after && new {
             prop_assert_eq!(&activation.job, "j-2");
             prop_assert_eq!(&activation.stage, &Stage::Starting);
--- a/crates/stonewheel-activation/tests/scenarios.rs
+++ b/crates/stonewheel-activation/tests/scenarios.rs
@@ -1,12 +1,13 @@
-//! Cold starts over several controllers, with faults: in memory, under paused time.
-//! Starts are counted by the log of what carries them out.
+//! Cold starts with several controllers and faults, in memory under paused time. Most tests
+//! guard against a second start of a model. Starts are counted by the log of the starter
+//! that carries them out.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
 
 use std::time::Duration;
 
-use common::{BOOT, Fleet, Outcome, SESSION, model_settings, settings};
+use common::{Fleet, Outcome, SESSION_TTL, STARTUP_TIME, model_settings, settings};
 use stonewheel_activation::{
     Refusal,
     record::{AfterStop, ModelState, Stage},
@@ -26,16 +27,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_thousand_requests_at_once_over_five_controllers_cause_one_start() {
+async fn simultaneous_requests_at_five_controllers_cause_one_start() {
     let fleet = Fleet::with_router(5).await;
     let outcomes = fleet.burst(1000, "router").await;
     assert!(all_answered(&outcomes), "{:?}", outcomes.iter().find(|o| **o != Outcome::Answered));
-    assert_eq!(fleet.farm.starts().len(), 1);
-    fleet.no_rule_broken();
+    assert_eq!(fleet.starter.starts().len(), 1);
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_burst_for_fifty_models_at_zero_causes_one_start_each() {
+async fn burst_for_fifty_models_causes_one_start_each() {
     let names: Vec<String> = (0..50).map(|number| format!("model-{number}")).collect();
     let models: Vec<_> = names.iter().map(|name| (name.as_str(), model_settings(&[]))).collect();
     let fleet = Fleet::new(3, settings(&models)).await;
@@ -49,86 +50,94 @@
         assert!(all_answered(&outcomes), "{outcomes:?}");
     }
     for name in &names {
-        assert_eq!(fleet.farm.starts_of(name), 1, "{name}");
+        assert_eq!(fleet.starter.starts_of(name), 1, "{name}");
     }
-    fleet.no_rule_broken();
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_without_requests_scales_to_zero_and_starts_again() {
+async fn idle_model_scales_to_zero_and_starts_again_on_request() {
     let fleet = Fleet::with_router(3).await;
     assert_eq!(fleet.request(0, "router").await, Outcome::Answered);
-    // A few requests at other controllers keep it awake.
+    // Requests at another controller, at intervals shorter than `idle_s`, keep the model
+    // ready.
     for _ in 0..10 {
         sleep(Duration::from_secs(25)).await;
         assert_eq!(fleet.request(1, "router").await, Outcome::Answered);
     }
-    assert_eq!(fleet.farm.starts().len(), 1, "it was in use all the time");
-    fleet.until("it sleeps", |fleet| fleet.farm.live("router") == 0).await;
+    assert_eq!(fleet.starter.starts().len(), 1, "the model was in use throughout");
+    fleet.wait_until("the replicas are stopped", |fleet| fleet.starter.live("router") == 0).await;
     fleet
-        .until("so it is recorded", |f| f.record("router").state == ModelState::ScaledToZero)
+        .wait_until("the model is recorded as scaled to zero", |f| {
+            f.record("router").state == ModelState::ScaledToZero
+        })
         .await;
     assert_eq!(fleet.request(2, "router").await, Outcome::Answered);
-    let generations: Vec<u64> = fleet.farm.starts().iter().map(|s| s.generation).collect();
+    let generations: Vec<u64> = fleet.starter.starts().iter().map(|s| s.generation).collect();
     assert_eq!(generations, [1, 2]);
-    fleet.no_rule_broken();
+    fleet.assert_no_violation();
 }
 
-/// Kills the owner at one moment of a start after another; whatever had been done by
-/// then, the others go on with it.
+/// Kills the owner at many points of a start. Another controller must adopt the activation
+/// as it was recorded, without a second start.
 #[tokio::test(start_paused = true)]
-async fn an_owner_that_dies_at_any_moment_of_a_start_leaves_one_start_to_adopt() {
+async fn owner_killed_at_any_time_of_a_start_causes_no_second_start() {
     for step in 0..120 {
         let fleet = Fleet::with_router(3).await;
         let first = tokio::spawn({
             let fleet = fleet.clone();
             async move { fleet.burst(30, "router").await }
         });
-        // Every millisecond while the start is asked for, then every half second.
-        let at = if step < 70 { step } else { 70 + (step - 70) * 500 };
-        sleep(Duration::from_millis(at)).await;
+        // Every millisecond while the start is being requested, then every half second.
+        let delay_ms = if step < 70 { step } else { 70 + (step - 70) * 500 };
+        sleep(Duration::from_millis(delay_ms)).await;
         let Some(owner) = fleet.owner("router") else { continue };
         fleet.kill(owner);
         let survivors = fleet.burst(30, "router").await;
-        assert!(all_answered(&survivors), "killed after {at} ms: {survivors:?}");
-        let starts = fleet.farm.starts();
-        assert_eq!(starts.len(), 1, "killed after {at} ms: {starts:?}");
-        // Those who asked the controller that died may have no answer; the others do.
+        assert!(all_answered(&survivors), "killed after {delay_ms} ms: {survivors:?}");
+        let starts = fleet.starter.starts();
+        assert_eq!(starts.len(), 1, "killed after {delay_ms} ms: {starts:?}");
+        // Requests of the first burst at the killed controller may get no answer.
         first.abort();
-        fleet.no_rule_broken();
+        fleet.assert_no_violation();
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_owner_paused_past_its_lease_is_refused_by_all_that_it_touches() {
+async fn orders_of_an_owner_suspended_past_its_lease_are_refused() {
     let fleet = Fleet::with_router(3).await;
     let burst = tokio::spawn({
         let fleet = fleet.clone();
         async move { fleet.burst(1, "router").await }
     });
-    fleet.until("a start is recorded", |fleet| fleet.owner("router").is_some()).await;
+    fleet.wait_until("a start is recorded", |fleet| fleet.owner("router").is_some()).await;
     let owner = fleet.owner("router").expect("an owner");
-    // Its order to start is on its way, and everything else waits.
+    // Its start order is on its way and arrives late; all its other calls wait.
     fleet.pause(owner, 40);
     let other = (owner + 1) % 3;
     assert_eq!(fleet.request(other, "router").await, Outcome::Answered);
     assert_ne!(fleet.owner("router"), Some(owner), "adopted");
     let epoch = fleet.record("router").epoch;
     sleep(Duration::from_secs(60)).await;
-    assert_eq!(fleet.farm.starts().len(), 1);
-    assert!(fleet.farm.refused() > 0, "the late order came, and was refused");
+    assert_eq!(fleet.starter.starts().len(), 1);
+    assert!(fleet.starter.refused() > 0, "the late order arrived and was refused");
     assert!(fleet.record("router").epoch >= epoch);
     burst.abort();
-    fleet.no_rule_broken();
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_controller_paused_in_a_drain_stops_nothing_that_others_called_back() {
+async fn owner_suspended_while_draining_does_not_stop_a_model_back_in_use() {
     let fleet = Fleet::with_router(3).await;
     assert_eq!(fleet.request(0, "router").await, Outcome::Answered);
-    fleet.until("it drains", |fleet| matches!(stage(fleet), Some(Stage::Draining { .. }))).await;
+    fleet
+        .wait_until("the model drains", |fleet| {
+            matches!(stage(fleet), Some(Stage::Draining { .. }))
+        })
+        .await;
     let owner = fleet.owner("router").expect("an owner");
-    // It wakes up after the time to drain and would go on to stop the replicas.
+    // The owner resumes after the drain time has elapsed. If it relied on its old copy of
+    // the record, it would stop the replicas.
     fleet.pause(owner, 60);
     let other = (owner + 1) % 3;
     let job = fleet.record("router").activation().expect("active").job.clone();
@@ -136,57 +145,59 @@
         assert_eq!(fleet.request(other, "router").await, Outcome::Answered);
         sleep(Duration::from_secs(5)).await;
     }
-    assert!(!fleet.farm.was_stopped(&job));
-    assert_eq!(fleet.farm.starts().len(), 1, "what still ran took the requests");
-    fleet.no_rule_broken();
+    assert!(!fleet.starter.was_stopped(&job));
+    assert_eq!(fleet.starter.starts().len(), 1, "the running replicas served the requests");
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_answers_never_cause_a_second_start() {
+async fn lost_responses_cause_no_second_start() {
     for lost in 1..6 {
         let fleet = Fleet::with_router(3).await;
-        for at in 0..3 {
-            fleet.mute_state(at, lost);
-            fleet.mute_farm(at, lost);
+        for index in 0..3 {
+            fleet.lose_state_responses(index, lost);
+            fleet.lose_starter_responses(index, lost);
         }
         let outcomes = fleet.burst(60, "router").await;
         assert!(all_answered(&outcomes), "{lost} answers lost: {outcomes:?}");
-        assert_eq!(fleet.farm.starts().len(), 1, "{lost} answers lost");
-        fleet.no_rule_broken();
+        assert_eq!(fleet.starter.starts().len(), 1, "{lost} answers lost");
+        fleet.assert_no_violation();
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn transactions_carried_out_late_never_cause_a_second_start() {
+async fn late_transactions_cause_no_second_start() {
     for seed in 0..20 {
         let fleet = Fleet::with_router(3).await;
         fleet.state.set_late(Some(stonewheel_testing::LateTransactions::new(seed, 0.4, 0.5)));
         let outcomes = fleet.burst(30, "router").await;
         fleet.state.set_late(None);
-        // Some may be refused while a session could not be had; none is lost.
-        assert!(!outcomes.contains(&Outcome::Broken), "seed {seed}: {outcomes:?}");
-        fleet.until("the model answers", is_ready).await;
+        // Requests may be refused while a controller has no session, but none may be
+        // forwarded to a replica that does not answer.
+        assert!(!outcomes.contains(&Outcome::ReplicaUnavailable), "seed {seed}: {outcomes:?}");
+        fleet.wait_until("the model answers", is_ready).await;
         assert!(all_answered(&fleet.burst(3, "router").await), "seed {seed}");
-        let starts = fleet.farm.starts();
+        let starts = fleet.starter.starts();
         assert_eq!(starts.len(), 1, "seed {seed}: {starts:?}");
-        fleet.no_rule_broken();
+        fleet.assert_no_violation();
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_in_mid_start_refuses_who_cannot_know_and_costs_no_second_start() {
+async fn state_outage_during_start_refuses_requests_and_causes_no_second_start() {
     let fleet = Fleet::with_router(3).await;
     let held = tokio::spawn({
         let fleet = fleet.clone();
         async move { fleet.burst(30, "router").await }
     });
-    fleet.until("the start was asked for", |fleet| !fleet.farm.starts().is_empty()).await;
+    fleet.wait_until("the start was requested", |fleet| !fleet.starter.starts().is_empty()).await;
     fleet.state.set_outage(true);
-    sleep(SESSION * 2).await;
-    // What was held has its answer by now, and newcomers get theirs at once.
+    sleep(SESSION_TTL * 2).await;
+    // All sessions have expired: held requests were refused, and new ones are refused
+    // immediately.
     let began = Instant::now();
     let late = fleet.burst(9, "router").await;
-    assert!(began.elapsed() < Duration::from_millis(1), "refused at once");
+    assert!(began.elapsed() < Duration::from_millis(1), "refused immediately");
     for outcome in held.await.expect("ran").iter().chain(&late) {
         assert!(
             matches!(outcome, Outcome::Refused(Refusal::StateUnknown { retry_after }) if !retry_after.is_zero()),
@@ -196,16 +207,16 @@
     fleet.state.set_outage(false);
     sleep(Duration::from_secs(3)).await;
     assert!(all_answered(&fleet.burst(30, "router").await));
-    assert_eq!(fleet.farm.starts().len(), 1);
-    fleet.no_rule_broken();
+    assert_eq!(fleet.starter.starts().len(), 1);
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_ready_model_is_served_through_a_short_outage() {
+async fn ready_model_serves_requests_during_a_short_state_outage() {
     let fleet = Fleet::with_router(3).await;
     assert!(all_answered(&fleet.burst(3, "router").await));
     fleet.state.set_outage(true);
-    // The session counts for 11 s, and `outage_s` is 20.
+    // The session is valid for 11 s, and `outage_s` is 20 s.
     for _ in 0..25 {
         sleep(Duration::from_secs(1)).await;
         assert!(all_answered(&fleet.burst(3, "router").await));
@@ -216,70 +227,79 @@
     fleet.state.set_outage(false);
     sleep(Duration::from_secs(3)).await;
     assert!(all_answered(&fleet.burst(3, "router").await));
-    assert_eq!(fleet.farm.starts().len(), 1);
+    assert_eq!(fleet.starter.starts().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_controller_refused_alone_stops_forwarding_before_the_model_can_stop() {
+async fn controller_without_state_service_stops_forwarding_before_the_model_stops() {
     let fleet = Fleet::with_router(3).await;
     assert!(all_answered(&fleet.burst(3, "router").await));
-    // It alone has requests, and nobody sees its marker any more once it lapsed.
+    // Only controller 2 has requests, and its use marker is deleted when its lease expires.
     fleet.refuse(2, true);
     let began = Instant::now();
     let mut refused = None;
     while began.elapsed() < Duration::from_secs(200) {
         match fleet.request(2, "router").await {
-            Outcome::Answered => assert_eq!(refused, None, "it passes none after that"),
+            Outcome::Answered => {
+                assert_eq!(refused, None, "no request is admitted after the first refusal")
+            }
             Outcome::Refused(_) => drop(refused.get_or_insert(began.elapsed())),
-            Outcome::Broken => panic!("forwarded to what was stopped"),
+            Outcome::ReplicaUnavailable => panic!("forwarded to a stopped replica"),
         }
         sleep(Duration::from_millis(300)).await;
     }
-    assert!(refused.expect("refused in the end") < SESSION + Duration::from_secs(21));
-    fleet.until("the others let it sleep", |fleet| fleet.farm.live("router") == 0).await;
+    assert!(refused.expect("refused eventually") < SESSION_TTL + Duration::from_secs(21));
+    fleet
+        .wait_until("the others stop the replicas", |fleet| fleet.starter.live("router") == 0)
+        .await;
     fleet.refuse(2, false);
     sleep(Duration::from_secs(3)).await;
     assert_eq!(fleet.request(2, "router").await, Outcome::Answered);
-    fleet.no_rule_broken();
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_while_the_model_drains_or_stops_is_served() {
-    // Asked at every second of a drain, which takes 30 s, and of what follows.
+async fn requests_to_a_draining_or_stopping_model_are_served() {
+    // Requests arrive at every second of a drain, which takes 30 s, and of the stop after it.
     for after in 0..36 {
         let fleet = Fleet::with_router(3).await;
         assert_eq!(fleet.request(0, "router").await, Outcome::Answered);
         fleet
-            .until("it drains", |fleet| matches!(stage(fleet), Some(Stage::Draining { .. })))
+            .wait_until("the model drains", |fleet| {
+                matches!(stage(fleet), Some(Stage::Draining { .. }))
+            })
             .await;
         sleep(Duration::from_millis(after * 1000 + after * 37 % 100)).await;
         let outcomes = fleet.burst(9, "router").await;
         assert!(all_answered(&outcomes), "{after} s into the drain: {outcomes:?}");
-        assert!(fleet.farm.live("router") == 1, "one generation at a time");
-        assert!(fleet.farm.starts().len() <= 2);
-        fleet.no_rule_broken();
+        assert!(fleet.starter.live("router") == 1, "one generation at a time");
+        assert!(fleet.starter.starts().len() <= 2);
+        fleet.assert_no_violation();
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_start_that_never_answers_is_given_up_and_tried_again() {
+async fn start_that_never_answers_times_out_and_is_retried() {
     let fleet = Fleet::with_router(3).await;
-    fleet.farm.let_starts_hang(1);
+    fleet.starter.hang_next_starts(1);
     let began = Instant::now();
     assert!(all_answered(&fleet.burst(30, "router").await));
-    let starts = fleet.farm.starts();
+    let starts = fleet.starter.starts();
     assert_eq!(starts.len(), 2, "{starts:?}");
-    assert!(fleet.farm.was_stopped(&starts[0].job), "the first was stopped before");
-    // `start_s`, half of the pause at least, and the second start.
-    let least = Duration::from_secs(60 + 2) + BOOT;
-    assert!((least..least + Duration::from_secs(5)).contains(&began.elapsed()));
-    fleet.no_rule_broken();
+    assert!(
+        fleet.starter.was_stopped(&starts[0].job),
+        "the first job was stopped before the retry"
+    );
+    // `start_s`, at least half of the back-off because of its jitter, and the second start.
+    let min_time = Duration::from_secs(60 + 2) + STARTUP_TIME;
+    assert!((min_time..min_time + Duration::from_secs(5)).contains(&began.elapsed()));
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_start_given_up_refuses_at_once_and_says_when_to_come_back() {
+async fn failed_cold_start_refuses_requests_with_retry_after() {
     let fleet = Fleet::with_router(3).await;
-    fleet.farm.let_starts_die(3);
+    fleet.starter.fail_next_starts(3);
     let outcomes = fleet.burst(30, "router").await;
     for outcome in &outcomes {
         let Outcome::Refused(Refusal::Failed { retry_after }) = outcome else {
@@ -287,36 +307,36 @@
         };
         assert!(*retry_after <= Duration::from_secs(15) && !retry_after.is_zero());
     }
-    assert_eq!(fleet.farm.starts().len(), 3, "as many attempts as are allowed");
+    assert_eq!(fleet.starter.starts().len(), 3, "all permitted attempts were made");
     assert!(matches!(fleet.record("router").state, ModelState::Failed { .. }));
-    // Until then the answer comes at once, and no start is tried.
+    // Until `retry_after` requests are refused immediately, without a new start.
     let began = Instant::now();
     assert!(!fleet.burst(3, "router").await.contains(&Outcome::Answered));
     assert!(began.elapsed() < Duration::from_millis(1));
     sleep(Duration::from_secs(16)).await;
     assert!(all_answered(&fleet.burst(30, "router").await));
-    assert_eq!(fleet.farm.starts().len(), 4);
-    fleet.no_rule_broken();
+    assert_eq!(fleet.starter.starts().len(), 4);
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_that_die_while_in_use_are_started_again_once() {
+async fn exited_replicas_are_restarted_once() {
     let fleet = Fleet::with_router(3).await;
     assert!(all_answered(&fleet.burst(3, "router").await));
-    fleet.farm.lose("router");
-    fleet.until("the owner noticed", |fleet| !is_ready(fleet)).await;
-    // Until the others hear of it they still forward.
+    fleet.starter.end_replicas("router");
+    fleet.wait_until("the owner noticed", |fleet| !is_ready(fleet)).await;
+    // The other controllers forward requests until they read the changed record.
     sleep(Duration::from_secs(1)).await;
     assert!(all_answered(&fleet.burst(30, "router").await));
-    assert_eq!(fleet.farm.starts().len(), 2);
-    fleet.no_rule_broken();
+    assert_eq!(fleet.starter.starts().len(), 2);
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_wait_while_replicas_run_but_do_not_answer() {
+async fn requests_are_held_while_running_replicas_do_not_answer() {
     let fleet = Fleet::with_router(3).await;
     assert!(all_answered(&fleet.burst(3, "router").await));
-    fleet.farm.set_silent("router", true);
+    fleet.starter.set_unresponsive("router", true);
     sleep(Duration::from_secs(5)).await;
     let waiting = tokio::spawn({
         let fleet = fleet.clone();
@@ -324,15 +344,15 @@
     });
     sleep(Duration::from_secs(20)).await;
     assert!(!waiting.is_finished(), "held");
-    fleet.farm.set_silent("router", false);
+    fleet.starter.set_unresponsive("router", false);
     assert!(all_answered(&waiting.await.expect("ran")));
-    assert_eq!(fleet.farm.starts().len(), 1);
+    assert_eq!(fleet.starter.starts().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_can_never_start_is_refused_without_further_attempts() {
+async fn rejected_start_is_not_retried() {
     let fleet = Fleet::with_router(3).await;
-    fleet.farm.reject(true);
+    fleet.starter.set_reject_starts(true);
     let outcomes = fleet.burst(9, "router").await;
     assert!(matches!(outcomes[0], Outcome::Refused(Refusal::Failed { .. })), "{outcomes:?}");
     let ModelState::Failed { reason } = fleet.record("router").state else { panic!("not failed") };
@@ -340,34 +360,38 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_room_in_the_fleet_holds_a_request_for_its_time_and_says_when_to_come_back() {
-    let slow = model_settings(&[("hold_s", "30"), ("start_s", "600")]);
-    let fleet = Fleet::new(3, settings(&[("router", slow)])).await;
-    fleet.farm.let_starts_hang(1);
+async fn request_is_refused_after_hold_time_when_the_start_does_not_finish() {
+    let model = model_settings(&[("hold_s", "30"), ("start_s", "600")]);
+    let fleet = Fleet::new(3, settings(&[("router", model)])).await;
+    fleet.starter.hang_next_starts(1);
     let began = Instant::now();
     let outcome = fleet.request(0, "router").await;
     assert!(matches!(outcome, Outcome::Refused(Refusal::Starting { .. })), "{outcome:?}");
     let held = began.elapsed();
     assert!((30..31).contains(&held.as_secs()), "{held:?}");
-    assert_eq!(fleet.farm.starts().len(), 1, "the job waits as any other");
+    assert_eq!(fleet.starter.starts().len(), 1, "the job stays pending and is not started again");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_users_job_with_the_same_id_is_neither_taken_over_nor_stopped() {
+async fn user_job_with_the_same_id_is_neither_adopted_nor_stopped() {
     let fleet = Fleet::with_router(3).await;
-    fleet.farm.take_next_names(2);
+    fleet.starter.assign_next_ids_to_users(2);
     assert!(all_answered(&fleet.burst(30, "router").await));
-    assert_eq!(fleet.farm.taken().len(), 2);
-    assert_eq!(fleet.farm.starts().len(), 1);
-    fleet.until("it sleeps again", |f| f.record("router").state == ModelState::ScaledToZero).await;
-    fleet.no_rule_broken();
+    assert_eq!(fleet.starter.user_jobs().len(), 2);
+    assert_eq!(fleet.starter.starts().len(), 1);
+    fleet
+        .wait_until("the model scales to zero", |f| {
+            f.record("router").state == ModelState::ScaledToZero
+        })
+        .await;
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_holder_refuses_at_once_and_gives_its_room_back() {
-    let mut small = settings(&[("router", model_settings(&[]))]);
-    small.hold_requests = 10.0;
-    let fleet = Fleet::new(1, small).await;
+async fn full_holder_refuses_requests_and_releases_its_capacity() {
+    let mut settings_with_small_limit = settings(&[("router", model_settings(&[]))]);
+    settings_with_small_limit.hold_requests = 10.0;
+    let fleet = Fleet::new(1, settings_with_small_limit).await;
     let outcomes = fleet.burst(25, "router").await;
     let full = |o: &&Outcome| matches!(o, Outcome::Refused(Refusal::Full { .. }));
     assert_eq!(outcomes.iter().filter(full).count(), 15);
@@ -377,22 +401,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_in_demand_leaves_room_for_the_cold_start_of_another() {
-    let mut small = settings(&[("router", model_settings(&[])), ("rare", model_settings(&[]))]);
-    small.hold_requests = 10.0;
-    let fleet = Fleet::new(1, small).await;
-    let demand = tokio::spawn({
+async fn model_with_many_held_requests_leaves_capacity_for_another_model() {
+    let mut settings_with_small_limit =
+        settings(&[("router", model_settings(&[])), ("rare", model_settings(&[]))]);
+    settings_with_small_limit.hold_requests = 10.0;
+    let fleet = Fleet::new(1, settings_with_small_limit).await;
+    let burst = tokio::spawn({
         let fleet = fleet.clone();
         async move { fleet.burst(100, "router").await }
     });
     sleep(Duration::from_millis(100)).await;
     assert_eq!(fleet.request(0, "rare").await, Outcome::Answered);
-    let outcomes = demand.await.expect("ran");
+    let outcomes = burst.await.expect("ran");
     assert_eq!(outcomes.iter().filter(|o| **o == Outcome::Answered).count(), 5);
 }
 
 #[tokio::test(start_paused = true)]
-async fn callers_that_leave_while_held_take_no_room_and_the_model_scales_to_zero_again() {
+async fn cancelled_held_requests_release_capacity_and_the_model_scales_to_zero() {
     let fleet = Fleet::with_router(3).await;
     let activator = fleet.activator(1);
     let waiting: Vec<_> = (0..40)
@@ -408,13 +433,17 @@
     }
     sleep(Duration::from_millis(1)).await;
     assert_eq!((activator.held_usage().requests, activator.held_usage().bytes), (0, 0));
-    fleet.until("it was started", is_ready).await;
-    fleet.until("nobody used it", |f| f.record("router").state == ModelState::ScaledToZero).await;
-    assert_eq!(fleet.farm.starts().len(), 1);
+    fleet.wait_until("the model is ready", is_ready).await;
+    fleet
+        .wait_until("the idle model scales to zero", |f| {
+            f.record("router").state == ModelState::ScaledToZero
+        })
+        .await;
+    assert_eq!(fleet.starter.starts().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_orderly_end_hands_over_within_a_moment_and_a_death_within_a_session() {
+async fn shutdown_is_adopted_quickly_and_a_crash_within_the_session_ttl() {
     for orderly in [true, false] {
         let fleet = Fleet::with_router(3).await;
         assert_eq!(fleet.request(1, "router").await, Outcome::Answered);
@@ -425,30 +454,35 @@
         } else {
             fleet.kill(owner);
         }
-        fleet.until("adopted", |fleet| fleet.owner("router") != Some(owner)).await;
-        let limit = if orderly { Duration::from_secs(3) } else { SESSION + SESSION / 4 };
+        fleet.wait_until("adopted", |fleet| fleet.owner("router") != Some(owner)).await;
+        let limit = if orderly { Duration::from_secs(3) } else { SESSION_TTL + SESSION_TTL / 4 };
         assert!(began.elapsed() < limit, "orderly {orderly}: {:?}", began.elapsed());
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_controller_without_this_part_changes_nothing() {
-    // One of three never runs it, as a version before this part doesn't.
-    let fleet = Fleet::idle(3, settings(&[("router", model_settings(&[]))]), BOOT);
+async fn controller_without_activation_does_not_affect_the_others() {
+    // One of three controllers does not run the activator, as in a version without
+    // activation.
+    let fleet = Fleet::not_started(3, settings(&[("router", model_settings(&[]))]), STARTUP_TIME);
     fleet.start(0);
     fleet.start(1);
     sleep(Duration::from_secs(2)).await;
     assert!(all_answered(&fleet.burst(20, "router").await));
-    fleet.until("it sleeps", |f| f.record("router").state == ModelState::ScaledToZero).await;
+    fleet
+        .wait_until("the model scales to zero", |f| {
+            f.record("router").state == ModelState::ScaledToZero
+        })
+        .await;
     fleet.start(2);
     sleep(Duration::from_secs(2)).await;
     assert!(all_answered(&fleet.burst(21, "router").await));
-    assert_eq!(fleet.farm.starts().len(), 2);
-    fleet.no_rule_broken();
+    assert_eq!(fleet.starter.starts().len(), 2);
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn unknown_models_are_refused_and_touch_no_record() {
+async fn unknown_model_is_refused_without_a_write() {
     let fleet = Fleet::with_router(1).await;
     let before = fleet.state.keys("sp/a/");
     assert_eq!(fleet.request(0, "nobody").await, Outcome::Refused(Refusal::UnknownModel));
@@ -456,27 +490,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_controllers_restart_and_the_model_goes_on() {
+async fn model_stays_ready_when_all_controllers_restart() {
     let fleet = Fleet::with_router(3).await;
     assert!(all_answered(&fleet.burst(3, "router").await));
-    for at in 0..3 {
-        fleet.kill(at);
+    for index in 0..3 {
+        fleet.kill(index);
     }
     sleep(Duration::from_secs(5)).await;
-    for at in 0..3 {
-        fleet.start(at);
+    for index in 0..3 {
+        fleet.start(index);
     }
     sleep(Duration::from_secs(20)).await;
     assert!(all_answered(&fleet.burst(30, "router").await));
-    assert_eq!(fleet.farm.starts().len(), 1, "its replicas ran on");
-    fleet.until("it sleeps", |f| f.record("router").state == ModelState::ScaledToZero).await;
-    fleet.no_rule_broken();
+    assert_eq!(fleet.starter.starts().len(), 1, "its replicas continued to run");
+    fleet
+        .wait_until("the model scales to zero", |f| {
+            f.record("router").state == ModelState::ScaledToZero
+        })
+        .await;
+    fleet.assert_no_violation();
 }
 
 #[tokio::test(start_paused = true)]
-async fn every_second_owner_dies_while_starts_fail_and_the_attempts_stay_bounded() {
+async fn attempts_stay_bounded_when_owners_crash_while_starts_fail() {
     let fleet = Fleet::with_router(5).await;
-    fleet.farm.let_starts_die(100);
+    fleet.starter.fail_next_starts(100);
     let burst = tokio::spawn({
         let fleet = fleet.clone();
         async move { fleet.request(4, "router").await }
@@ -493,6 +531,6 @@
         sleep(Duration::from_millis(10)).await;
     }
     assert!(matches!(burst.await.expect("ran"), Outcome::Refused(_)));
-    assert!(fleet.farm.starts().len() <= 3, "{:?}", fleet.farm.starts());
-    fleet.no_rule_broken();
+    assert!(fleet.starter.starts().len() <= 3, "{:?}", fleet.starter.starts());
+    fleet.assert_no_violation();
 }
--- a/tests/activation.rs
+++ b/tests/activation.rs
@@ -1,5 +1,6 @@
-//! Scale to zero onto the scheduler: cold starts as service jobs, with several
-//! controllers and machines, some of which end.
+//! Scale to zero with the real scheduler: cold starts as service jobs, with several
+//! controllers, some of which crash. Guards against a second job of a model and against
+//! changes to jobs of users.
 
 #[allow(dead_code)] // Each test file uses its own part.
 mod common;
@@ -46,7 +47,8 @@
     parse_sections(sections.into_iter()).expect("valid").expect("switched on")
 }
 
-/// A replica answers while its task runs on its machine.
+/// Health check of replicas: a replica answers while a task of an internal job runs on its
+/// machine.
 struct MemProbe(TestDeployment);
 
 impl ReplicaProbe for MemProbe {
@@ -55,30 +57,31 @@
         Box::pin(async move {
             sleep(Duration::from_millis(5)).await;
             assert_eq!(endpoint.port(), 8000);
-            self.0.jobs_of_our_own().iter().any(|job| self.0.runs_on(job, &machine))
+            self.0.internal_jobs().iter().any(|job| self.0.runs_on(job, &machine))
         })
     }
 }
 
-trait OwnJobs {
-    /// Jobs that were started for a model and not stopped yet, by their markers.
-    fn jobs_of_our_own(&self) -> Vec<String>;
-    /// All that was ever submitted for a model and is in the records.
-    fn machines_with(&self, job: &str) -> usize;
+trait InternalJobs {
+    /// Returns the jobs that were started for a model and not stopped yet, by their marker
+    /// keys.
+    fn internal_jobs(&self) -> Vec<String>;
+    /// Returns the number of machines on which tasks of a job run.
+    fn machine_count(&self, job: &str) -> usize;
 }
 
-impl OwnJobs for TestDeployment {
-    fn jobs_of_our_own(&self) -> Vec<String> {
+impl InternalJobs for TestDeployment {
+    fn internal_jobs(&self) -> Vec<String> {
         let keys = self.state.keys("sp/a/j/");
         keys.iter().map(|key| key.trim_start_matches("sp/a/j/").to_owned()).collect()
     }
 
-    fn machines_with(&self, job: &str) -> usize {
+    fn machine_count(&self, job: &str) -> usize {
         self.machines().iter().filter(|machine| self.runs_on(job, machine)).count()
     }
 }
 
-/// Three controllers with the part switched on, over the same fleet.
+/// Three controllers of one fleet, some of which run an activator.
 #[derive(Clone)]
 struct Deployment {
     cluster: TestDeployment,
@@ -86,39 +89,40 @@
 }
 
 impl Deployment {
-    /// `with`: the controllers that run the part.
-    async fn new(machines: u32, with: &[usize]) -> Self {
+    /// Creates a fleet of `machines`; the controllers `activation_nodes` run an activator.
+    async fn new(machines: u32, activation_nodes: &[usize]) -> Self {
         let cluster = TestDeployment::new(machines).await;
         cluster.set_activation(Some(activation_settings()));
         let deployment = Self { cluster, activators: Arc::default() };
-        for at in with {
-            deployment.cluster.kill_node(*at);
+        for index in activation_nodes {
+            deployment.cluster.kill_node(*index);
             sleep(Duration::from_secs(5)).await;
-            deployment.start(*at);
+            deployment.start(*index);
         }
         sleep(Duration::from_secs(10)).await;
         deployment
     }
 
-    fn start(&self, at: usize) {
-        self.cluster.start_node(at);
+    fn start(&self, index: usize) {
+        self.cluster.start_node(index);
         let probe = Arc::new(MemProbe(self.cluster.clone()));
-        let node = self.cluster.node(at);
+        let node = self.cluster.node(index);
         let coordinator = coordinator(&node);
-        tokio::spawn(coordinator.clone().run(self.cluster.stop_token(at)));
-        let activator = activator(&node, coordinator, probe, at as u64).expect("switched on");
-        tokio::spawn(activator.clone().run(self.cluster.stop_token(at)));
-        self.activators.lock().expect("not poisoned").insert(at, activator);
+        tokio::spawn(coordinator.clone().run(self.cluster.stop_token(index)));
+        let activator = activator(&node, coordinator, probe, index as u64).expect("switched on");
+        tokio::spawn(activator.clone().run(self.cluster.stop_token(index)));
+        self.activators.lock().expect("not poisoned").insert(index, activator);
     }
 
-    fn kill(&self, at: usize) {
-        self.cluster.kill_node(at);
-        // It gives nothing back: its lease runs out by itself.
-        self.cluster.state.refuse(&format!("m-{at}"), true);
-        self.activators.lock().expect("not poisoned").remove(&at);
+    fn kill(&self, index: usize) {
+        self.cluster.kill_node(index);
+        // A crashed controller does not revoke its lease, which expires.
+        self.cluster.state.refuse(&format!("m-{index}"), true);
+        self.activators.lock().expect("not poisoned").remove(&index);
     }
 
-    /// Requests over all controllers that run the part.
+    /// Sends `count` requests at the same time, spread over all controllers that run an
+    /// activator.
     async fn burst(&self, count: usize) -> Vec<Result<(), Refusal>> {
         let activators: Vec<_> =
             self.activators.lock().expect("not poisoned").values().cloned().collect();
@@ -147,29 +151,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wake_is_one_service_job_and_sleep_withdraws_it() {
+async fn cold_start_submits_one_service_job_and_scale_to_zero_cancels_it() {
     let deployment = Deployment::new(3, &[0, 1, 2]).await;
     let outcomes = deployment.burst(300).await;
     assert!(outcomes.iter().all(Result::is_ok), "{outcomes:?}");
     let cluster = &deployment.cluster;
-    let jobs = cluster.jobs_of_our_own();
+    let jobs = cluster.internal_jobs();
     assert_eq!(jobs.len(), 1);
     let status = cluster.status(0, &jobs[0]).await;
     assert_eq!(state(&status), Some(JobState::Running));
-    // Both replicas, each with its endpoint as soon as it answers.
+    // The record lists the endpoint of each replica once the replica answers.
     sleep(Duration::from_secs(20)).await;
     let endpoints = deployment.record()["state"]["active"]["stage"]["ready"]["endpoints"].clone();
-    assert_eq!(endpoints.as_array().map(Vec::len), Some(cluster.machines_with(&jobs[0])));
+    assert_eq!(endpoints.as_array().map(Vec::len), Some(cluster.machine_count(&jobs[0])));
     cluster.until("asleep", || deployment.record()["state"] == "asleep").await;
-    assert_eq!(cluster.jobs_of_our_own(), Vec::<String>::new());
+    assert_eq!(cluster.internal_jobs(), Vec::<String>::new());
     sleep(Duration::from_secs(3)).await;
-    assert_eq!(cluster.machines_with(&jobs[0]), 0);
+    assert_eq!(cluster.machine_count(&jobs[0]), 0);
     assert_eq!(state(&cluster.status(1, &jobs[0]).await), Some(JobState::Cancelled));
     assert_no_violation(cluster);
 }
 
+/// Kills the owner's whole controller at several times of a cold start. Its scheduler, which
+/// may be the leader, ends with it.
 #[tokio::test(start_paused = true)]
-async fn the_owner_dies_which_also_leads_and_the_start_is_adopted() {
+async fn cold_start_is_adopted_when_its_owner_crashes() {
     for after_ms in [5, 20, 50, 200, 1000, 4000] {
         let deployment = Deployment::new(3, &[0, 1, 2]).await;
         let burst = tokio::spawn({
@@ -184,19 +190,19 @@
         deployment.kill(owner);
         let outcomes = deployment.burst(20).await;
         assert!(outcomes.iter().all(Result::is_ok), "{after_ms} ms: {outcomes:?}");
-        assert_eq!(deployment.cluster.jobs_of_our_own().len(), 1, "{after_ms} ms");
+        assert_eq!(deployment.cluster.internal_jobs().len(), 1, "{after_ms} ms");
         assert_eq!(deployment.record()["generation"], 1, "{after_ms} ms");
         assert_no_violation(&deployment.cluster);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_fleet_holds_requests_and_says_when_to_come_back() {
+async fn requests_are_held_then_refused_with_retry_after_when_the_fleet_is_full() {
     let deployment = Deployment::new(1, &[0, 1, 2]).await;
     let cluster = &deployment.cluster;
     cluster.exhaust_capacity();
-    let rival = json!({"Shape": "service", "Spokes": 1, "Rank": "production", "Gpus": 8.0});
-    cluster.submit(0, "j-000001", rival).await.expect("accepted");
+    let other_job = json!({"Shape": "service", "Spokes": 1, "Rank": "production", "Gpus": 8.0});
+    cluster.submit(0, "j-000001", other_job).await.expect("accepted");
     sleep(Duration::from_secs(10)).await;
     let began = Instant::now();
     let outcomes = deployment.burst(3).await;
@@ -206,15 +212,15 @@
             .all(|o| matches!(o, Err(Refusal::Starting { .. } | Refusal::Failed { .. }))),
         "{outcomes:?}"
     );
-    // `hold_s`, or once the attempts are used up.
+    // Requests are refused after `hold_s`, or earlier once all attempts have failed.
     assert!(began.elapsed() <= Duration::from_secs(301), "{:?}", began.elapsed());
-    assert!(cluster.jobs_of_our_own().len() <= 1);
+    assert!(cluster.internal_jobs().len() <= 1);
     assert_no_violation(cluster);
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_versions_side_by_side_share_one_start() {
-    // The third controller is of a version without this part, or has it switched off.
+async fn controller_that_gains_activation_later_causes_no_second_start() {
+    // The third controller has a version without activation, or has it switched off.
     let deployment = Deployment::new(3, &[0, 1]).await;
     let outcomes = deployment.burst(40).await;
     assert!(outcomes.iter().all(Result::is_ok), "{outcomes:?}");
@@ -224,12 +230,12 @@
     sleep(Duration::from_secs(10)).await;
     let outcomes = deployment.burst(60).await;
     assert!(outcomes.iter().all(Result::is_ok), "{outcomes:?}");
-    assert_eq!(deployment.cluster.jobs_of_our_own().len(), 1);
+    assert_eq!(deployment.cluster.internal_jobs().len(), 1);
     assert_no_violation(&deployment.cluster);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_of_our_own_is_fenced_and_a_users_job_is_left_alone() {
+async fn internal_job_is_fenced_and_user_job_is_left_alone() {
     let cluster = TestDeployment::new(2).await;
     let node = cluster.node(0);
     let spec = |id: &str| {
@@ -245,7 +251,7 @@
         key: "sp/a/m/router".into(),
         version: cluster.state.version("sp/a/m/router"),
     };
-    // A user's job has the id.
+    // The id belongs to a user's job.
     cluster
         .submit(1, "j-000007", json!({"Shape": "service", "Spokes": 1}))
         .await
@@ -253,7 +259,7 @@
     let reply = node.submit_internal_job(&spec("j-000007"), &fence(), "sp/a/j/j-000007").await;
     assert_eq!(reply, Ok(InternalJobReply::NameTaken));
     let reply = node.cancel_internal_job("j-000007", &fence(), "sp/a/j/j-000007").await;
-    assert_eq!(reply, Ok(InternalJobReply::Done), "there is nothing of ours");
+    assert_eq!(reply, Ok(InternalJobReply::Done), "there is no internal job to cancel");
     assert_eq!(state(&cluster.status(1, "j-000007").await), Some(JobState::Pending));
     // The record changes between the decision and the submission.
     let old = fence();
@@ -261,7 +267,7 @@
     let reply = node.submit_internal_job(&spec("j-000008"), &old, "sp/a/j/j-000008").await;
     assert_eq!(reply, Ok(InternalJobReply::Stale));
     assert_eq!(state(&cluster.status(1, "j-000008").await), None, "never accepted");
-    // The answer is lost, and the repeat finds the job.
+    // The response is lost, and the repeated submission finds the job.
     cluster.state.lose_answers("m-0", 1);
     let marker = "sp/a/j/j-000009";
     assert!(node.submit_internal_job(&spec("j-000009"), &fence(), marker).await.is_err());
@@ -275,15 +281,15 @@
     );
     assert!(state(&cluster.status(1, "j-000009").await) != Some(JobState::Cancelled));
     cluster.state.lose_answers("m-0", 1);
-    let unsure = node.cancel_internal_job("j-000009", &fence(), marker).await;
-    assert!(unsure.is_err(), "{unsure:?}");
+    let unknown_outcome = node.cancel_internal_job("j-000009", &fence(), marker).await;
+    assert!(unknown_outcome.is_err(), "{unknown_outcome:?}");
     assert_eq!(
         node.cancel_internal_job("j-000009", &fence(), marker).await,
         Ok(InternalJobReply::Done)
     );
     assert_eq!(state(&cluster.status(1, "j-000009").await), Some(JobState::Cancelled));
     assert_eq!(cluster.state.value(marker), None);
-    // What can never run is said so.
+    // A job that can never run is refused as impossible.
     let body = job("j-000010", json!({"Shape": "service", "Crew": "nobody"}));
     let impossible = JobSpec::parse(&body).expect("valid");
     let reply = node.submit_internal_job(&impossible, &fence(), "sp/a/j/j-000010").await;
