--- a/crates/stonewheel-activation/tests/common/controllers.rs
+++ b/crates/stonewheel-activation/tests/common/controllers.rs
@@ -75,6 +75,7 @@
 }
 
 impl Controller {
+    /// Ends the controller immediately and waits for its thread.
     pub fn kill(&mut self) {
         let _ = self.commands.send(Command::Kill);
         if let Some(thread) = self.thread.take() {
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Suspends the controller for this time.
     pub fn pause(&self, time: Duration) {
         let _ = self.commands.send(Command::Pause(time));
     }
--- a/crates/stonewheel-activation/tests/common/in_memory_starter.rs
+++ b/crates/stonewheel-activation/tests/common/in_memory_starter.rs
@@ -48,6 +48,7 @@
 #[derive(Default)]
 struct State {
     startup_time: Duration,
+    /// Highest fencing token seen, by model.
     epochs: HashMap<String, u64>,
     jobs: BTreeMap<String, Job>,
     /// Ids of users' jobs, which an order must not take over or stop.
@@ -84,10 +85,13 @@
         self.state.lock().expect("not poisoned")
     }
 
+    /// Returns a starter whose calls are made under a name, by which tests delay them or
+    /// lose their responses.
     pub fn client(&self, name: &str) -> Arc<dyn ReplicaStarter> {
         Arc::new(StarterClient { starter: self.clone(), name: name.into() })
     }
 
+    /// Returns the starts that were carried out.
     pub fn starts(&self) -> Vec<LoggedStart> {
         self.lock().starts.clone()
     }
@@ -96,6 +100,7 @@
         self.lock().starts.iter().filter(|start| start.model == model).count()
     }
 
+    /// Returns the number of orders refused because of a lower fencing token.
     pub fn refused(&self) -> usize {
         self.lock().refused_orders.len()
     }
@@ -110,6 +115,7 @@
         state.jobs.values().filter(|job| job.model == model && job.is_live()).count()
     }
 
+    /// Whether the replica at an endpoint, which is its job id, answers.
     pub fn is_ready(&self, endpoint: &str) -> bool {
         self.lock().jobs.get(endpoint).is_some_and(|job| job.is_ready(Instant::now()))
     }
@@ -134,14 +140,17 @@
         }
     }
 
+    /// Makes the replicas of the next `count` starts never answer.
     pub fn hang_next_starts(&self, count: u32) {
         self.lock().hanging_starts = count;
     }
 
+    /// Makes the replicas of the next `count` starts exit immediately.
     pub fn fail_next_starts(&self, count: u32) {
         self.lock().failing_starts = count;
     }
 
+    /// Sets whether start orders are rejected permanently.
     pub fn set_reject_starts(&self, on: bool) {
         self.lock().reject_starts = on;
     }
@@ -243,6 +252,7 @@
     }
 }
 
+/// Access of one controller to the starter.
 struct StarterClient {
     starter: InMemoryStarter,
     name: String,
--- a/crates/stonewheel-activation/tests/common/mod.rs
+++ b/crates/stonewheel-activation/tests/common/mod.rs
@@ -80,6 +80,7 @@
     ReplicaUnavailable,
 }
 
+/// A running controller.
 struct Running {
     activator: Arc<Activator>,
     stop: CancellationToken,
@@ -135,9 +136,9 @@
         };
         let client = format!("m-{index}#{seed}");
         let stop = CancellationToken::new();
-        let place = (index, self.size);
+        let position = (index, self.size);
         let coordinator =
-            coordinated(&self.state, &client, place, seed, timing(SESSION_TTL), &stop);
+            coordinated(&self.state, &client, position, seed, timing(SESSION_TTL), &stop);
         let starter = self.starter.client(&client);
         let activator = Activator::new(coordinator, self.settings.clone(), starter, seed);
         tokio::spawn(activator.clone().run(stop.clone()));
@@ -168,13 +169,13 @@
     /// as if its process were suspended.
     pub fn pause(&self, index: usize, seconds: u64) {
         let client = self.client_of(index);
-        let wait_until = Instant::now() + Duration::from_secs(seconds);
-        self.state.freeze(&client, wait_until);
-        self.starter.callers.freeze(&client, wait_until);
+        let until = Instant::now() + Duration::from_secs(seconds);
+        self.state.freeze(&client, until);
+        self.starter.callers.freeze(&client, until);
     }
 
     /// Sets whether the state service refuses the calls of this controller.
-    pub fn refuse(&self, index: usize, on: bool) {
+    pub fn set_state_refused(&self, index: usize, on: bool) {
         self.state.refuse(&self.client_of(index), on);
     }
 
@@ -190,6 +191,7 @@
         self.starter.callers.mute(&self.client_of(index), count);
     }
 
+    /// Returns the activator of a running controller.
     pub fn activator(&self, index: usize) -> Arc<Activator> {
         self.running.lock().expect("not poisoned")[&index].activator.clone()
     }
--- a/crates/stonewheel-activation/tests/exploration.rs
+++ b/crates/stonewheel-activation/tests/exploration.rs
@@ -1,5 +1,5 @@
 //! Explores every order of events within bounds: two controllers and one model, with
-//! messages that arrive late or never, controllers that end, and sessions that expire
+//! messages that arrive late, twice or never, controllers that end, and sessions that expire
 //! before their controller notices. The steps are those of the real planner.
 //!
 //! In no reachable state may two jobs of the model be live, a job be stopped while it
@@ -277,7 +277,7 @@
         let new_job = format!("j-{}", self.jobs_named);
         // The drain time exceeds the time for which a controller forwards requests after its
         // session has ended, so a drain elapses only after all such requests have ended.
-        let markers_match = (0..NODES).all(|n| {
+        let drain_may_elapse = (0..NODES).all(|n| {
             let node = &self.nodes[n];
             !node.up || (node.has_use_marker == self.markers[n] && node.forwarding_to.is_none())
         });
@@ -291,7 +291,7 @@
             let elapsed = ElapsedTimers {
                 backoff: true,
                 start_timeout: bit_set(0),
-                drain: bit_set(1) && markers_match,
+                drain: bit_set(1) && drain_may_elapse,
                 minimum_uptime: bit_set(2),
                 failure_pause: true,
                 probe: true,
@@ -454,8 +454,8 @@
         next.push(read);
         if self.nodes[index].session.is_none() && self.sessions[index].is_none() {
             let mut world = self.clone();
-            // Each session has a new number. Its end has cost a fault, so that the remaining
-            // number of faults distinguishes it from earlier ones.
+            // The end of the previous session used up a fault, so the remaining number of
+            // faults makes the number of the new session unique.
             let session = 10 * (self.faults + 1) + index as u8;
             world.sessions[index] = Some(session);
             world.nodes[index].session = Some(session);
@@ -478,10 +478,10 @@
         next.push(ended);
         let live = self.jobs.iter().find(|(_, state)| **state == JobState::Live);
         if let Some((job, _)) = live {
-            let mut died = self.clone();
-            died.faults -= 1;
-            died.jobs.insert(job.clone(), JobState::Exited);
-            next.push(died);
+            let mut exited = self.clone();
+            exited.faults -= 1;
+            exited.jobs.insert(job.clone(), JobState::Exited);
+            next.push(exited);
         }
     }
 
@@ -509,7 +509,7 @@
     numbers: HashMap<u64, u32>,
     edges: Vec<(u32, u32)>,
     parents: Vec<u32>,
-    after_response: Vec<bool>,
+    is_answered: Vec<bool>,
     queue: VecDeque<(u32, World)>,
 }
 
@@ -519,7 +519,7 @@
             numbers: HashMap::new(),
             edges: Vec::new(),
             parents: Vec::new(),
-            after_response: Vec::new(),
+            is_answered: Vec::new(),
             queue: VecDeque::new(),
         };
         search.add(0, initial, bounds);
@@ -528,12 +528,12 @@
 
     /// Returns the number of a state, and queues the state if it is found for the first time.
     fn add(&mut self, from: u32, world: World, bounds: Bounds) -> u32 {
-        let new = self.after_response.len() as u32;
+        let new = self.is_answered.len() as u32;
         let number = *self.numbers.entry(fingerprint(&world)).or_insert(new);
         if number == new {
             self.parents.push(from);
-            let after_response = !world.has_held_requests() || world.out_of_bounds(bounds);
-            self.after_response.push(after_response);
+            let is_answered = !world.has_held_requests() || world.out_of_bounds(bounds);
+            self.is_answered.push(is_answered);
             self.queue.push_back((number, world));
         }
         number
@@ -558,7 +558,7 @@
 
     /// Returns the states with a held request that no further order of events answers.
     fn unanswerable_states(&self) -> Vec<u32> {
-        let mut can_be_answered = self.after_response.clone();
+        let mut can_be_answered = self.is_answered.clone();
         let mut predecessors: Vec<Vec<u32>> = vec![Vec::new(); can_be_answered.len()];
         for &(from, to) in &self.edges {
             predecessors[to as usize].push(from);
@@ -583,26 +583,26 @@
     while let Some((number, world)) = search.queue.pop_front() {
         if let Some(violation) = world.violation() {
             let violation = format!("{violation}, after\n{}", search.path(number, bounds));
-            return Explored { states: search.after_response.len(), violation: Some(violation) };
+            return Explored { states: search.is_answered.len(), violation: Some(violation) };
         }
         for next in world.next(bounds) {
             let to = search.add(number, next, bounds);
             search.edges.push((number, to));
         }
-        if search.after_response.len() > MAX_STATES {
+        if search.is_answered.len() > MAX_STATES {
             let violation = Some(format!("more than {MAX_STATES} states"));
-            return Explored { states: search.after_response.len(), violation };
+            return Explored { states: search.is_answered.len(), violation };
         }
     }
     let unanswerable_states = search.unanswerable_states();
-    let violation = unanswerable_states.first().map(|initial| {
-        let path = search.path(*initial, bounds);
+    let violation = unanswerable_states.first().map(|state| {
+        let path = search.path(*state, bounds);
         format!(
             "{} states with a request that no order of events answers, one after\n{path}",
             unanswerable_states.len()
         )
     });
-    Explored { states: search.after_response.len(), violation }
+    Explored { states: search.is_answered.len(), violation }
 }
 
 fn assert_no_violation(bounds: Bounds) {
@@ -639,17 +639,22 @@
     assert_no_violation(Bounds { faults: 2, ..ALL_GUARDS });
 }
 
+/// A starter that refuses to start a job after a stop of that job needs no fence.
 #[test]
 fn stop_that_blocks_later_starts_replaces_the_fence_of_starts() {
     assert_no_violation(Bounds { fenced_starts: false, stop_blocks_start: true, ..ALL_GUARDS });
 }
 
+/// Without a fence, a start order that arrives after its attempt was given up starts a job
+/// besides the one of the next attempt.
 #[test]
 fn unfenced_start_is_detected() {
     let explored = explore(Bounds { fenced_starts: false, ..ALL_GUARDS });
     assert!(explored.violation.is_some_and(|violation| violation.contains("two jobs are live")));
 }
 
+/// If both controllers request a start before either has written the record, both starts
+/// are carried out although one of the writes fails.
 #[test]
 fn start_before_its_record_is_detected() {
     let unguarded = Bounds { fenced_starts: false, record_before_start: false, ..ALL_GUARDS };
@@ -657,6 +662,8 @@
     assert!(explored.violation.is_some_and(|violation| violation.contains("two jobs are live")));
 }
 
+/// If the write that ends a drain does not check the use markers, a controller may forward
+/// a request to replicas that are then stopped.
 #[test]
 fn drain_that_ignores_use_markers_is_detected() {
     let explored = explore(Bounds { drain_checks_use_markers: false, requests: 2, ..ALL_GUARDS });
--- a/crates/stonewheel-activation/tests/measure.rs
+++ b/crates/stonewheel-activation/tests/measure.rs
@@ -84,7 +84,7 @@
         requests.sort_unstable();
         writes.sort_unstable();
         println!(
-            "{size} controllers: first answer after {:?}; a wake takes {} requests and {} changes \
+            "{size} controllers: first answer after {:?}; a cold start takes {} requests and {} changes \
              of the state service; adopted after {:?} (session {SESSION_TTL:?})",
             median(cold_starts),
             requests[REPEATS / 2],
@@ -111,7 +111,7 @@
         }
         let serving_end = fleet.state.usage();
         println!(
-            "{size} controllers, session 11 s, each minute: asleep {} requests {} changes, awake \
+            "{size} controllers, session 11 s, each minute: scaled to zero {} requests {} changes, serving \
              with a request every 10 s {} requests {} changes",
             (scaled_to_zero_end.requests - scaled_to_zero_start.requests) / minutes,
             (scaled_to_zero_end.writes - scaled_to_zero_start.writes) / minutes,
--- a/crates/stonewheel-activation/tests/scenarios.rs
+++ b/crates/stonewheel-activation/tests/scenarios.rs
@@ -103,6 +103,8 @@
     }
 }
 
+/// The owner is suspended while its start order is on its way. Another controller adopts the
+/// activation, and the order then arrives with an outdated fencing token.
 #[tokio::test(start_paused = true)]
 async fn orders_of_an_owner_suspended_past_its_lease_are_refused() {
     let fleet = Fleet::with_router(3).await;
@@ -150,6 +152,8 @@
     fleet.assert_no_violation();
 }
 
+/// A controller that receives no response to a transaction or an order must not assume that
+/// either failed: a repetition with another job would be a second start.
 #[tokio::test(start_paused = true)]
 async fn lost_responses_cause_no_second_start() {
     for lost in 1..6 {
@@ -159,8 +163,8 @@
             fleet.lose_starter_responses(index, lost);
         }
         let outcomes = fleet.burst(60, "router").await;
-        assert!(all_answered(&outcomes), "{lost} answers lost: {outcomes:?}");
-        assert_eq!(fleet.starter.starts().len(), 1, "{lost} answers lost");
+        assert!(all_answered(&outcomes), "{lost} lost responses: {outcomes:?}");
+        assert_eq!(fleet.starter.starts().len(), 1, "{lost} lost responses");
         fleet.assert_no_violation();
     }
 }
@@ -235,7 +239,7 @@
     let fleet = Fleet::with_router(3).await;
     assert!(all_answered(&fleet.burst(3, "router").await));
     // Only controller 2 has requests, and its use marker is deleted when its lease expires.
-    fleet.refuse(2, true);
+    fleet.set_state_refused(2, true);
     let began = Instant::now();
     let mut refused = None;
     while began.elapsed() < Duration::from_secs(200) {
@@ -252,7 +256,7 @@
     fleet
         .wait_until("the others stop the replicas", |fleet| fleet.starter.live("router") == 0)
         .await;
-    fleet.refuse(2, false);
+    fleet.set_state_refused(2, false);
     sleep(Duration::from_secs(3)).await;
     assert_eq!(fleet.request(2, "router").await, Outcome::Answered);
     fleet.assert_no_violation();
@@ -454,7 +458,9 @@
         } else {
             fleet.kill(owner);
         }
-        fleet.wait_until("adopted", |fleet| fleet.owner("router") != Some(owner)).await;
+        fleet
+            .wait_until("the activation is adopted", |fleet| fleet.owner("router") != Some(owner))
+            .await;
         let limit = if orderly { Duration::from_secs(3) } else { SESSION_TTL + SESSION_TTL / 4 };
         assert!(began.elapsed() < limit, "orderly {orderly}: {:?}", began.elapsed());
     }
@@ -511,6 +517,8 @@
     fleet.assert_no_violation();
 }
 
+/// The number of attempts is part of the record, so an owner that adopts the activation must
+/// not start counting again.
 #[tokio::test(start_paused = true)]
 async fn attempts_stay_bounded_when_owners_crash_while_starts_fail() {
     let fleet = Fleet::with_router(5).await;
