--- a/crates/stonewheel-activation/tests/exploration.rs
+++ b/crates/stonewheel-activation/tests/exploration.rs
@@ -662,7 +662,7 @@
     assert!(explored.violation.is_some_and(|violation| violation.contains("two jobs are live")));
 }
 
-/// If the write that ends a drain does not check the use markers, a controller may forward
+/// If the write that begins a drain does not check the use markers, a controller may forward
 /// a request to replicas that are then stopped.
 #[test]
 fn drain_that_ignores_use_markers_is_detected() {
