--- a/crates/stonewheel-protocol/src/users.rs
+++ b/crates/stonewheel-protocol/src/users.rs
@@ -88,7 +88,7 @@
     /// Whether all tasks must run in the same zone.
     #[serde(rename = "Together")]
     pub one_zone: bool,
-    /// Whether each task must run on a machine of its own.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(rename = "Scatter")]
     pub spread: bool,
     /// Whether the tasks may run on spot machines.
--- a/crates/stonewheel-testing/src/faults.rs
+++ b/crates/stonewheel-testing/src/faults.rs
@@ -65,7 +65,7 @@
     /// if the transaction is executed and answered normally.
     pub fn draw(&mut self) -> Option<Duration> {
         let delay = self.delays.draw()?;
-        let immediate_share = self.delays.rng.random_bool(self.immediate_share);
-        Some(if immediate_share { Duration::ZERO } else { delay })
+        let is_immediate = self.delays.rng.random_bool(self.immediate_share);
+        Some(if is_immediate { Duration::ZERO } else { delay })
     }
 }
--- a/src/activation.rs
+++ b/src/activation.rs
@@ -108,7 +108,7 @@
 impl From<ReplicaJobError> for StarterError {
     fn from(error: ReplicaJobError) -> Self {
         match error {
-            ReplicaJobError::NameTaken => Self::IdTaken,
+            ReplicaJobError::IdTaken => Self::IdTaken,
             ReplicaJobError::Stale => Self::Stale,
             ReplicaJobError::Rejected(reason) => Self::Rejected(reason),
             ReplicaJobError::Unavailable(reason) => Self::Unavailable(reason),
--- a/src/replica_jobs.rs
+++ b/src/replica_jobs.rs
@@ -107,7 +107,7 @@
 pub enum ReplicaJobError {
     /// Another job has the same id.
     #[error("its job's id is taken")]
-    NameTaken,
+    IdTaken,
     /// The fence failed: the record has changed since the decision.
     #[error("the order is out of date")]
     Stale,
@@ -216,7 +216,7 @@
 fn outcome(reply: Result<InternalJobReply, Unavailable>) -> Result<(), ReplicaJobError> {
     match reply {
         Ok(InternalJobReply::Done) => Ok(()),
-        Ok(InternalJobReply::IdTaken) => Err(ReplicaJobError::NameTaken),
+        Ok(InternalJobReply::IdTaken) => Err(ReplicaJobError::IdTaken),
         Ok(InternalJobReply::Stale) => Err(ReplicaJobError::Stale),
         Ok(InternalJobReply::Impossible(reason)) => Err(ReplicaJobError::Rejected(reason)),
         Err(unavailable) => Err(ReplicaJobError::Unavailable(unavailable.to_string())),
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -97,7 +97,7 @@
         match error {
             // Job ids have 16 random digits, so a collision is practically impossible. As a
             // rejection it is reported and the rollout is rolled back.
-            ReplicaJobError::NameTaken => Self::Rejected(error.to_string()),
+            ReplicaJobError::IdTaken => Self::Rejected(error.to_string()),
             ReplicaJobError::Stale => Self::Stale,
             ReplicaJobError::Rejected(reason) => Self::Rejected(reason),
             ReplicaJobError::Unavailable(reason) => Self::Unavailable(reason),
